--- a/cmd/gypsumfake/serve.go
+++ b/cmd/gypsumfake/serve.go
@@ -41,7 +41,7 @@
 	log := zerolog.New(stderr).With().Timestamp().Str("stand_in", name).Logger()
 	work, err := listen.TCP(at.listen)
 	if err != nil {
-		event.Log(&log, event.FakeFailed).Err(err).Send()
+		event.Log(&log, event.StandInFailed).Err(err).Send()
 		return exitFailed
 	}
 	defer work.Close()
@@ -51,19 +51,19 @@
 		err = p.bind(work)
 	}
 	if err != nil {
-		event.Log(&log, event.FakeFailed).Err(err).Send()
+		event.Log(&log, event.StandInFailed).Err(err).Send()
 		return exitFailed
 	}
 	controlServer := &http.Server{Handler: control, ReadHeaderTimeout: stopTimeout}
 	failed := make(chan error, 2)
 	go func() { failed <- p.server.Serve(work) }()
 	go func() { failed <- controlServer.Serve(steer) }()
-	event.Log(&log, event.FakeStarted).Str("listen", work.Addr().String()).Str("control", steer.Addr().String()).Send()
+	event.Log(&log, event.StandInStarted).Str("listen", work.Addr().String()).Str("control", steer.Addr().String()).Send()
 	select {
 	case err := <-failed:
 		_ = p.server.Close()
 		_ = controlServer.Close()
-		event.Log(&log, event.FakeFailed).Err(err).Send()
+		event.Log(&log, event.StandInFailed).Err(err).Send()
 		return exitFailed
 	case <-ctx.Done():
 	}
@@ -83,8 +83,8 @@
 		}
 	}
 	if err := errors.Join(errs...); err != nil {
-		event.Log(log, event.FakeCutOff).Err(err).Send()
+		event.Log(log, event.StandInCutOff).Err(err).Send()
 		return
 	}
-	event.Log(log, event.FakeStopped).Send()
+	event.Log(log, event.StandInStopped).Send()
 }
--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -25,14 +25,14 @@
 
 // Errors of Check, for errors.Is. A fault is told by the first that fits.
 var (
-	// ErrCut: the body ends before its declared size.
-	ErrCut = errors.New("answer is cut short")
+	// ErrTruncated: the body ends before its declared size.
+	ErrTruncated = errors.New("answer is cut short")
 	// ErrMalformed: the body is not of this format at all.
 	ErrMalformed = errors.New("answer is malformed")
 	// ErrAltered: the checksum does not fit.
 	ErrAltered = errors.New("answer is altered")
-	// ErrOther: the body answers another request.
-	ErrOther = errors.New("answer belongs to another request")
+	// ErrMismatch: the body answers another request.
+	ErrMismatch = errors.New("answer belongs to another request")
 )
 
 // MaxBytes bounds an answer.
@@ -97,7 +97,7 @@
 		return err
 	}
 	if len(body) < size {
-		return fmt.Errorf("%w: %d of %d bytes", ErrCut, len(body), size)
+		return fmt.Errorf("%w: %d of %d bytes", ErrTruncated, len(body), size)
 	}
 	if len(body) > size || size < end+1+trailerLen {
 		return fmt.Errorf("%w: %d bytes, the line says %d", ErrMalformed, len(body), size)
@@ -113,7 +113,7 @@
 func withoutLine(body []byte) error {
 	n := min(len(body), len(magic))
 	if string(body[:n]) == magic[:n] {
-		return fmt.Errorf("%w: %d bytes, no whole line", ErrCut, len(body))
+		return fmt.Errorf("%w: %d bytes, no whole line", ErrTruncated, len(body))
 	}
 	return ErrMalformed
 }
@@ -133,13 +133,13 @@
 
 func compare(got, want Request) error {
 	if want.ID != "" && got.ID != want.ID {
-		return fmt.Errorf("%w: of id %q, want %q", ErrOther, got.ID, want.ID)
+		return fmt.Errorf("%w: of id %q, want %q", ErrMismatch, got.ID, want.ID)
 	}
 	if got.Target != want.Target {
-		return fmt.Errorf("%w: to %q, want %q", ErrOther, got.Target, want.Target)
+		return fmt.Errorf("%w: to %q, want %q", ErrMismatch, got.Target, want.Target)
 	}
 	if got.BodyHash != want.BodyHash {
-		return fmt.Errorf("%w: to a body of hash %016x, want %016x", ErrOther, got.BodyHash, want.BodyHash)
+		return fmt.Errorf("%w: to a body of hash %016x, want %016x", ErrMismatch, got.BodyHash, want.BodyHash)
 	}
 	return nil
 }
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -36,7 +36,7 @@
 	r := Request{ID: "id-1", Target: "/vouchers?n=1", BodyHash: 7}
 	body := Make(r, 300)
 	for n := range body {
-		if err := Check(body[:n], r); !errors.Is(err, ErrCut) {
+		if err := Check(body[:n], r); !errors.Is(err, ErrTruncated) {
 			t.Fatalf("cut at %d: %v, want ErrCut", n, err)
 		}
 	}
@@ -59,7 +59,7 @@
 		a, b := drawRequest(t, "a"), drawRequest(t, "b")
 		err := Check(Make(a, 100), b)
 		same := a == b || b.ID == "" && a.Target == b.Target && a.BodyHash == b.BodyHash
-		if !same && !errors.Is(err, ErrOther) {
+		if !same && !errors.Is(err, ErrMismatch) {
 			t.Fatalf("other's answer: %v, want ErrOther", err)
 		}
 	})
--- a/internal/blackboard/blackboard.go
+++ b/internal/blackboard/blackboard.go
@@ -46,8 +46,8 @@
 	Sources Section[Sources]
 	// Directory is what is known of the directory, for peers. Writer: directory.
 	Directory Section[Directory]
-	// OutOfReach names owners that this node cannot connect to. Writer: reach.
-	OutOfReach Section[[]model.InstanceID]
+	// Unreachable names owners that this node cannot connect to. Writer: reach.
+	Unreachable Section[[]model.InstanceID]
 	// Readiness tells whether the node serves. Writer: control.
 	Readiness Section[Readiness]
 }
@@ -75,9 +75,9 @@
 	Confirmed time.Time
 	// Listed holds the workers that the directory names, Gone those that it removed
 	// after Floor.
-	Listed []model.Listing
-	Gone   []model.Unlisted
-	Floor  uint64
+	Listed            []model.Listing
+	Unlisted          []model.Unlisted
+	CompactedRevision uint64
 	// Evacuations are those in force, and the ends after Floor of others.
 	Evacuations []model.Evacuation
 	Config      *model.RawConfig
@@ -87,21 +87,21 @@
 	FailedAt time.Time
 }
 
-// FailingTime is how long after a failed reading a node is taken to be unable to read the
+// ReadFailureMemory is how long after a failed reading a node is taken to be unable to read the
 // directory: while peers keep it fresh it hardly tries again.
-const FailingTime = 10 * time.Second
+const ReadFailureMemory = 10 * time.Second
 
 // Failing tells whether this node's own readings fail.
 func (d *Directory) Failing(now time.Time) bool {
-	return !d.FailedAt.IsZero() && now.Sub(d.FailedAt) < FailingTime
+	return !d.FailedAt.IsZero() && now.Sub(d.FailedAt) < ReadFailureMemory
 }
 
-// Mark returns what rides on messages at time now.
-func (d *Directory) Mark(now time.Time) model.DirectoryMark {
+// Freshness returns what rides on messages at time now.
+func (d *Directory) Freshness(now time.Time) model.DirectoryFreshness {
 	if d == nil || d.Revision == 0 {
-		return model.DirectoryMark{}
+		return model.DirectoryFreshness{}
 	}
-	return model.DirectoryMark{Revision: d.Revision}.Aged(now.Sub(d.Confirmed))
+	return model.DirectoryFreshness{Revision: d.Revision}.Aged(now.Sub(d.Confirmed))
 }
 
 // Readiness tells whether callers may be served, and what is still missing.
--- a/internal/bundle/set.go
+++ b/internal/bundle/set.go
@@ -75,7 +75,7 @@
 		s.services[svc.Name] = serviceEntry{service: svc, bundle: b}
 		for j := range svc.Routes {
 			r := &svc.Routes[j]
-			s.routesOf(r.Host).add(r, Target{Bundle: b, Service: svc, Class: classes[r.Class], Regions: model.RegionsOf(r.Regions)})
+			s.routesOf(r.Host).add(r, Target{Bundle: b, Service: svc, Class: classes[r.Class], Regions: model.NewRegions(r.Regions)})
 		}
 	}
 }
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -154,7 +154,7 @@
 	}
 	m.self.Incarnation = model.Incarnation(f.now.UnixMicro())
 	f.start(m, seed)
-	f.handle(m, control.SelfChanged{State: model.StateLive})
+	f.handle(m, control.SelfStateChanged{State: model.StateLive})
 }
 
 // after queues something.
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -75,7 +75,7 @@
 	}
 	p := Point{Nodes: n}
 	for _, m := range f.members {
-		f.handle(m, control.SelfChanged{State: model.StateLive})
+		f.handle(m, control.SelfStateChanged{State: model.StateLive})
 	}
 	p.ReadySeconds = f.until(readyLimit, f.allReady).Seconds()
 	p.ReadyPeakReads = f.peakReads()
@@ -213,7 +213,7 @@
 	start := f.now
 	for i := range leavers {
 		gone := f.members[(i+1)*len(f.members)/(leavers+1)]
-		f.handle(gone, control.SelfChanged{State: model.StateLeaving})
+		f.handle(gone, control.SelfStateChanged{State: model.StateLeaving})
 		_, a := f.spread(func(m *member) bool { return leaving(m.core.Board.Fleet.Get(), gone.self.ID) })
 		all = append(all, a)
 	}
--- a/internal/capacity/single.go
+++ b/internal/capacity/single.go
@@ -141,7 +141,7 @@
 			OwnerIncarnation: 1, OwnerClock: time.Minute, Class: "view", Remaining: time.Second, Worth: 1,
 		}
 		o.Offer(now, &a, false)
-		o.Finish(now, a.ID, owner.Finish{Status: 200, ServiceTime: time.Millisecond})
+		o.Finish(now, a.ID, owner.Completion{Status: 200, ServiceTime: time.Millisecond})
 	}
 	used := heapBytes() - heap
 	o.Tick(now)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -17,8 +17,8 @@
 // TickInterval is the time between two Tick events.
 const TickInterval = 100 * time.Millisecond
 
-// PauseGap is how late a Tick must be for a Paused event to come before it.
-const PauseGap = time.Second
+// PauseThreshold is how late a Tick must be for a Paused event to come before it.
+const PauseThreshold = time.Second
 
 // Event is something that happened; adapters make them.
 type Event interface{ isEvent() }
@@ -27,7 +27,7 @@
 type Tick struct{}
 
 // Paused comes before anything else that waited when a tick was late by more
-// than PauseGap: the process had been stopped or starved For that long.
+// than PauseThreshold: the process had been stopped or starved For that long.
 type Paused struct{ For time.Duration }
 
 // Suspended comes before anything else that waited when the machine was suspended For that
@@ -93,11 +93,11 @@
 type DirectoryRead struct {
 	// Revision is the directory's up to which this tells every change.
 	Revision uint64
-	// Whole says that Listed holds every worker; otherwise Listed holds those that
+	// Full says that Listed holds every worker; otherwise Listed holds those that
 	// changed and Gone those that were removed.
-	Whole  bool
-	Listed []model.Listing
-	Gone   []model.Unlisted
+	Full     bool
+	Listed   []model.Listing
+	Unlisted []model.Unlisted
 	// Evacuations holds those in force where Whole, otherwise those that changed.
 	Evacuations []model.Evacuation
 	// Config is the configuration and Bundle what it means; nil when it has not
@@ -108,33 +108,33 @@
 	// RefusedErr; Config is then an older one, or nil.
 	Refused    *model.RawConfig
 	RefusedErr error
-	// Took is how long the reading took: it tells what held at its start, not what
+	// ReadDuration is how long the reading took: it tells what held at its start, not what
 	// has changed since.
-	Took time.Duration
+	ReadDuration time.Duration
 }
 
 // DirectoryFailed says that the directory could not be read.
 type DirectoryFailed struct{ Err error }
 
-// DirectoryHeard is a peer's mark: of a report, with an age that is an upper bound, or
+// PeerFreshnessReceived is a peer's mark: of a report, with an age that is an upper bound, or
 // the bare revision of an attempt, with AgeUnknown.
-type DirectoryHeard struct {
-	From model.InstanceID
-	Mark model.DirectoryMark
+type PeerFreshnessReceived struct {
+	From      model.InstanceID
+	Freshness model.DirectoryFreshness
 }
 
-// DirectoryTold is a peer's answer to AskDirectory, Age how old it was when the peer
+// PeerDirectoryReceived is a peer's answer to RequestPeerDirectory, Age how old it was when the peer
 // sent it.
-type DirectoryTold struct {
+type PeerDirectoryReceived struct {
 	From model.InstanceID
 	DirectoryRead
 	Age time.Duration
 	// Failing: the peer's own readings of the directory fail.
-	Failing bool
+	ReadsFailing bool
 }
 
-// DirectoryAskFailed says that a peer did not answer AskDirectory.
-type DirectoryAskFailed struct {
+// PeerDirectoryFailed says that a peer did not answer RequestPeerDirectory.
+type PeerDirectoryFailed struct {
 	From model.InstanceID
 	Err  error
 }
@@ -146,28 +146,28 @@
 	Version model.BundleVersion
 }
 
-// SelfChanged says that this node's own life stage changed.
-type SelfChanged struct{ State model.UpstreamState }
+// SelfStateChanged says that this node's own life stage changed.
+type SelfStateChanged struct{ State model.UpstreamState }
 
-// WorkerSaid says which worker this node's own one says it is, when that has changed.
-type WorkerSaid struct{ Worker model.WorkerID }
+// WorkerIdentified says which worker this node's own one says it is, when that has changed.
+type WorkerIdentified struct{ Worker model.WorkerID }
 
-// OwnerDoubted says that an attempt got no answer of its owner, for a reason that may
+// OwnerUnresponsive says that an attempt got no answer of its owner, for a reason that may
 // lie with the way there. Adapters send it at most once an owner and tick.
-type OwnerDoubted struct {
+type OwnerUnresponsive struct {
 	Owner model.Instance
 	// NoConnection: no connection could be had.
 	NoConnection bool
-	// NotTakenUp: the owner did not begin to answer in time.
-	NotTakenUp bool
+	// NotAcknowledged: the owner did not begin to answer in time.
+	NotAcknowledged bool
 }
 
-// OwnersSaidLost names owners that a peer cannot connect to. Adapters send each at
+// OwnersReportedUnreachable names owners that a peer cannot connect to. Adapters send each at
 // most once a tick.
-type OwnersSaidLost struct{ Owners []model.InstanceID }
+type OwnersReportedUnreachable struct{ Owners []model.InstanceID }
 
-// ReachProbed is the end of a ProbeReach: Err is nil when the owner's node answered.
-type ReachProbed struct {
+// ReachabilityProbed is the end of a ProbeReachability: Err is nil when the owner's node answered.
+type ReachabilityProbed struct {
 	Owner model.Instance
 	Err   error
 }
@@ -191,16 +191,16 @@
 func (ValueReadFailed) isEvent() {}
 func (VersionSeen) isEvent()     {}
 
-func (DirectoryRead) isEvent()      {}
-func (DirectoryFailed) isEvent()    {}
-func (DirectoryHeard) isEvent()     {}
-func (DirectoryTold) isEvent()      {}
-func (DirectoryAskFailed) isEvent() {}
-func (SelfChanged) isEvent()        {}
-func (WorkerSaid) isEvent()         {}
-func (OwnerDoubted) isEvent()       {}
-func (OwnersSaidLost) isEvent()     {}
-func (ReachProbed) isEvent()        {}
+func (DirectoryRead) isEvent()             {}
+func (DirectoryFailed) isEvent()           {}
+func (PeerFreshnessReceived) isEvent()     {}
+func (PeerDirectoryReceived) isEvent()     {}
+func (PeerDirectoryFailed) isEvent()       {}
+func (SelfStateChanged) isEvent()          {}
+func (WorkerIdentified) isEvent()          {}
+func (OwnerUnresponsive) isEvent()         {}
+func (OwnersReportedUnreachable) isEvent() {}
+func (ReachabilityProbed) isEvent()        {}
 
 // Action is something an adapter must do.
 type Action interface{ isAction() }
@@ -239,28 +239,28 @@
 // the whole.
 type ReadDirectory struct{ After uint64 }
 
-// AskDirectory asks a peer what changed in the directory after a revision.
-type AskDirectory struct {
+// RequestPeerDirectory asks a peer what changed in the directory after a revision.
+type RequestPeerDirectory struct {
 	Peer  model.Instance
 	After uint64
 }
 
-// ProbeReach opens a connection to an owner's node and asks for any answer;
-// ReachProbed follows.
-type ProbeReach struct{ Owner model.Instance }
+// ProbeReachability opens a connection to an owner's node and asks for any answer;
+// ReachabilityProbed follows.
+type ProbeReachability struct{ Owner model.Instance }
 
-// OwnerLost tells the attempts at an owner that it is out of reach: those whose
+// OwnerUnreachable tells the attempts at an owner that it is out of reach: those whose
 // requests may be repeated are also made elsewhere.
-type OwnerLost struct{ Owner model.InstanceID }
+type OwnerUnreachable struct{ Owner model.InstanceID }
 
-// SettleAnswered hands an owner's settlement to the call that asked for it.
-type SettleAnswered struct{ Reply wire.SettleReply }
+// OutcomeResolved hands an owner's settlement to the call that asked for it.
+type OutcomeResolved struct{ Reply wire.ResolveReply }
 
-// TellSuspects tells a peer of requests under which workers end. Its answer goes to
+// SendSuspectUpdate tells a peer of requests under which workers end. Its answer goes to
 // quarantine.Quarantine.Told, and what that returns to the same peer.
-type TellSuspects struct {
-	To   model.Instance
-	News wire.SuspectNews
+type SendSuspectUpdate struct {
+	To     model.Instance
+	Update wire.SuspectUpdate
 }
 
 // Record logs a numbered event.
@@ -277,21 +277,21 @@
 // must bind new attempts to it from now on.
 type AdoptIncarnation struct{ Incarnation model.Incarnation }
 
-func (Send) isAction()             {}
-func (OpenLink) isAction()         {}
-func (CloseLink) isAction()        {}
-func (ReadList) isAction()         {}
-func (ReadIndex) isAction()        {}
-func (ReadValue) isAction()        {}
-func (Record) isAction()           {}
-func (AdoptIncarnation) isAction() {}
-func (SettleAnswered) isAction()   {}
-func (SendDirect) isAction()       {}
-func (ReadDirectory) isAction()    {}
-func (AskDirectory) isAction()     {}
-func (ProbeReach) isAction()       {}
-func (OwnerLost) isAction()        {}
-func (TellSuspects) isAction()     {}
+func (Send) isAction()                 {}
+func (OpenLink) isAction()             {}
+func (CloseLink) isAction()            {}
+func (ReadList) isAction()             {}
+func (ReadIndex) isAction()            {}
+func (ReadValue) isAction()            {}
+func (Record) isAction()               {}
+func (AdoptIncarnation) isAction()     {}
+func (OutcomeResolved) isAction()      {}
+func (SendDirect) isAction()           {}
+func (ReadDirectory) isAction()        {}
+func (RequestPeerDirectory) isAction() {}
+func (ProbeReachability) isAction()    {}
+func (OwnerUnreachable) isAction()     {}
+func (SendSuspectUpdate) isAction()    {}
 
 // Controller is one writer of blackboard sections.
 type Controller interface {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -31,7 +31,7 @@
 	// Self is this node; its Incarnation must be set and its State is StateCold.
 	Self model.Instance
 	// Regions names the region of each data centre.
-	Regions model.Places
+	Regions model.DataCentreRegions
 	Trusted []bundle.Signer
 	// Seeds are peer addresses ("ip:port") to ask besides the platform's list.
 	Seeds []string
@@ -47,9 +47,9 @@
 	// (control.DirectoryRead), in place of the platform's list, signed bundles and
 	// links between nodes.
 	FollowsDirectory bool
-	// Breaking is told when the own worker begins to break every attempt (true), and
+	// OnBreakerChange is told when the own worker begins to break every attempt (true), and
 	// when that ends. It must not block.
-	Breaking func(open bool)
+	OnBreakerChange func(open bool)
 	// Started is the process's start.
 	Started time.Time
 	// Seed makes the controllers' choices repeatable.
@@ -67,10 +67,10 @@
 	Engine *entry.Engine
 	// Stats shows what the controllers count; published at each tick.
 	Stats blackboard.Section[Stats]
-	// Landing admits what measures this node's own worker.
-	Landing *measure.Landing
-	// Origin bounds the probes that this node sends.
-	Origin *measure.Origin
+	// OwnerLimiter admits what measures this node's own worker.
+	OwnerLimiter *measure.OwnerLimiter
+	// EntryLimiter bounds the probes that this node sends.
+	EntryLimiter *measure.EntryLimiter
 	// Quarantine finds requests under which workers end.
 	Quarantine *quarantine.Quarantine
 
@@ -82,7 +82,7 @@
 	directory *directory.Controller
 	derived   derived
 	// life is the own worker's life that the fleet's view named last; zero before.
-	life model.WorkerLife
+	life model.WorkerIncarnation
 	// said is the worker that the own one last said it is.
 	said model.WorkerID
 	// derivedAt is when the derived state was last made.
@@ -144,22 +144,22 @@
 		Policy:      cfg.Policy,
 	}
 	if cfg.FollowsDirectory {
-		routing.LeavingMemory = leavingMemory
+		routing.LeavingTTL = leavingMemory
 		routing.RemoteCost = remoteCost
 	}
 	table := route.NewTable(routing)
 	n := &Node{
-		Board:   board,
-		Table:   table,
-		Owner:   owner.New(owner.Config{Self: cfg.Self, Region: cfg.Regions[cfg.Self.DataCentre], Started: cfg.Started, Breaking: cfg.Breaking}),
-		Engine:  entry.NewEngine(entry.Config{Self: cfg.Self, Random: cfg.Random}, table),
-		Landing: measure.NewLanding(cfg.Started, bundle.Measuring{}),
-		Origin:  measure.NewOrigin(cfg.Random),
-		cfg:     cfg,
-		reach:   reach.New(cfg.Self.ID, table, board, rng),
+		Board:        board,
+		Table:        table,
+		Owner:        owner.New(owner.Config{Self: cfg.Self, Region: cfg.Regions[cfg.Self.DataCentre], Started: cfg.Started, OnBreakerChange: cfg.OnBreakerChange}),
+		Engine:       entry.NewEngine(entry.Config{Self: cfg.Self, Random: cfg.Random}, table),
+		OwnerLimiter: measure.NewOwnerLimiter(cfg.Started, bundle.Measuring{}),
+		EntryLimiter: measure.NewEntryLimiter(cfg.Random),
+		cfg:          cfg,
+		reach:        reach.New(cfg.Self.ID, table, board, rng),
 	}
 	n.Quarantine = quarantine.New(quarantine.Config{
-		Self: cfg.Self, Started: cfg.Started, Fleet: board.Fleet.Get, Use: n.Owner.Use,
+		Self: cfg.Self, Started: cfg.Started, Fleet: board.Fleet.Get, SlotUse: n.Owner.Utilisation,
 	})
 	if cfg.FollowsDirectory {
 		n.directory = directory.New(directory.Config{Self: cfg.Self}, board, rng)
@@ -190,18 +190,18 @@
 		if n.handleMessage(now, e, &out) {
 			return out
 		}
-	case control.SelfChanged:
+	case control.SelfStateChanged:
 		if e.State == model.StateLeaving && n.Board.Self.Get().Instance.State < model.StateLeaving {
 			out.Decisions = append(out.Decisions, n.Owner.SetState(now, e.State)...)
 			out.Actions = append(out.Actions, n.handOver(now)...)
 		}
 		out.Decisions = append(out.Decisions, n.changeSelf(now, e.State)...)
-	case control.WorkerSaid:
+	case control.WorkerIdentified:
 		n.otherWorker(now, n.said != "" && n.said != e.Worker)
 		n.said = e.Worker
 		out.Actions = append(out.Actions, n.followSaid(now)...)
 	case control.Paused:
-		out.Decisions = append(out.Decisions, n.Owner.Paused(now, e.For)...)
+		out.Decisions = append(out.Decisions, n.Owner.ProcessPaused(now, e.For)...)
 	}
 	n.control(now, n.reach, ev, &out)
 	n.control(now, n.member, ev, &out)
@@ -232,28 +232,28 @@
 	self := n.Board.Self.Get().Instance
 	self.Incarnation = inc
 	n.Board.Self.Put(&blackboard.Self{Instance: self})
-	n.Owner.Adopt(inc)
-	n.Engine.Adopt(inc)
+	n.Owner.AdoptIncarnation(inc)
+	n.Engine.SetOwnIncarnation(inc)
 }
 
 // handleMessage takes the messages between entry and owner; done is false for
 // those of the controllers.
 func (n *Node) handleMessage(now time.Time, e control.Received, out *Output) (done bool) {
 	switch m := e.Message.(type) {
-	case wire.Settle:
-		reply, ds := n.Owner.Settle(now, m)
+	case wire.Resolve:
+		reply, ds := n.Owner.Resolve(now, m)
 		out.Decisions = append(out.Decisions, ds...)
 		out.Actions = append(out.Actions, control.Send{To: e.From, Message: reply})
-	case wire.SettleReply:
+	case wire.ResolveReply:
 		n.Table.Observe(now, m.Report)
-		out.Actions = append(out.Actions, control.SettleAnswered{Reply: m})
+		out.Actions = append(out.Actions, control.OutcomeResolved{Reply: m})
 	case wire.KeyResult:
-		n.Owner.KeyResult(now, m)
+		n.Owner.FinishDelegated(now, m)
 		out.Actions = append(out.Actions, n.forwardResult(now, m)...)
 	case wire.KeyHandover:
-		n.Owner.TakeOver(now, m.Keys)
+		n.Owner.ImportKeys(now, m.Keys)
 	case wire.LoadProbe:
-		if n.Landing.AllowProbe(now) {
+		if n.OwnerLimiter.AllowProbe(now) {
 			out.Actions = append(out.Actions, control.Send{To: e.From, Message: wire.LoadReply{Report: n.Owner.Report(now)}})
 		}
 	case wire.LoadReply:
@@ -270,7 +270,7 @@
 		return nil
 	}
 	if s == model.StateLive {
-		n.Quarantine.WorkerBack(now)
+		n.Quarantine.WorkerRecovered(now)
 	}
 	self.State = s
 	n.Board.Self.Put(&blackboard.Self{Instance: self})
@@ -301,18 +301,18 @@
 	n.derivedAt = now
 	n.Table.Update(now, fleet, set)
 	self, _ := fleet.Instance(n.cfg.Self.ID)
-	ds := n.followLife(now, self.Life())
-	n.Owner.Withdraw(now, self.State == model.StateLeaving)
-	n.Owner.Evacuate(now, fleet.IsEvacuated(n.cfg.Self.DataCentre))
+	ds := n.followLife(now, self.WorkerIncarnation())
+	n.Owner.SetWithdrawn(now, self.State == model.StateLeaving)
+	n.Owner.SetEvacuated(now, fleet.IsEvacuated(n.cfg.Self.DataCentre))
 	if n.directory != nil {
-		n.Owner.Unlist(now, n.unlisted())
+		n.Owner.SetUnlisted(now, n.unlisted())
 	}
-	n.Engine.SetEntries(n.member.FleetSize())
+	n.Engine.SetEntryNodes(n.member.FleetSize())
 	svc, b := set.Service(n.cfg.Self.Service)
 	if svc == nil {
 		return ds
 	}
-	n.Landing.Configure(now, b.Measuring)
+	n.OwnerLimiter.Configure(now, b.Measuring)
 	return append(ds, n.Owner.Configure(now, b, withSlots(svc, self.Slots), liveUpstreams(fleet, n.cfg.Self.Service))...)
 }
 
@@ -339,7 +339,7 @@
 	if n.directory == nil {
 		return nil
 	}
-	n.Owner.Unlist(now, n.unlisted())
+	n.Owner.SetUnlisted(now, n.unlisted())
 	if !n.replaced() {
 		return nil
 	}
@@ -350,26 +350,26 @@
 
 // followLife tells the owner when another life of its worker is listed. A worker that is
 // not listed for a while may come back as the same life.
-func (n *Node) followLife(now time.Time, life model.WorkerLife) []owner.Decision {
+func (n *Node) followLife(now time.Time, life model.WorkerIncarnation) []owner.Decision {
 	before := n.life
-	if life == (model.WorkerLife{}) || life == before {
+	if life == (model.WorkerIncarnation{}) || life == before {
 		return nil
 	}
 	n.life = life
 	// Its word was the one before's, or agrees.
 	n.said = ""
-	if before == (model.WorkerLife{}) {
+	if before == (model.WorkerIncarnation{}) {
 		return nil
 	}
 	n.otherWorker(now, true)
-	return n.Owner.Restarted(now)
+	return n.Owner.WorkerRestarted(now)
 }
 
 // otherWorker takes the word whether the own worker is another than before. One that left
 // as planned did not end under its requests.
 func (n *Node) otherWorker(now time.Time, other bool) {
-	if other && !n.Owner.Departing() {
-		n.Quarantine.Ended(now)
+	if other && !n.Owner.Draining() {
+		n.Quarantine.WorkerCrashed(now)
 	}
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	r.Board.Bundles.Put(bundle.NewSet([]*bundle.Bundle{b}))
-	r.Handle(r.now, control.SelfChanged{State: model.StateLive})
+	r.Handle(r.now, control.SelfStateChanged{State: model.StateLive})
 	r.Handle(r.now, control.ListRead{Revision: 1, Full: true, Instances: append(instances("ledger", 1), list...)})
 	r.ticks(2 * time.Second)
 	return r
@@ -172,9 +172,9 @@
 		if v, refusal := r.Owner.Offer(r.now, &a, false); v != owner.Start {
 			t.Fatalf("offer: %v %+v", v, refusal)
 		}
-		r.Owner.Finish(r.now, a.ID, owner.Finish{Status: 200, ServiceTime: time.Millisecond})
+		r.Owner.Finish(r.now, a.ID, owner.Completion{Status: 200, ServiceTime: time.Millisecond})
 	}
-	out := r.Handle(r.now, control.SelfChanged{State: model.StateLeaving})
+	out := r.Handle(r.now, control.SelfStateChanged{State: model.StateLeaving})
 	handed := map[model.RequestID]bool{}
 	for _, a := range out.Actions {
 		direct, ok := a.(control.SendDirect)
@@ -205,7 +205,7 @@
 func listedLife(id model.WorkerID, born int64, created, revision uint64) control.DirectoryRead {
 	in := instances("ledger", 1)[0]
 	in.Worker = id
-	in.WorkerBorn = born
+	in.WorkerStarted = born
 	return control.DirectoryRead{Revision: revision, Listed: []model.Listing{{Created: created, Revision: revision, Instance: in}}}
 }
 
@@ -216,7 +216,7 @@
 	now := epoch
 	handle := func(ev control.Event) { n.Handle(now, ev) }
 	b := &bundle.Bundle{Name: "operator", Version: 1, Services: []bundle.Service{{Name: "ledger", Slots: 20, QueueLimit: 10, WarmupMs: 2000}}}
-	handle(control.SelfChanged{State: model.StateLive})
+	handle(control.SelfStateChanged{State: model.StateLive})
 	handle(control.DirectoryRead{Revision: 1, Bundle: b})
 	limits := []uint16{}
 	for i, read := range []control.DirectoryRead{
@@ -246,12 +246,12 @@
 		n.Handle(now, ev)
 		return n.Owner.Report(now).State
 	}
-	state(control.SelfChanged{State: model.StateLive})
+	state(control.SelfStateChanged{State: model.StateLive})
 	state(control.DirectoryRead{Revision: 1, Bundle: b})
 	got := []model.UpstreamState{
 		state(listedLife("w1", 0, 2, 2)),
-		state(control.WorkerSaid{Worker: "w1"}),
-		state(control.WorkerSaid{Worker: "w2"}),
+		state(control.WorkerIdentified{Worker: "w1"}),
+		state(control.WorkerIdentified{Worker: "w2"}),
 		state(control.Tick{}),
 		state(listedLife("w2", 0, 3, 3)),
 		// What it said before the directory's last word no longer counts.
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -15,7 +15,7 @@
 func (n *Node) handOver(now time.Time) []control.Action {
 	var batches []*handoverBatch
 	byHome := map[model.InstanceID]*handoverBatch{}
-	for _, rec := range n.Owner.Handover(now) {
+	for _, rec := range n.Owner.ExportKeys(now) {
 		home, ok := n.nextHome(now, rec.Request, rec.Regions)
 		if !ok {
 			continue
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -28,12 +28,12 @@
 	}
 	set := n.Board.Bundles.Get()
 	nodes := n.member.FleetSize()
-	for _, to := range n.Table.Stale(now, age, probesPerTick) {
+	for _, to := range n.Table.StaleUpstreams(now, age, probesPerTick) {
 		_, b := set.Service(to.Service)
-		if b == nil || to.ID == n.cfg.Self.ID || !n.Table.Called(now, to.Service) {
+		if b == nil || to.ID == n.cfg.Self.ID || !n.Table.CalledRecently(now, to.Service) {
 			continue
 		}
-		if n.Origin.Allow(now, to.ID, b.Measuring, nodes) {
+		if n.EntryLimiter.Allow(now, to.ID, b.Measuring, nodes) {
 			out.Actions = append(out.Actions, control.SendDirect{To: to, Message: wire.LoadProbe{}})
 		}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -114,7 +114,7 @@
 	}
 	ended := make(chan struct{})
 	task.Go(func() { watchHangUps(hangUps, ended, path, s, &log) }, func(err error) {
-		event.Log(&log, event.PartFailed).Err(err).Send()
+		event.Log(&log, event.ComponentFailed).Err(err).Send()
 	})
 	defer close(ended)
 	return code(n.Run(ctx))
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -46,7 +46,7 @@
 	total, peak := uint64(0), uint64(0)
 	for _, m := range r.fleet.Members() {
 		c := m.Worker.Counters()
-		probes := m.Node.Core().Landing.Counts().ProbesTaken
+		probes := m.Node.Core().OwnerLimiter.Counts().ProbesAnswered
 		total += c.Measuring + probes
 		peak = max(peak, c.MeasuringPeak)
 	}
--- a/internal/directory/bound_test.go
+++ b/internal/directory/bound_test.go
@@ -17,7 +17,7 @@
 )
 
 // inForceBound is what docs/PROMISES.md states.
-const inForceBound = Bound
+const inForceBound = StalenessBound
 
 var (
 	boundSeeds = flag.Int("bound.seeds", 1, "how many times the usual seeds the bound of a change is tried on")
@@ -250,7 +250,7 @@
 		switch a := a.(type) {
 		case control.ReadDirectory:
 			f.read(n)
-		case control.AskDirectory:
+		case control.RequestPeerDirectory:
 			f.ask(n, f.byID[a.Peer.ID], a.After)
 		}
 	}
@@ -297,7 +297,7 @@
 		took = slowStoreTime
 	}
 	told := f.store()
-	told.Took = took
+	told.ReadDuration = took
 	f.in(took, func() {
 		f.handle(n, told)
 		if harmed && f.harm.killed {
@@ -341,19 +341,19 @@
 // ask plays a question to a peer.
 func (f *fleet) ask(n, peer *node, after uint64) {
 	if peer.dead || f.cutOff(n) != f.cutOff(peer) || f.cutOff(n) {
-		f.in(askTimeout, func() { f.handle(n, control.DirectoryAskFailed{From: peer.id}) })
+		f.in(askTimeout, func() { f.handle(n, control.PeerDirectoryFailed{From: peer.id}) })
 		return
 	}
 	took := peerTime + f.within(peerTime)
-	f.in(took/2, func() { f.hear(peer, n.id, model.DirectoryMark{Revision: after, AgeMs: model.AgeUnknown}) })
+	f.in(took/2, func() { f.hear(peer, n.id, model.DirectoryFreshness{Revision: after, AgeMs: model.AgeUnknown}) })
 	f.in(took, func() {
 		known := peer.board.Directory.Get()
 		if known == nil || peer.dead {
-			f.handle(n, control.DirectoryAskFailed{From: peer.id})
+			f.handle(n, control.PeerDirectoryFailed{From: peer.id})
 			return
 		}
-		told := control.DirectoryTold{From: peer.id, DirectoryRead: Changes(known, after), Failing: known.Failing(f.now)}
-		told.Age = time.Duration(known.Mark(f.now).AgeMs)*time.Millisecond + took
+		told := control.PeerDirectoryReceived{From: peer.id, DirectoryRead: Changes(known, after), ReadsFailing: known.Failing(f.now)}
+		told.Age = time.Duration(known.Freshness(f.now).AgeMs)*time.Millisecond + took
 		if told.Config != nil {
 			told.Bundle = playedBundle(told.Config.Revision)
 		}
@@ -374,18 +374,18 @@
 	if f.cutOff(n) || f.cutOff(peer) {
 		way = f.harmEnd().Sub(f.now) + f.within(time.Second)
 	}
-	attempt := model.DirectoryMark{Revision: n.board.Directory.Get().Mark(f.now).Revision, AgeMs: model.AgeUnknown}
+	attempt := model.DirectoryFreshness{Revision: n.board.Directory.Get().Freshness(f.now).Revision, AgeMs: model.AgeUnknown}
 	f.in(way/2, func() { f.hear(peer, n.id, attempt) })
-	answer := peer.board.Directory.Get().Mark(f.now)
+	answer := peer.board.Directory.Get().Freshness(f.now)
 	f.in(way, func() { f.hear(n, peer.id, answer.Aged(way)) })
 }
 
 // hear passes on what a node would.
-func (f *fleet) hear(n *node, from model.InstanceID, m model.DirectoryMark) {
-	if m.Revision == 0 || !m.Newer(n.board.Directory.Get().Mark(f.now)) {
+func (f *fleet) hear(n *node, from model.InstanceID, m model.DirectoryFreshness) {
+	if m.Revision == 0 || !m.IsNewerThan(n.board.Directory.Get().Freshness(f.now)) {
 		return
 	}
-	f.handle(n, control.DirectoryHeard{From: from, Mark: m})
+	f.handle(n, control.PeerFreshnessReceived{From: from, Freshness: m})
 }
 
 // served tells whether the directory serves a node for the whole time in question.
@@ -397,7 +397,7 @@
 // machine is in touch again after 3 s.
 const followTime = 3 * time.Second
 
-// Readings that fail at once, or hang until their time-outs.
+// Reads that fail at once, or hang until their time-outs.
 func TestADirectoryThatIsBackIsFollowedInTimeByANodeThatIsAlone(t *testing.T) {
 	for size, seeds := range map[int]uint64{10: 60, 80: 20, 300: 4} {
 		for _, takes := range []time.Duration{storeTime, hangTime} {
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -45,9 +45,9 @@
 // the traffic. A longer mean makes fewer nodes read before they hear of the first.
 // Alone leaves a reading 0.2 s within Bound, with a tick before it. PerDoubling is how
 // long the word of a reading takes to reach twice as many nodes at ten calls a second.
-var pace = suppress.Pace{
-	Interval: 800 * time.Millisecond, MeanFirst: 100 * time.Millisecond, Failed: failedInterval,
-	Alone: 400 * time.Millisecond, PerDoubling: 60 * time.Millisecond,
+var pace = suppress.Schedule{
+	Interval: 800 * time.Millisecond, MeanFirstDelay: 100 * time.Millisecond, MaxFailedInterval: failedInterval,
+	ForcedAfter: 400 * time.Millisecond, ForcedPerDoubling: 60 * time.Millisecond,
 }
 
 // failedInterval bounds the time between a node's reads while they fail: a directory
@@ -94,7 +94,7 @@
 	// readingSince is when the own read under way began that was begun last; zero for
 	// none.
 	readingSince time.Time
-	readings     map[Cause]uint64
+	readings     map[ReadCause]uint64
 	// sleptFor is how long the machine was suspended last. Until sleptUntil ages that are
 	// heard may lack it, as what came meanwhile waited here.
 	sleptFor   time.Duration
@@ -115,7 +115,7 @@
 
 // New returns a controller that knows nothing.
 func New(cfg Config, board *blackboard.Board, rng *rand.Rand) *Controller {
-	c := &Controller{cfg: cfg, board: board, rng: rng, timer: suppress.NewPaced(rng, pace), workers: map[model.WorkerID]*worker{}, evacuated: newEvacuations(), readings: map[Cause]uint64{}}
+	c := &Controller{cfg: cfg, board: board, rng: rng, timer: suppress.NewWithSchedule(rng, pace), workers: map[model.WorkerID]*worker{}, evacuated: newEvacuations(), readings: map[ReadCause]uint64{}}
 	c.publishFleet()
 	return c
 }
@@ -128,11 +128,11 @@
 		c.read(now, e)
 	case control.DirectoryFailed:
 		c.readFailed(now, e.Err)
-	case control.DirectoryHeard:
+	case control.PeerFreshnessReceived:
 		c.heard(now, e)
-	case control.DirectoryTold:
+	case control.PeerDirectoryReceived:
 		c.told(now, e)
-	case control.DirectoryAskFailed:
+	case control.PeerDirectoryFailed:
 		c.asks.end(e.From)
 	case control.Paused:
 		c.timer.Paused(now, e.For)
@@ -158,7 +158,7 @@
 		c.started = true
 		c.readNow(now, CauseStart)
 	case due:
-		c.readNow(now, CauseTurn)
+		c.readNow(now, CauseScheduled)
 	case c.asks.overdue(now):
 		c.readNow(now, CauseBehind)
 	}
@@ -167,7 +167,7 @@
 }
 
 // readNow reads the directory.
-func (c *Controller) readNow(now time.Time, why Cause) {
+func (c *Controller) readNow(now time.Time, why ReadCause) {
 	c.readingSince = now
 	c.readings[why]++
 	c.record(event.DirectoryReading, string(why), c.viewWords(now), nil)
@@ -177,17 +177,17 @@
 // read takes an own reading of the directory.
 func (c *Controller) read(now time.Time, r control.DirectoryRead) {
 	if c.lost || c.confirmed.IsZero() {
-		c.record(event.DirectoryAnswers, "", since(now, c.confirmed), nil)
+		c.record(event.DirectoryRecovered, "", since(now, c.confirmed), nil)
 	}
 	c.noteReturn(now)
 	c.lost, c.failures, c.failedAt = false, 0, time.Time{}
 	c.inRow++
 	c.readingSince = time.Time{}
-	begun := now.Add(-r.Took)
-	c.timer.OwnSince(now, begun)
-	if r.Whole && len(r.Listed) == 0 && c.confirmed.IsZero() {
+	begun := now.Add(-r.ReadDuration)
+	c.timer.ReadSucceeded(now, begun)
+	if r.Full && len(r.Listed) == 0 && c.confirmed.IsZero() {
 		// Nothing runs yet that could be served by.
-		c.timer.HoldBack(now, emptyWait)
+		c.timer.Postpone(now, emptyWait)
 	}
 	c.take(now, &r, "its own reading")
 	c.asks.answered(c.revision)
@@ -196,7 +196,7 @@
 
 func (c *Controller) readFailed(now time.Time, err error) {
 	if !c.lost {
-		c.record(event.DirectoryLost, "", since(now, c.confirmed), err)
+		c.record(event.DirectoryUnreachable, "", since(now, c.confirmed), err)
 	}
 	c.lost = true
 	c.failures++
@@ -205,16 +205,16 @@
 		begun = now
 	}
 	c.readingSince = time.Time{}
-	c.timer.FailedSince(now, begun)
+	c.timer.ReadFailed(now, begun)
 	c.publishFailed(now)
 }
 
 // forgetFailures lets a node that peers have kept fresh since its readings failed take its
 // turn like the others.
 func (c *Controller) forgetFailures(now time.Time) {
-	if c.failures > 0 && now.Sub(c.failedAt) > blackboard.FailingTime {
+	if c.failures > 0 && now.Sub(c.failedAt) > blackboard.ReadFailureMemory {
 		c.failures, c.failedAt = 0, time.Time{}
-		c.timer.ForgetFailures()
+		c.timer.ResetFailures()
 	}
 }
 
@@ -272,10 +272,10 @@
 	for _, l := range r.Listed {
 		c.list(now, l)
 	}
-	for _, gone := range r.Gone {
+	for _, gone := range r.Unlisted {
 		c.remove(now, gone)
 	}
-	if r.Whole {
+	if r.Full {
 		c.removeOthers(now, r)
 		// What was removed before is known only by its absence, which no list of
 		// changes tells.
@@ -325,10 +325,10 @@
 func (c *Controller) Confirmed() time.Time { return c.confirmed }
 
 // ListReads counts this node's own reads of the directory.
-func (c *Controller) ListReads() uint64 { return c.timer.Reads() }
+func (c *Controller) ListReads() uint64 { return c.timer.ReadCount() }
 
 // IndexReads counts this node's own reads of the directory.
-func (c *Controller) IndexReads() uint64 { return c.timer.Reads() }
+func (c *Controller) IndexReads() uint64 { return c.timer.ReadCount() }
 
 // Counters returns zero: bundles are not spread between nodes.
 func (c *Controller) Counters() spread.Counters { return spread.Counters{} }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -64,7 +64,7 @@
 }
 
 func two() control.DirectoryRead {
-	return control.DirectoryRead{Whole: true, Revision: 2, Listed: []model.Listing{
+	return control.DirectoryRead{Full: true, Revision: 2, Listed: []model.Listing{
 		listing("w1", "10.0.0.1", 1, model.StateLive), listing("w2", "10.0.0.2", 2, model.StateLive),
 	}}
 }
@@ -72,7 +72,7 @@
 func TestARemovalIsBelievedAtOnceWhileTheDirectoryIsSound(t *testing.T) {
 	r := newRig()
 	r.handle(two())
-	r.handle(control.DirectoryRead{Gone: gone("w2")})
+	r.handle(control.DirectoryRead{Unlisted: gone("w2")})
 	r.want(t, map[model.WorkerID]model.UpstreamState{"w1": model.StateLive})
 }
 
@@ -82,7 +82,7 @@
 	r.handle(control.DirectoryFailed{Err: errors.New("down")})
 	r.pass(outageGap + time.Second)
 	// The directory is back and lacks both.
-	r.handle(control.DirectoryRead{Whole: true, Revision: 50})
+	r.handle(control.DirectoryRead{Full: true, Revision: 50})
 	relisted := listing("w1", "10.0.0.1", 60, model.StateLive)
 	relisted.Revision = 60
 	both := map[model.WorkerID]model.UpstreamState{"w1": model.StateLive, "w2": model.StateLive}
@@ -101,9 +101,9 @@
 	r.handle(control.DirectoryFailed{Err: errors.New("turned away")})
 	for range 9 {
 		r.pass(time.Second)
-		r.handle(control.DirectoryHeard{From: "10.0.0.2", Mark: model.DirectoryMark{Revision: 2, AgeMs: 10}})
+		r.handle(control.PeerFreshnessReceived{From: "10.0.0.2", Freshness: model.DirectoryFreshness{Revision: 2, AgeMs: 10}})
 	}
-	r.handle(control.DirectoryTold{From: "10.0.0.2", DirectoryRead: control.DirectoryRead{Revision: 100, Gone: gone("w1")}})
+	r.handle(control.PeerDirectoryReceived{From: "10.0.0.2", DirectoryRead: control.DirectoryRead{Revision: 100, Unlisted: gone("w1")}})
 	r.want(t, map[model.WorkerID]model.UpstreamState{"w2": model.StateLive})
 }
 
@@ -113,11 +113,11 @@
 	r.handle(two())
 	r.handle(control.DirectoryFailed{Err: errors.New("cut off")})
 	r.pass(outageGap + time.Second)
-	r.handle(control.DirectoryTold{From: "10.0.0.2", DirectoryRead: control.DirectoryRead{Revision: 100, Gone: gone("w2")}})
+	r.handle(control.PeerDirectoryReceived{From: "10.0.0.2", DirectoryRead: control.DirectoryRead{Revision: 100, Unlisted: gone("w2")}})
 	r.want(t, map[model.WorkerID]model.UpstreamState{"w1": model.StateLive, "w2": model.StateLive})
 	for range int(relistTime / control.TickInterval) {
 		r.pass(control.TickInterval)
-		r.handle(control.DirectoryHeard{From: "10.0.0.2", Mark: model.DirectoryMark{Revision: 100, AgeMs: 10}})
+		r.handle(control.PeerFreshnessReceived{From: "10.0.0.2", Freshness: model.DirectoryFreshness{Revision: 100, AgeMs: 10}})
 	}
 	r.pass(control.TickInterval)
 	r.want(t, map[model.WorkerID]model.UpstreamState{"w1": model.StateLive})
@@ -129,7 +129,7 @@
 	r.handle(control.DirectoryRead{Listed: []model.Listing{listing("w2", "10.0.0.2", 2, model.StateLeaving)}})
 	r.want(t, map[model.WorkerID]model.UpstreamState{"w1": model.StateLive, "w2": model.StateLeaving})
 	r.handle(control.DirectoryFailed{Err: errors.New("down")})
-	r.handle(control.DirectoryRead{Whole: true, Revision: 50, Listed: two().Listed[:1]})
+	r.handle(control.DirectoryRead{Full: true, Revision: 50, Listed: two().Listed[:1]})
 	r.want(t, map[model.WorkerID]model.UpstreamState{"w1": model.StateLive})
 }
 
@@ -149,7 +149,7 @@
 	r.handle(control.DirectoryRead{Listed: []model.Listing{listing("w3", "10.0.0.2", 7, model.StateLive)}})
 	want := map[model.WorkerID]model.UpstreamState{"w1": model.StateLive, "w3": model.StateLive}
 	r.want(t, want)
-	r.handle(control.DirectoryRead{Gone: gone("w2")})
+	r.handle(control.DirectoryRead{Unlisted: gone("w2")})
 	r.want(t, want)
 }
 
@@ -188,7 +188,7 @@
 	note()
 	r.handle(two())
 	note()
-	r.handle(control.DirectoryRead{Gone: gone("w1")})
+	r.handle(control.DirectoryRead{Unlisted: gone("w1")})
 	note()
 	if diff := cmp.Diff([]told{{false, false}, {true, true}, {false, true}}, got); diff != "" {
 		t.Errorf("listed (-want +got):\n%s", diff)
@@ -201,7 +201,7 @@
 	r.handle(two())
 	r.handle(control.DirectoryFailed{Err: errors.New("down")})
 	r.pass(outageGap + time.Second)
-	r.handle(control.DirectoryRead{Revision: 50, Gone: []model.Unlisted{{Worker: "w2", Revision: 50, Replaced: true}}})
+	r.handle(control.DirectoryRead{Revision: 50, Unlisted: []model.Unlisted{{Worker: "w2", Revision: 50, Replaced: true}}})
 	r.want(t, map[model.WorkerID]model.UpstreamState{"w1": model.StateLive})
 }
 
@@ -225,10 +225,10 @@
 	// Its lease lapsed during an outage, and it is back as another life.
 	r.handle(control.DirectoryFailed{Err: errors.New("down")})
 	r.pass(outageGap + time.Second)
-	r.handle(control.DirectoryRead{Revision: 50, Gone: []model.Unlisted{{Worker: "w2", Revision: 50}}})
+	r.handle(control.DirectoryRead{Revision: 50, Unlisted: []model.Unlisted{{Worker: "w2", Revision: 50}}})
 	again := listing("w2", "10.0.0.2", 60, model.StateLive)
 	again.Revision = 60
-	again.Instance.WorkerBorn = 1783600000123
+	again.Instance.WorkerStarted = 1783600000123
 	var listed int
 	for _, a := range r.handle(control.DirectoryRead{Revision: 60, Listed: []model.Listing{again}}) {
 		if rec, ok := a.(control.Record); ok && rec.Event == event.WorkerListed {
@@ -241,7 +241,7 @@
 	r.pass(2 * relistTime)
 	r.want(t, map[model.WorkerID]model.UpstreamState{"w1": model.StateLive, "w2": model.StateLive})
 	in, _ := r.instance("10.0.0.2")
-	if want := (model.WorkerLife{ID: "w2", Born: 1783600000123}); in.Life() != want {
-		t.Errorf("life %+v, want %+v", in.Life(), want)
+	if want := (model.WorkerIncarnation{ID: "w2", Started: 1783600000123}); in.WorkerIncarnation() != want {
+		t.Errorf("life %+v, want %+v", in.WorkerIncarnation(), want)
 	}
 }
--- a/internal/directory/evacuations.go
+++ b/internal/directory/evacuations.go
@@ -94,7 +94,7 @@
 // evacuate takes what was told of evacuations; by words who told it.
 func (c *Controller) evacuate(r *control.DirectoryRead, by string) {
 	words := r.Evacuations
-	if r.Whole {
+	if r.Full {
 		words = append(slices.Clone(words), c.evacuated.lacking(words, r.Revision)...)
 	}
 	for _, word := range words {
@@ -104,7 +104,7 @@
 		c.dirty = true
 		id := event.DataCentreEvacuated
 		if word.Ended {
-			id = event.DataCentreTakenBack
+			id = event.DataCentreRestored
 		}
 		c.record(id, string(word.DataCentre), fmt.Sprintf("revision %d; by %s", word.Revision, by), nil)
 	}
--- a/internal/directory/evacuations_test.go
+++ b/internal/directory/evacuations_test.go
@@ -29,7 +29,7 @@
 }
 
 func whole(revision uint64, words ...model.Evacuation) control.DirectoryRead {
-	return control.DirectoryRead{Revision: revision, Whole: true, Evacuations: words}
+	return control.DirectoryRead{Revision: revision, Full: true, Evacuations: words}
 }
 
 func TestTheNewestWordOnADataCentreHolds(t *testing.T) {
@@ -68,12 +68,12 @@
 	known := teller.board.Directory.Get()
 
 	fresh := newRig()
-	fresh.handle(control.DirectoryTold{From: "p", DirectoryRead: Changes(known, 0)})
+	fresh.handle(control.PeerDirectoryReceived{From: "p", DirectoryRead: Changes(known, 0)})
 	fresh.wantEvacuated(t, "a node that starts", "b")
 
 	behind := newRig()
 	behind.handle(whole(10, evacuation("a", 4), evacuation("b", 5)))
-	behind.handle(control.DirectoryTold{From: "p", DirectoryRead: Changes(known, 10)})
+	behind.handle(control.PeerDirectoryReceived{From: "p", DirectoryRead: Changes(known, 10)})
 	behind.wantEvacuated(t, "a node that is behind", "b")
 }
 
@@ -91,7 +91,7 @@
 	}
 	behind := newRig()
 	behind.handle(whole(10, evacuation("old", 4)))
-	behind.handle(control.DirectoryTold{From: "p", DirectoryRead: Changes(teller.board.Directory.Get(), 10)})
+	behind.handle(control.PeerDirectoryReceived{From: "p", DirectoryRead: Changes(teller.board.Directory.Get(), 10)})
 	behind.wantEvacuated(t, "a node that is far behind")
 }
 
@@ -99,7 +99,7 @@
 	r := newRig()
 	l := listing("w1", "10.0.0.2", 1, model.StateLive)
 	l.Revision, l.WarmingMs = 3, 2000
-	r.handle(control.DirectoryRead{Revision: 3, Whole: true, Listed: []model.Listing{l}})
+	r.handle(control.DirectoryRead{Revision: 3, Full: true, Listed: []model.Listing{l}})
 	if got := r.board.Fleet.Get().Instances[0].WarmingUntil; !got.Equal(r.now.Add(2e9)) {
 		t.Errorf("warming until %s, want 2 s from now", got)
 	}
--- a/internal/directory/peers.go
+++ b/internal/directory/peers.go
@@ -106,24 +106,24 @@
 
 // heard takes a peer's mark. One of the same revision makes this node's knowledge as
 // fresh as the peer's, if its age is known; a greater one is asked for.
-func (c *Controller) heard(now time.Time, e control.DirectoryHeard) {
+func (c *Controller) heard(now time.Time, e control.PeerFreshnessReceived) {
 	c.asks.heard = now
-	c.asks.note(now, e.Mark.Revision, c.revision)
-	age := time.Duration(e.Mark.AgeMs) * time.Millisecond
+	c.asks.note(now, e.Freshness.Revision, c.revision)
+	age := time.Duration(e.Freshness.AgeMs) * time.Millisecond
 	switch {
-	case e.Mark.Revision > c.revision:
+	case e.Freshness.Revision > c.revision:
 		if in, ok := c.instance(e.From); ok && c.asks.open(now, e.From) {
 			c.ask(now, in)
 		}
-	case e.Mark.Revision == c.revision && c.revision != 0:
+	case e.Freshness.Revision == c.revision && c.revision != 0:
 		c.hearFresh(now, age+c.slept(now))
 	}
 }
 
 // told takes a peer's answer; its age holds what it may have waited on its way.
-func (c *Controller) told(now time.Time, e control.DirectoryTold) {
+func (c *Controller) told(now time.Time, e control.PeerDirectoryReceived) {
 	c.asks.end(e.From)
-	c.asks.questions.answered(e.From, !e.Failing)
+	c.asks.questions.answered(e.From, !e.ReadsFailing)
 	c.asks.heard = now
 	if e.Revision < c.revision {
 		return
@@ -143,7 +143,7 @@
 	}
 	c.noteReturn(now)
 	c.inRow = 0
-	c.timer.Heard(now, age, age)
+	c.timer.ObservePeer(now, age, age)
 	c.confirm(now.Add(-age))
 }
 
@@ -175,7 +175,7 @@
 
 func (c *Controller) question(now time.Time, peer model.Instance) {
 	c.asks.questions.asked(now, peer.ID)
-	c.do(control.AskDirectory{Peer: peer, After: c.revision})
+	c.do(control.RequestPeerDirectory{Peer: peer, After: c.revision})
 }
 
 // randomPeer draws another instance, mostly of the own data centre. It looks at a few
@@ -207,7 +207,7 @@
 func (c *Controller) publishForPeers() {
 	d := &blackboard.Directory{
 		Revision: c.revision, Confirmed: c.confirmed,
-		Gone: slices.Clone(c.removed.list), Floor: max(c.removed.floor, c.evacuated.floor), Config: c.config,
+		Unlisted: slices.Clone(c.removed.list), CompactedRevision: max(c.removed.floor, c.evacuated.floor), Config: c.config,
 		Evacuations: c.evacuated.forPeers(),
 	}
 	for _, id := range c.sorted() {
@@ -266,26 +266,26 @@
 
 // Changes returns what a node that knows every change up to a revision lacks of d.
 func Changes(d *blackboard.Directory, after uint64) control.DirectoryRead {
-	out := control.DirectoryRead{Revision: d.Revision, Whole: after < d.Floor || after == 0}
+	out := control.DirectoryRead{Revision: d.Revision, Full: after < d.CompactedRevision || after == 0}
 	for _, l := range d.Listed {
-		if out.Whole || l.Revision > after {
+		if out.Full || l.Revision > after {
 			out.Listed = append(out.Listed, l)
 		}
 	}
-	for _, gone := range d.Gone {
+	for _, gone := range d.Unlisted {
 		if gone.Revision > after {
-			out.Gone = append(out.Gone, gone)
+			out.Unlisted = append(out.Unlisted, gone)
 		}
 	}
 	for _, e := range d.Evacuations {
-		if out.Whole && !e.Ended || !out.Whole && e.Revision > after {
+		if out.Full && !e.Ended || !out.Full && e.Revision > after {
 			out.Evacuations = append(out.Evacuations, e)
 		}
 	}
-	if d.Config != nil && (out.Whole || d.Config.Revision > after) {
+	if d.Config != nil && (out.Full || d.Config.Revision > after) {
 		out.Config = d.Config
 	}
-	if d.Refused != nil && (out.Whole || d.Refused.Revision > after) {
+	if d.Refused != nil && (out.Full || d.Refused.Revision > after) {
 		out.Refused = d.Refused
 	}
 	return out
--- a/internal/directory/peers_test.go
+++ b/internal/directory/peers_test.go
@@ -16,7 +16,7 @@
 func asked(actions []control.Action) (peers []model.InstanceID, reads int) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case control.AskDirectory:
+		case control.RequestPeerDirectory:
 			peers = append(peers, a.Peer.ID)
 		case control.ReadDirectory:
 			reads++
@@ -47,7 +47,7 @@
 	r.handle(control.Tick{})
 	r.handle(two())
 	for range 50 {
-		r.handle(control.DirectoryHeard{From: "10.0.0.2", Mark: model.DirectoryMark{Revision: 2, AgeMs: 300}})
+		r.handle(control.PeerFreshnessReceived{From: "10.0.0.2", Freshness: model.DirectoryFreshness{Revision: 2, AgeMs: 300}})
 		if peers, reads := r.ticks(200 * time.Millisecond); reads != 0 || len(peers) != 0 {
 			t.Fatalf("%d reads, asked %v", reads, peers)
 		}
@@ -63,17 +63,17 @@
 	r := newRig()
 	r.handle(control.Tick{})
 	r.handle(two())
-	peers, _ := asked(r.handle(control.DirectoryHeard{From: "10.0.0.2", Mark: model.DirectoryMark{Revision: 9}}))
+	peers, _ := asked(r.handle(control.PeerFreshnessReceived{From: "10.0.0.2", Freshness: model.DirectoryFreshness{Revision: 9}}))
 	if diff := cmp.Diff([]model.InstanceID{"10.0.0.2"}, peers); diff != "" {
 		t.Fatalf("asked (-want +got):\n%s", diff)
 	}
 	// One question at a time to one peer.
-	if peers, _ := asked(r.handle(control.DirectoryHeard{From: "10.0.0.2", Mark: model.DirectoryMark{Revision: 10}})); len(peers) != 0 {
+	if peers, _ := asked(r.handle(control.PeerFreshnessReceived{From: "10.0.0.2", Freshness: model.DirectoryFreshness{Revision: 10}})); len(peers) != 0 {
 		t.Errorf("asked %v while an answer is awaited", peers)
 	}
 	draining := listing("w2", "10.0.0.2", 2, model.StateLeaving)
 	draining.Revision = 9
-	r.handle(control.DirectoryTold{From: "10.0.0.2", DirectoryRead: control.DirectoryRead{Revision: 9, Listed: []model.Listing{draining}}})
+	r.handle(control.PeerDirectoryReceived{From: "10.0.0.2", DirectoryRead: control.DirectoryRead{Revision: 9, Listed: []model.Listing{draining}}})
 	r.want(t, map[model.WorkerID]model.UpstreamState{"w1": model.StateLive, "w2": model.StateLeaving})
 	if got := r.board.Directory.Get().Revision; got != 9 {
 		t.Errorf("revision %d, want 9", got)
@@ -84,9 +84,9 @@
 	r := newRig()
 	r.handle(control.Tick{})
 	r.handle(two())
-	r.handle(control.DirectoryHeard{From: "10.0.0.2", Mark: model.DirectoryMark{Revision: 9}})
+	r.handle(control.PeerFreshnessReceived{From: "10.0.0.2", Freshness: model.DirectoryFreshness{Revision: 9}})
 	r.now = r.now.Add(askGap)
-	peers, _ := asked(r.handle(control.DirectoryHeard{From: "10.0.0.1", Mark: model.DirectoryMark{Revision: 9}}))
+	peers, _ := asked(r.handle(control.PeerFreshnessReceived{From: "10.0.0.1", Freshness: model.DirectoryFreshness{Revision: 9}}))
 	if diff := cmp.Diff([]model.InstanceID{"10.0.0.1"}, peers); diff != "" {
 		t.Errorf("asked while the first does not answer (-want +got):\n%s", diff)
 	}
@@ -105,7 +105,7 @@
 	r.handle(two())
 	reads := 0
 	for range 20 {
-		r.handle(control.DirectoryHeard{From: "10.0.0.2", Mark: model.DirectoryMark{Revision: 2, AgeMs: model.AgeUnknown}})
+		r.handle(control.PeerFreshnessReceived{From: "10.0.0.2", Freshness: model.DirectoryFreshness{Revision: 2, AgeMs: model.AgeUnknown}})
 		_, n := r.ticks(100 * time.Millisecond)
 		reads += n
 	}
@@ -122,10 +122,10 @@
 	r.handle(control.Tick{})
 	r.now = r.now.Add(2 * time.Second)
 	read := two()
-	read.Took = 1500 * time.Millisecond
+	read.ReadDuration = 1500 * time.Millisecond
 	r.handle(read)
-	if got := r.now.Sub(r.Confirmed()); got != read.Took {
-		t.Errorf("confirmed %s ago, want %s", got, read.Took)
+	if got := r.now.Sub(r.Confirmed()); got != read.ReadDuration {
+		t.Errorf("confirmed %s ago, want %s", got, read.ReadDuration)
 	}
 	// It is too old to keep this node from reading.
 	if _, reads := r.ticks(300 * time.Millisecond); reads == 0 {
@@ -150,7 +150,7 @@
 	r := newRig()
 	r.handle(control.Tick{})
 	r.handle(two())
-	r.handle(control.DirectoryHeard{From: "10.0.0.2", Mark: model.DirectoryMark{Revision: 1 << 60}})
+	r.handle(control.PeerFreshnessReceived{From: "10.0.0.2", Freshness: model.DirectoryFreshness{Revision: 1 << 60}})
 	if _, reads := r.ticks(behindLimit + control.TickInterval); reads != 1 {
 		t.Fatalf("%d reads, want 1", reads)
 	}
@@ -168,8 +168,8 @@
 	r.handle(control.DirectoryRead{Revision: 8, Listed: []model.Listing{late}})
 	early := listing("w2", "10.0.0.2", 2, model.StateLive)
 	early.Revision = 5
-	r.handle(control.DirectoryTold{From: "10.0.0.2", DirectoryRead: control.DirectoryRead{Revision: 5, Listed: []model.Listing{early}}})
-	r.handle(control.DirectoryTold{From: "10.0.0.2", DirectoryRead: control.DirectoryRead{Revision: 9, Listed: []model.Listing{early}}})
+	r.handle(control.PeerDirectoryReceived{From: "10.0.0.2", DirectoryRead: control.DirectoryRead{Revision: 5, Listed: []model.Listing{early}}})
+	r.handle(control.PeerDirectoryReceived{From: "10.0.0.2", DirectoryRead: control.DirectoryRead{Revision: 9, Listed: []model.Listing{early}}})
 	r.want(t, map[model.WorkerID]model.UpstreamState{"w1": model.StateLive, "w2": model.StateLeaving})
 }
 
@@ -180,7 +180,7 @@
 	third.Revision = 5
 	raw := &model.RawConfig{Revision: 6, Packed: []byte("packed")}
 	r.handle(control.DirectoryRead{
-		Revision: 7, Listed: []model.Listing{third}, Gone: []model.Unlisted{{Worker: "w2", Revision: 7}},
+		Revision: 7, Listed: []model.Listing{third}, Unlisted: []model.Unlisted{{Worker: "w2", Revision: 7}},
 		Config: raw, Bundle: &bundle.Bundle{Name: "operator", Version: 1},
 	})
 	d := r.board.Directory.Get()
@@ -193,7 +193,7 @@
 	got := map[uint64]lack{}
 	for _, after := range []uint64{0, 2, 5, 6, 7} {
 		c := Changes(d, after)
-		l := lack{Whole: c.Whole, Gone: len(c.Gone), Config: c.Config != nil}
+		l := lack{Whole: c.Full, Gone: len(c.Unlisted), Config: c.Config != nil}
 		for _, w := range c.Listed {
 			l.Listed = append(l.Listed, w.Instance.Worker)
 		}
@@ -214,7 +214,7 @@
 // tell hands everything that one node knows beyond the other's revision over.
 func tell(from, to *rig) {
 	changes := Changes(from.board.Directory.Get(), to.revision)
-	to.handle(control.DirectoryTold{From: "10.0.0.9", DirectoryRead: changes})
+	to.handle(control.PeerDirectoryReceived{From: "10.0.0.9", DirectoryRead: changes})
 }
 
 func TestANodeThatReadTheWholeTellsOfRemovalsItNeverSaw(t *testing.T) {
@@ -236,7 +236,7 @@
 	// The peer hears of fresh news all the while, the slow one of nothing.
 	for range 6 {
 		slow.now, peer.now = slow.now.Add(time.Second), peer.now.Add(time.Second)
-		peer.handle(control.DirectoryHeard{From: "10.0.0.1", Mark: model.DirectoryMark{Revision: 2, AgeMs: 10}})
+		peer.handle(control.PeerFreshnessReceived{From: "10.0.0.1", Freshness: model.DirectoryFreshness{Revision: 2, AgeMs: 10}})
 	}
 	whole := two()
 	whole.Revision, whole.Listed = 9, whole.Listed[:1]
--- a/internal/directory/scale_test.go
+++ b/internal/directory/scale_test.go
@@ -13,7 +13,7 @@
 func BenchmarkExpireInALargeFleet(b *testing.B) {
 	const workers = 10_000
 	r := newRig()
-	read := control.DirectoryRead{Revision: workers, Whole: true}
+	read := control.DirectoryRead{Revision: workers, Full: true}
 	for i := range workers {
 		id := model.WorkerID(fmt.Sprintf("w%d", i))
 		at := model.InstanceID(fmt.Sprintf("10.0.%d.%d", i/250, i%250))
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -7,107 +7,107 @@
 	"gypsumstand/internal/event"
 )
 
-// Bound is the longest from a change's acknowledgement until it is in force on a node
+// StalenessBound is the longest from a change's acknowledgement until it is in force on a node
 // that the directory serves. A view confirmed longer ago is late.
-const Bound = 1500 * time.Millisecond
+const StalenessBound = 1500 * time.Millisecond
 
-// Lag is why a view is late, in a word for logs and metrics.
-type Lag string
+// ViewStatus is why a view is late, in a word for logs and metrics.
+type ViewStatus string
 
 // The reasons.
 const (
-	InTime Lag = "in-time"
-	// NeverRead: no answer has come yet, of the directory or a peer.
-	NeverRead Lag = "never-read"
-	// ReadingFails: this node's last reading failed, and no peer knows better.
-	ReadingFails Lag = "reading-fails"
-	// ReadingSlow: a reading is under way.
-	ReadingSlow Lag = "reading-slow"
-	// ConfigRefused: the newest configuration cannot be decoded here.
-	ConfigRefused Lag = "configuration-refused"
-	// WaitsForPeers: this node does not read yet, as others are expected to.
-	WaitsForPeers Lag = "waits-for-peers"
+	ViewCurrent ViewStatus = "in-time"
+	// ViewNeverRead: no answer has come yet, of the directory or a peer.
+	ViewNeverRead ViewStatus = "never-read"
+	// ViewReadsFail: this node's last reading failed, and no peer knows better.
+	ViewReadsFail ViewStatus = "reading-fails"
+	// ViewReadSlow: a reading is under way.
+	ViewReadSlow ViewStatus = "reading-slow"
+	// ViewConfigRefused: the newest configuration cannot be decoded here.
+	ViewConfigRefused ViewStatus = "configuration-refused"
+	// ViewAwaitsPeers: this node does not read yet, as others are expected to.
+	ViewAwaitsPeers ViewStatus = "waits-for-peers"
 )
 
-// Lags lists all reasons.
-var Lags = []Lag{InTime, NeverRead, ReadingFails, ReadingSlow, ConfigRefused, WaitsForPeers}
+// ViewStatuses lists all reasons.
+var ViewStatuses = []ViewStatus{ViewCurrent, ViewNeverRead, ViewReadsFail, ViewReadSlow, ViewConfigRefused, ViewAwaitsPeers}
 
 // View says how old what a node knows of the directory is, and why.
 type View struct {
 	// Revision is the directory's that is known, Heard the greatest heard of.
-	Revision, Heard uint64
+	Revision, NewestSeen uint64
 	// Confirmed is when Revision was last known to be the newest; zero for never.
 	Confirmed time.Time
-	Lag       Lag
+	Status    ViewStatus
 	// Listed is the number of instances that the directory names, this one included.
 	Listed int
-	// Asked counts the latest questions to peers that had their time, Answered those
+	// PeerRequests counts the latest questions to peers that had their time, Answered those
 	// of them that were answered.
-	Asked, Answered int
-	// Failures counts this node's own failed readings since its last good one.
-	Failures int
-	// Readings counts this node's own readings by cause.
-	Readings map[Cause]uint64
+	PeerRequests, PeerReplies int
+	// ReadFailures counts this node's own failed readings since its last good one.
+	ReadFailures int
+	// Reads counts this node's own readings by cause.
+	Reads map[ReadCause]uint64
 }
 
-// Cause is why a node reads the directory itself.
-type Cause string
+// ReadCause is why a node reads the directory itself.
+type ReadCause string
 
 // The causes.
 const (
 	// CauseStart: nothing is known yet.
-	CauseStart Cause = "start"
-	// CauseTurn: nothing fresh was heard, and this node's turn has come.
-	CauseTurn Cause = "turn"
+	CauseStart ReadCause = "start"
+	// CauseScheduled: nothing fresh was heard, and this node's turn has come.
+	CauseScheduled ReadCause = "turn"
 	// CauseBehind: a newer revision was heard of, and no peer tells it.
-	CauseBehind Cause = "behind"
+	CauseBehind ReadCause = "behind"
 )
 
-// Causes lists all causes.
-var Causes = []Cause{CauseStart, CauseTurn, CauseBehind}
+// ReadCauses lists all causes.
+var ReadCauses = []ReadCause{CauseStart, CauseScheduled, CauseBehind}
 
 // View returns the view at a time.
 func (c *Controller) View(now time.Time) View {
 	v := View{
-		Revision: c.revision, Heard: max(c.revision, c.asks.newest), Confirmed: c.confirmed,
-		Lag: c.lag(now), Listed: c.FleetSize(), Failures: c.failures,
-		Readings: map[Cause]uint64{},
+		Revision: c.revision, NewestSeen: max(c.revision, c.asks.newest), Confirmed: c.confirmed,
+		Status: c.lag(now), Listed: c.FleetSize(), ReadFailures: c.failures,
+		Reads: map[ReadCause]uint64{},
 	}
 	t := c.asks.questions.count(now)
-	v.Asked, v.Answered = t.asked, t.answered
+	v.PeerRequests, v.PeerReplies = t.asked, t.answered
 	for cause, n := range c.readings {
-		v.Readings[cause] = n
+		v.Reads[cause] = n
 	}
 	return v
 }
 
 // lag tells why the view is late, if it is.
-func (c *Controller) lag(now time.Time) Lag {
+func (c *Controller) lag(now time.Time) ViewStatus {
 	switch {
 	case c.confirmed.IsZero():
-		return NeverRead
+		return ViewNeverRead
 	case c.refused != nil:
-		return ConfigRefused
-	case now.Sub(c.confirmed) <= Bound:
-		return InTime
+		return ViewConfigRefused
+	case now.Sub(c.confirmed) <= StalenessBound:
+		return ViewCurrent
 	case c.failures > 0:
-		return ReadingFails
+		return ViewReadsFail
 	case !c.readingSince.IsZero():
-		return ReadingSlow
+		return ViewReadSlow
 	}
-	return WaitsForPeers
+	return ViewAwaitsPeers
 }
 
 // noteLag records when the view becomes late, and when it is in time again.
 func (c *Controller) noteLag(now time.Time) {
 	lag := c.lag(now)
-	late := lag != InTime && lag != NeverRead
+	late := lag != ViewCurrent && lag != ViewNeverRead
 	switch {
 	case late && c.lateSince.IsZero():
 		c.lateSince = c.confirmed
-		c.record(event.ViewLate, string(lag), c.viewWords(now), nil)
+		c.record(event.DirectoryViewStale, string(lag), c.viewWords(now), nil)
 	case !late && !c.lateSince.IsZero():
-		c.record(event.ViewInTime, "", "confirmed by nothing for "+since(now, c.lateSince), nil)
+		c.record(event.DirectoryViewFresh, "", "confirmed by nothing for "+since(now, c.lateSince), nil)
 		c.lateSince = time.Time{}
 	}
 }
--- a/internal/directory/view_test.go
+++ b/internal/directory/view_test.go
@@ -24,28 +24,28 @@
 
 func TestAViewSaysWhyItIsLate(t *testing.T) {
 	for _, tt := range []struct {
-		want  Lag
+		want  ViewStatus
 		bring func(*rig)
 	}{
-		{NeverRead, func(*rig) {}},
-		{InTime, func(r *rig) { r.handle(two()) }},
-		{WaitsForPeers, func(r *rig) {
+		{ViewNeverRead, func(*rig) {}},
+		{ViewCurrent, func(r *rig) { r.handle(two()) }},
+		{ViewAwaitsPeers, func(r *rig) {
 			r.handle(two())
-			r.now = r.now.Add(Bound + time.Millisecond)
+			r.now = r.now.Add(StalenessBound + time.Millisecond)
 		}},
-		{ReadingSlow, func(r *rig) {
+		{ViewReadSlow, func(r *rig) {
 			r.handle(two())
-			r.ticks(Bound + 4*time.Second)
+			r.ticks(StalenessBound + 4*time.Second)
 		}},
-		{ReadingFails, func(r *rig) {
+		{ViewReadsFail, func(r *rig) {
 			r.handle(two())
-			r.now = r.now.Add(Bound + time.Millisecond)
+			r.now = r.now.Add(StalenessBound + time.Millisecond)
 			r.handle(control.DirectoryFailed{Err: errors.New("turned away")})
 		}},
 	} {
 		r := newRig()
 		tt.bring(r)
-		if got := r.View(r.now).Lag; got != tt.want {
+		if got := r.View(r.now).Status; got != tt.want {
 			t.Errorf("%s, want %s", got, tt.want)
 		}
 	}
@@ -59,10 +59,10 @@
 	for range 40 {
 		r.now = r.now.Add(control.TickInterval)
 		out := r.handle(control.Tick{})
-		late = append(late, recorded(out, event.ViewLate)...)
+		late = append(late, recorded(out, event.DirectoryViewStale)...)
 	}
 	r.handle(two())
-	back = append(back, recorded(r.handle(control.Tick{}), event.ViewInTime)...)
+	back = append(back, recorded(r.handle(control.Tick{}), event.DirectoryViewFresh)...)
 	if len(late) != 1 || len(back) != 1 {
 		t.Errorf("late %q, in time again %q; want one each", late, back)
 	}
@@ -130,7 +130,7 @@
 	if got := recorded(r.handle(refused), event.ConfigRefused); len(got) != 0 {
 		t.Errorf("%d records of one that was recorded", len(got))
 	}
-	if got := r.View(r.now).Lag; got != ConfigRefused {
+	if got := r.View(r.now).Status; got != ViewConfigRefused {
 		t.Errorf("lag %s", got)
 	}
 	told := Changes(r.board.Directory.Get(), 2)
@@ -138,7 +138,7 @@
 		t.Errorf("peers are told %+v", told)
 	}
 	r.handle(control.DirectoryRead{Revision: 4, Config: &model.RawConfig{Revision: 4}, Bundle: &bundle.Bundle{Name: "operator", Version: 2}})
-	if got := r.View(r.now).Lag; got != InTime {
+	if got := r.View(r.now).Status; got != ViewCurrent {
 		t.Errorf("lag %s after a sound configuration", got)
 	}
 }
@@ -149,18 +149,18 @@
 	r.handle(control.Tick{})
 	r.handle(two())
 	r.handle(control.Suspended{For: asleep})
-	if age := r.board.Directory.Get().Mark(r.now).AgeMs; age < uint32(asleep.Milliseconds()) {
+	if age := r.board.Directory.Get().Freshness(r.now).AgeMs; age < uint32(asleep.Milliseconds()) {
 		t.Errorf("peers are told an age of %d ms", age)
 	}
 	// It waited here, and was of 10 ms when it came.
-	r.handle(control.DirectoryHeard{From: "10.0.0.2", Mark: model.DirectoryMark{Revision: 2, AgeMs: 10}})
+	r.handle(control.PeerFreshnessReceived{From: "10.0.0.2", Freshness: model.DirectoryFreshness{Revision: 2, AgeMs: 10}})
 	if age := r.now.Sub(r.Confirmed()); age < asleep {
 		t.Errorf("confirmed %s ago by a mark that waited", age)
 	}
-	if _, reads := r.ticks(Bound); reads == 0 {
+	if _, reads := r.ticks(StalenessBound); reads == 0 {
 		t.Error("no reading within the bound after the suspension")
 	}
-	r.handle(control.DirectoryHeard{From: "10.0.0.2", Mark: model.DirectoryMark{Revision: 2, AgeMs: 10}})
+	r.handle(control.PeerFreshnessReceived{From: "10.0.0.2", Freshness: model.DirectoryFreshness{Revision: 2, AgeMs: 10}})
 	if age := r.now.Sub(r.Confirmed()); age > 10*time.Millisecond {
 		t.Errorf("confirmed %s ago by a fresh mark", age)
 	}
@@ -172,7 +172,7 @@
 	r.handle(control.Tick{})
 	r.handle(two())
 	r.ticks(outageGap + time.Second)
-	r.handle(control.DirectoryRead{Whole: true, Revision: 50})
+	r.handle(control.DirectoryRead{Full: true, Revision: 50})
 	if _, reads := r.ticks(emptyWait); reads == 0 {
 		t.Errorf("no reading within %s", emptyWait)
 	}
@@ -191,7 +191,7 @@
 		t.Errorf("%d readers after two own readings, want 1", got)
 	}
 	r.now = r.now.Add(time.Second)
-	r.handle(control.DirectoryHeard{From: "10.0.0.2", Mark: model.DirectoryMark{Revision: 2, AgeMs: 10}})
+	r.handle(control.PeerFreshnessReceived{From: "10.0.0.2", Freshness: model.DirectoryFreshness{Revision: 2, AgeMs: 10}})
 	if got := r.readers(r.now); got != 2 {
 		t.Errorf("%d readers after a peer's, want 2", got)
 	}
@@ -205,22 +205,22 @@
 	for range 6 {
 		r.handle(control.DirectoryFailed{Err: errors.New("turned away")})
 	}
-	fresh := control.DirectoryHeard{From: "10.0.0.2", Mark: model.DirectoryMark{Revision: 2, AgeMs: 10}}
-	for range 2 * int(blackboard.FailingTime/control.TickInterval) {
+	fresh := control.PeerFreshnessReceived{From: "10.0.0.2", Freshness: model.DirectoryFreshness{Revision: 2, AgeMs: 10}}
+	for range 2 * int(blackboard.ReadFailureMemory/control.TickInterval) {
 		r.handle(fresh)
 		r.ticks(control.TickInterval)
 	}
 	r.handle(fresh)
 	for confirmed := r.now; ; {
 		peers, reads := r.ticks(control.TickInterval)
-		if silent := r.now.Sub(confirmed); silent >= Bound {
+		if silent := r.now.Sub(confirmed); silent >= StalenessBound {
 			t.Fatalf("no reading in %s after the last confirmation", silent)
 		}
 		if reads > 0 {
 			return
 		}
 		for _, peer := range peers {
-			r.handle(control.DirectoryTold{From: peer, DirectoryRead: control.DirectoryRead{Revision: 2}, Age: time.Hour})
+			r.handle(control.PeerDirectoryReceived{From: peer, DirectoryRead: control.DirectoryRead{Revision: 2}, Age: time.Hour})
 		}
 	}
 }
--- a/internal/directory/workers.go
+++ b/internal/directory/workers.go
@@ -35,9 +35,9 @@
 	if w != nil && w.missingUntil.IsZero() && w.listing == l {
 		return
 	}
-	if w == nil || w.listing.Instance.State != l.Instance.State || w.listing.Instance.Life() != l.Instance.Life() || !w.missingUntil.IsZero() {
+	if w == nil || w.listing.Instance.State != l.Instance.State || w.listing.Instance.WorkerIncarnation() != l.Instance.WorkerIncarnation() || !w.missingUntil.IsZero() {
 		in := &l.Instance
-		c.record(event.WorkerListed, string(id), fmt.Sprintf("%s %s %s, born %d", in.ID, in.Service, in.State, in.WorkerBorn), nil)
+		c.record(event.WorkerListed, string(id), fmt.Sprintf("%s %s %s, born %d", in.ID, in.Service, in.State, in.WorkerStarted), nil)
 	}
 	next := &worker{listing: l}
 	if l.WarmingMs > 0 {
@@ -76,8 +76,8 @@
 	for i := range r.Listed {
 		named[r.Listed[i].Instance.Worker] = true
 	}
-	for i := range r.Gone {
-		named[r.Gone[i].Worker] = true
+	for i := range r.Unlisted {
+		named[r.Unlisted[i].Worker] = true
 	}
 	for _, id := range c.sorted() {
 		if !named[id] {
@@ -90,7 +90,7 @@
 // no worker can list itself. A failed reading of this node's own says nothing of that while
 // peers keep its view in time.
 func (c *Controller) expire(now time.Time) {
-	if c.failures > 0 && now.Sub(c.confirmed) > Bound {
+	if c.failures > 0 && now.Sub(c.confirmed) > StalenessBound {
 		return
 	}
 	for _, id := range c.overdue(now) {
--- a/internal/entry/arrivals.go
+++ b/internal/entry/arrivals.go
@@ -97,9 +97,9 @@
 	return a
 }
 
-// SetEntries tells how many entry nodes share a fleet's allowance of extra
+// SetEntryNodes tells how many entry nodes share a fleet's allowance of extra
 // arrivals. It is called when the fleet changes.
-func (e *Engine) SetEntries(n int) { e.entries.Store(int64(n)) }
+func (e *Engine) SetEntryNodes(n int) { e.entries.Store(int64(n)) }
 
 // mayArriveAgain tells whether the request may go to one more worker, and spends
 // what that costs. It is free while no worker can have had it.
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -99,11 +99,11 @@
 	return t.Pick(epoch, nil)
 }
 
-func (t oneOwner) Named(time.Time, *route.Query, model.InstanceID) (route.Choice, bool) {
+func (t oneOwner) PickInstance(time.Time, *route.Query, model.InstanceID) (route.Choice, bool) {
 	return t.Pick(epoch, nil)
 }
 
-func (oneOwner) Lack(*route.Query) model.Reason { return model.ReasonNoUpstream }
+func (oneOwner) NoUpstreamReason(*route.Query) model.Reason { return model.ReasonNoUpstream }
 
 func (oneOwner) Sent(time.Time, model.InstanceID) {}
 
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -63,7 +63,7 @@
 
 	current  model.Attempt
 	to       model.Instance
-	believed route.Belief
+	believed route.EstimateSummary
 	sentAt   time.Time
 	// takenUpBy is for the attempt that is out, see takeUpTime.
 	takenUpBy time.Time
@@ -144,7 +144,7 @@
 // and calls SetReplayable before the report of the attempt that did.
 func (c *Call) SetReplayable(replayable bool) { c.req.Replayable = replayable }
 
-// Next returns what to do now. After StepSend or StepSettle one report must
+// Next returns what to do now. After StepSend or StepResolve one report must
 // come before Next is called again; without one the same step is returned. From
 // the deadline on there is no step but StepEnd, which is returned for ever.
 func (c *Call) Next(now time.Time) Step {
@@ -165,7 +165,7 @@
 			}
 			c.phase = c.after
 		case phaseSent:
-			return Step{Kind: StepSend, To: c.to, Attempt: c.current, Until: c.deadline, TakenUpBy: c.takenUpBy, HedgeAt: c.hedgeAt, Believed: c.believed}
+			return Step{Kind: StepSend, To: c.to, Attempt: c.current, Until: c.deadline, AcknowledgeBy: c.takenUpBy, HedgeAt: c.hedgeAt, Estimate: c.believed}
 		case phaseAsked:
 			return c.settleStep(now)
 		default:
@@ -182,7 +182,7 @@
 		return
 	}
 	c.resent = false
-	c.believed = choice.Belief
+	c.believed = choice.Estimate
 	c.send(now, choice.Instance, choice.OwnerClock)
 }
 
@@ -261,8 +261,8 @@
 		Caller:           c.req.Caller,
 		MayMove:          c.mayMove(),
 		Objective:        c.objectiveLeft(now),
-		Ends:             uint8(c.ends),
-		Lent:             c.named.lent,
+		Crashes:          uint8(c.ends),
+		Granted:          c.named.lent,
 		Regions:          c.req.Regions,
 	}
 	c.engine.table.Sent(now, to.ID)
--- a/internal/entry/call_test.go
+++ b/internal/entry/call_test.go
@@ -67,16 +67,16 @@
 
 func settle(state model.AttemptState) move {
 	return func(s *script) {
-		s.call.Settled(s.now, wire.SettleReply{Attempt: s.step.Attempt.ID, State: state, Report: reportOf(s.step.To.ID)})
+		s.call.Resolved(s.now, wire.ResolveReply{Attempt: s.step.Attempt.ID, State: state, Report: reportOf(s.step.To.ID)})
 	}
 }
 
-func broken(s *script)       { s.call.Broken(s.now, false) }
-func cut(s *script)          { s.call.Broken(s.now, true) }
+func broken(s *script)       { s.call.Interrupted(s.now, false) }
+func cut(s *script)          { s.call.Interrupted(s.now, true) }
 func answer(s *script)       { s.call.Answered(s.now, false) }
 func serverError(s *script)  { s.call.Answered(s.now, true) }
-func settleFailed(s *script) { s.call.SettleFailed(s.now) }
-func gone(s *script)         { s.call.CallerGone(s.now) }
+func settleFailed(s *script) { s.call.ResolveFailed(s.now) }
+func gone(s *script)         { s.call.CallerCancelled(s.now) }
 func late(s *script)         { s.now = s.call.Deadline() }
 
 // unreachable is reported by the adapter without a report of the owner.
@@ -85,7 +85,7 @@
 }
 
 func crossedSettle(s *script) {
-	s.call.Settled(s.now, wire.SettleReply{
+	s.call.Resolved(s.now, wire.ResolveReply{
 		Attempt: model.AttemptID{Entry: "other", Incarnation: 1, Sequence: 1}, Report: reportOf(s.step.To.ID),
 	})
 }
@@ -93,7 +93,7 @@
 func restartedSettle(s *script) {
 	r := reportOf(s.step.To.ID)
 	r.Incarnation++
-	s.call.Settled(s.now, wire.SettleReply{Attempt: s.step.Attempt.ID, State: model.AttemptNeverSeen, Report: r})
+	s.call.Resolved(s.now, wire.ResolveReply{Attempt: s.step.Attempt.ID, State: model.AttemptNeverSeen, Report: r})
 }
 
 func TestCallEnds(t *testing.T) {
@@ -181,11 +181,11 @@
 		"another owner after no connection":      {nil, []move{unreachable}, StepSend, "payouts-b"},
 		"the same owner with a fresh stamp":      {nil, []move{refuse(model.ReasonStale)}, StepSend, "payouts-a"},
 		"another owner after a second stale":     {nil, []move{refuse(model.ReasonStale), refuse(model.ReasonStale)}, StepSend, "payouts-b"},
-		"settlement after a break":               {nil, []move{broken}, StepSettle, "payouts-a"},
-		"settlement after an unproved refusal":   {nil, []move{fail(model.ReasonCancelled)}, StepSettle, "payouts-a"},
-		"settlement again after silence":         {nil, []move{broken, settleFailed}, StepSettle, "payouts-a"},
-		"settlement again after a crossed reply": {nil, []move{broken, crossedSettle}, StepSettle, "payouts-a"},
-		"another owner once settled as barred":   {nil, []move{broken, settle(model.AttemptBarred)}, StepSend, "payouts-b"},
+		"settlement after a break":               {nil, []move{broken}, StepResolve, "payouts-a"},
+		"settlement after an unproved refusal":   {nil, []move{fail(model.ReasonCancelled)}, StepResolve, "payouts-a"},
+		"settlement again after silence":         {nil, []move{broken, settleFailed}, StepResolve, "payouts-a"},
+		"settlement again after a crossed reply": {nil, []move{broken, crossedSettle}, StepResolve, "payouts-a"},
+		"another owner once settled as barred":   {nil, []move{broken, settle(model.AttemptFenced)}, StepSend, "payouts-b"},
 		"another owner after a break, if idempotent": {
 			[]func(*Request){idempotent}, []move{broken}, StepSend, "payouts-b"},
 		"another owner after an error, if idempotent": {
@@ -216,7 +216,7 @@
 
 func TestDelegatedRequestNeverReturnsToItsHome(t *testing.T) {
 	s := start(t, 2, keyed).do(refuse(model.ReasonDelegated))
-	for range DefaultTuning().Rounds {
+	for range DefaultTuning().MaxRounds {
 		wantStep(t, s.step, StepSend, "payouts-b")
 		if !s.step.Attempt.Delegated {
 			t.Fatal("the attempt elsewhere is not marked as delegated")
@@ -276,13 +276,13 @@
 func TestSettlementIsAskedAgainUntilTheDeadline(t *testing.T) {
 	s := start(t, 2).do(broken)
 	asked := 0
-	for s.step.Kind == StepSettle && asked <= 10 {
-		wantStep(t, s.step, StepSettle, "payouts-a")
+	for s.step.Kind == StepResolve && asked <= 10 {
+		wantStep(t, s.step, StepResolve, "payouts-a")
 		if s.step.Until.After(s.call.Deadline()) {
 			t.Fatalf("asked until %v, after the deadline", s.step.Until)
 		}
 		asked++
-		s.call.SettleFailed(s.now)
+		s.call.ResolveFailed(s.now)
 		s.next()
 	}
 	wantEnd(t, s.step, model.OutcomeUnknown, model.ReasonLinkBroken)
--- a/internal/entry/ended_test.go
+++ b/internal/entry/ended_test.go
@@ -8,14 +8,14 @@
 )
 
 func workerEnded(s *script) {
-	s.call.Refused(s.now, model.Refusal{Reason: model.ReasonWorkerEnded})
+	s.call.Refused(s.now, model.Refusal{Reason: model.ReasonWorkerCrashed})
 }
 
 // What was in hand at a worker's end is tried again as before, and its next owner is told.
 func TestALookupUnderWhichAWorkerEndsGoesOnAndSaysSo(t *testing.T) {
 	s := start(t, 3, idempotent)
 	for ends := range uint8(2) {
-		if got := s.step.Attempt.Ends; s.step.Kind != StepSend || got != ends {
+		if got := s.step.Attempt.Crashes; s.step.Kind != StepSend || got != ends {
 			t.Fatalf("step %s, %d ends told; want a sending with %d", s.step.Kind, got, ends)
 		}
 		s.do(workerEnded)
@@ -25,7 +25,7 @@
 func TestAPayoutUnderWhichAWorkerEndsIsToldUnknown(t *testing.T) {
 	s := start(t, 3)
 	s.do(workerEnded)
-	if s.step.Kind != StepEnd || s.step.Outcome != model.OutcomeUnknown || s.step.Reason != model.ReasonWorkerEnded {
+	if s.step.Kind != StepEnd || s.step.Outcome != model.OutcomeUnknown || s.step.Reason != model.ReasonWorkerCrashed {
 		t.Errorf("step %s, %s %s; want unknown", s.step.Kind, s.step.Outcome, s.step.Reason)
 	}
 }
@@ -35,7 +35,7 @@
 	for _, trait := range []func(*Request){func(*Request) {}, idempotent, keyed} {
 		s := start(t, 3, trait)
 		s.do(func(s *script) {
-			s.call.Refused(s.now, model.Refusal{Reason: model.ReasonPutAside, NotRun: true, RetryAfter: 20 * time.Second})
+			s.call.Refused(s.now, model.Refusal{Reason: model.ReasonQuarantined, NotRun: true, RetryAfter: 20 * time.Second})
 		})
 		if s.step.Kind != StepEnd || s.step.Outcome != model.OutcomeNotRun || s.step.RetryAfter != 20*time.Second {
 			t.Errorf("%+v: step %s, %s, come back after %s", s.call.req, s.step.Kind, s.step.Outcome, s.step.RetryAfter)
@@ -47,7 +47,7 @@
 func TestASendingThatRanIsNotToldNotRunWhenPutAside(t *testing.T) {
 	s := start(t, 3, idempotent)
 	s.do(workerEnded)
-	s.do(func(s *script) { s.call.Refused(s.now, model.Refusal{Reason: model.ReasonPutAside, NotRun: true}) })
+	s.do(func(s *script) { s.call.Refused(s.now, model.Refusal{Reason: model.ReasonQuarantined, NotRun: true}) })
 	if s.step.Kind != StepEnd || s.step.Outcome != model.OutcomeUnknown {
 		t.Errorf("step %s, %s; want unknown", s.step.Kind, s.step.Outcome)
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -8,7 +8,7 @@
 //	for {
 //		switch s := c.Next(now); s.Kind {
 //		case StepSend:   // send, then Report and one of Answered, Refused, Broken
-//		case StepSettle: // ask, then Settled or SettleFailed
+//		case StepResolve: // ask, then Settled or ResolveFailed
 //		case StepWait:   // wait until s.Until
 //		case StepEnd:    // send s.Notify, tell the caller; done
 //		}
@@ -42,10 +42,10 @@
 type chooser interface {
 	Pick(now time.Time, q *route.Query) (route.Choice, bool)
 	NextHome(now time.Time, q *route.Query, id model.RequestID, passed []model.InstanceID) (route.Choice, bool)
-	Named(now time.Time, q *route.Query, id model.InstanceID) (route.Choice, bool)
+	PickInstance(now time.Time, q *route.Query, id model.InstanceID) (route.Choice, bool)
 	Sent(now time.Time, id model.InstanceID)
 	Done(now time.Time, id model.InstanceID, r route.Result)
-	Lack(q *route.Query) model.Reason
+	NoUpstreamReason(q *route.Query) model.Reason
 }
 
 // Engine makes calls; it holds the retry budgets per service. Safe for
@@ -63,7 +63,7 @@
 	starts  registry[model.ServiceName, starts]
 	// patiences knows callers' timeouts by service and class.
 	patiences registry[paceKey, patience]
-	// entries is the number of entry nodes; see SetEntries.
+	// entries is the number of entry nodes; see SetEntryNodes.
 	entries atomic.Int64
 }
 
@@ -84,9 +84,9 @@
 	return e
 }
 
-// Adopt binds later attempts at this node's own owner to a greater incarnation.
-// Attempt ids keep the first one: they stay unique without it.
-func (e *Engine) Adopt(inc model.Incarnation) { e.adopted.Store(uint64(inc)) }
+// SetOwnIncarnation binds later attempts at this node's own owner to a greater incarnation.
+// AttemptCost ids keep the first one: they stay unique without it.
+func (e *Engine) SetOwnIncarnation(inc model.Incarnation) { e.adopted.Store(uint64(inc)) }
 
 // Request is what a caller asked for.
 type Request struct {
@@ -101,8 +101,8 @@
 	Idempotent bool
 	// Timeout from now to the deadline, already within the class's bound.
 	Timeout time.Duration
-	// Asked is the timeout that the caller named itself; zero for none.
-	Asked time.Duration
+	// RequestedTimeout is the timeout that the caller named itself; zero for none.
+	RequestedTimeout time.Duration
 	// RetryBudget is the number of extra attempts left to the path, from the
 	// caller's Gypsum-Retry-Budget when it is itself a worker of a path, at most
 	// the bundle's.
@@ -123,8 +123,8 @@
 	c.extra = e.arrivalsOf(now, &c.req.Target)
 	c.starts = e.startsOf(&c.req.Target)
 	c.mostMoves = c.starts.moves(r.Target.Bundle.Retry.Moves)
-	if r.Asked > 0 {
-		c.waited = e.patienceOf(&c.req.Target).note(now, r.Asked)
+	if r.RequestedTimeout > 0 {
+		c.waited = e.patienceOf(&c.req.Target).note(now, r.RequestedTimeout)
 	}
 	if r.Idempotent {
 		c.pace = e.paceOf(&c.req.Target)
--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -21,8 +21,8 @@
 //
 // The hedge is a call of its own for the same request, with c's deadline: another
 // goroutine may carry out its steps beside c's. The first of the two that ends
-// with an answer is the caller's, and the other is told CallerGone. When neither
-// has one the caller is told EndOfBoth.
+// with an answer is the caller's, and the other is told CallerCancelled. When neither
+// has one the caller is told CombineOutcomes.
 func (c *Call) Hedge(now time.Time) (h *Call, ok bool) {
 	if c.hedgeAt.IsZero() || !c.bucket.has(hedgeReserve) {
 		return nil, false
@@ -30,9 +30,9 @@
 	return c.hedge(now)
 }
 
-// HedgeLost is Hedge for an attempt whose owner was found out of reach: it waits for
+// HedgeUnreachable is Hedge for an attempt whose owner was found out of reach: it waits for
 // no time and needs no reserve, as it stands for the retry that would follow.
-func (c *Call) HedgeLost(now time.Time) (h *Call, ok bool) {
+func (c *Call) HedgeUnreachable(now time.Time) (h *Call, ok bool) {
 	if !c.req.Idempotent || !c.replaceable() || c.hedged {
 		return nil, false
 	}
@@ -57,7 +57,7 @@
 	h = &Call{}
 	*h = *c
 	h.budget = 0
-	h.believed = choice.Belief
+	h.believed = choice.Estimate
 	h.send(now, choice.Instance, choice.OwnerClock)
 	return h, true
 }
@@ -70,9 +70,9 @@
 	return c.mayArriveAgain(now)
 }
 
-// EndOfBoth returns what the caller is told when neither of a call and its hedge
+// CombineOutcomes returns what the caller is told when neither of a call and its hedge
 // ended with an answer: not-run only when both are proved not to have run.
-func EndOfBoth(a, b Step) Step {
+func CombineOutcomes(a, b Step) Step {
 	if a.Outcome == model.OutcomeUnknown {
 		return a
 	}
--- a/internal/entry/hedge_test.go
+++ b/internal/entry/hedge_test.go
@@ -46,7 +46,7 @@
 		t.Fatal("hedged twice")
 	}
 	h.Answered(s.step.HedgeAt, false)
-	s.call.CallerGone(s.step.HedgeAt)
+	s.call.CallerCancelled(s.step.HedgeAt)
 	if !s.table.balanced() {
 		t.Fatalf("Sent and Done do not balance: %v", s.table.inFlight)
 	}
@@ -83,7 +83,7 @@
 	for _, tt := range []struct{ a, b, want Step }{
 		{unknown, notRun, unknown}, {notRun, unknown, unknown}, {notRun, notRun, notRun}, {unknown, unknown, unknown},
 	} {
-		if got := EndOfBoth(tt.a, tt.b); got.Outcome != tt.want.Outcome {
+		if got := CombineOutcomes(tt.a, tt.b); got.Outcome != tt.want.Outcome {
 			t.Errorf("%v and %v: %v, want %v", tt.a.Outcome, tt.b.Outcome, got.Outcome, tt.want.Outcome)
 		}
 	}
@@ -95,18 +95,18 @@
 	if _, ok := s.call.Hedge(epoch); ok {
 		t.Fatal("hedged without a quantile")
 	}
-	h, ok := s.call.HedgeLost(epoch)
+	h, ok := s.call.HedgeUnreachable(epoch)
 	if !ok {
 		t.Fatal("not made elsewhere")
 	}
 	if step := h.Next(epoch); step.Kind != StepSend || step.To.ID == first {
 		t.Fatalf("%v to %q", step.Kind, step.To.ID)
 	}
-	if _, again := s.call.HedgeLost(epoch); again {
+	if _, again := s.call.HedgeUnreachable(epoch); again {
 		t.Error("made elsewhere twice")
 	}
 	h.Answered(epoch, false)
-	s.call.CallerGone(epoch)
+	s.call.CallerCancelled(epoch)
 	if !s.table.balanced() {
 		t.Errorf("Sent and Done do not balance: %v", s.table.inFlight)
 	}
@@ -118,7 +118,7 @@
 		"body streams":     streamed,
 		"no budget's left": func(r *Request) { r.RetryBudget = 0 },
 	} {
-		if _, ok := hedging(t, trait).call.HedgeLost(epoch); ok {
+		if _, ok := hedging(t, trait).call.HedgeUnreachable(epoch); ok {
 			t.Errorf("%s: made elsewhere", name)
 		}
 	}
--- a/internal/entry/held.go
+++ b/internal/entry/held.go
@@ -32,8 +32,8 @@
 // asked. The last owner's advice holds: it knows best when its worker is back.
 func (c *Call) placeHeld(now time.Time, r model.Refusal) {
 	c.retryAfter = r.RetryAfter
-	c.named.home, c.named.lent = r.Home, r.Lent
-	if r.Home == "" {
+	c.named.home, c.named.lent = r.OnlyOwner, r.Granted
+	if r.OnlyOwner == "" {
 		c.named.home = c.named.endedAt
 	}
 	if _, ok := c.chooseNamed(now); !ok || !c.replaceable() || c.sends == maxSends {
@@ -48,5 +48,5 @@
 	if c.named.home == "" || c.named.asked.has(c.named.home) || c.named.asked.full() {
 		return route.Choice{}, false
 	}
-	return c.engine.table.Named(now, c.queryAt(now), c.named.home)
+	return c.engine.table.PickInstance(now, c.queryAt(now), c.named.home)
 }
--- a/internal/entry/held_test.go
+++ b/internal/entry/held_test.go
@@ -10,7 +10,7 @@
 // heldBackFor is the refusal of an owner that leaves a request to another one.
 func heldBackFor(home model.InstanceID, after time.Duration) move {
 	return func(s *script) {
-		s.call.Refused(s.now, model.Refusal{Reason: model.ReasonHeldBack, NotRun: true, RetryAfter: after, Home: home})
+		s.call.Refused(s.now, model.Refusal{Reason: model.ReasonDeferred, NotRun: true, RetryAfter: after, OnlyOwner: home})
 	}
 }
 
@@ -32,7 +32,7 @@
 func TestAKeyedRequestIsRefusedAtOnceWhereItsOnlyOwnerCannotRunIt(t *testing.T) {
 	s := start(t, 3, keyed)
 	s.do(func(s *script) {
-		s.call.Refused(s.now, model.Refusal{Reason: model.ReasonDelegated, NotRun: true, Home: "payouts-c", RetryAfter: 3 * time.Second})
+		s.call.Refused(s.now, model.Refusal{Reason: model.ReasonDelegated, NotRun: true, OnlyOwner: "payouts-c", RetryAfter: 3 * time.Second})
 	}, func(s *script) {
 		s.call.Refused(s.now, model.Refusal{Reason: model.ReasonWorkerUnreachable, NotRun: true})
 	})
@@ -85,7 +85,7 @@
 func TestAKeyedRequestThatIsHeldBackIsDelegatedToItsOnlyOwner(t *testing.T) {
 	s := start(t, 3, keyed)
 	s.do(func(s *script) {
-		s.call.Refused(s.now, model.Refusal{Reason: model.ReasonDelegated, NotRun: true, Home: "payouts-c"})
+		s.call.Refused(s.now, model.Refusal{Reason: model.ReasonDelegated, NotRun: true, OnlyOwner: "payouts-c"})
 	})
 	if s.step.Kind != StepSend || s.step.To.ID != "payouts-c" || !s.step.Attempt.Delegated {
 		t.Errorf("step %s to %s; want a delegated sending to payouts-c", s.step.Kind, s.step.To.ID)
@@ -98,13 +98,13 @@
 	s := start(t, 3, idempotent)
 	ended := s.step.To.ID
 	s.do(workerEnded, heldBackFor("", 3*time.Second))
-	if s.step.Kind != StepSend || s.step.To.ID != ended || s.step.Attempt.Lent {
+	if s.step.Kind != StepSend || s.step.To.ID != ended || s.step.Attempt.Granted {
 		t.Fatalf("step %s to %s; want %s to be asked", s.step.Kind, s.step.To.ID, ended)
 	}
 	s.do(func(s *script) {
-		s.call.Refused(s.now, model.Refusal{Reason: model.ReasonHeldBack, NotRun: true, Home: "payouts-c", Lent: true})
+		s.call.Refused(s.now, model.Refusal{Reason: model.ReasonDeferred, NotRun: true, OnlyOwner: "payouts-c", Granted: true})
 	})
-	if s.step.Kind != StepSend || s.step.To.ID != "payouts-c" || !s.step.Attempt.Lent {
-		t.Errorf("step %s to %s, lent %t; want payouts-c, lent", s.step.Kind, s.step.To.ID, s.step.Attempt.Lent)
+	if s.step.Kind != StepSend || s.step.To.ID != "payouts-c" || !s.step.Attempt.Granted {
+		t.Errorf("step %s to %s, lent %t; want payouts-c, lent", s.step.Kind, s.step.To.ID, s.step.Attempt.Granted)
 	}
 }
--- a/internal/entry/helpers_test.go
+++ b/internal/entry/helpers_test.go
@@ -66,7 +66,7 @@
 	return route.Choice{}, false
 }
 
-func (t *fakeTable) Named(_ time.Time, _ *route.Query, id model.InstanceID) (route.Choice, bool) {
+func (t *fakeTable) PickInstance(_ time.Time, _ *route.Query, id model.InstanceID) (route.Choice, bool) {
 	for _, in := range t.owners {
 		if in.ID == id {
 			return route.Choice{Instance: in, OwnerClock: time.Second}, true
@@ -75,7 +75,7 @@
 	return route.Choice{}, false
 }
 
-func (t *fakeTable) Lack(*route.Query) model.Reason { return model.ReasonNoUpstream }
+func (t *fakeTable) NoUpstreamReason(*route.Query) model.Reason { return model.ReasonNoUpstream }
 
 func (t *fakeTable) Sent(_ time.Time, id model.InstanceID) { t.inFlight[id]++ }
 
--- a/internal/entry/home.go
+++ b/internal/entry/home.go
@@ -54,7 +54,7 @@
 }
 
 // scopedID is the id under which the home remembers the request.
-func (c *Call) scopedID() model.RequestID { return model.ScopedRequest(c.req.Tenant, c.req.ID) }
+func (c *Call) scopedID() model.RequestID { return model.ScopedRequestID(c.req.Tenant, c.req.ID) }
 
 // keyed tells whether the same request may arrive a second time by another way,
 // so that its id needs a home.
@@ -82,7 +82,7 @@
 	}
 	switch r.Reason {
 	case model.ReasonOverloaded, model.ReasonQueueFull, model.ReasonLeaving, model.ReasonNotReady,
-		model.ReasonTenantLimit, model.ReasonDelegated, model.ReasonWorkerShed, model.ReasonWorkerReplaced, model.ReasonPutAside, model.ReasonHeldBack:
+		model.ReasonTenantLimit, model.ReasonDelegated, model.ReasonWorkerShed, model.ReasonWorkerReplaced, model.ReasonQuarantined, model.ReasonDeferred:
 		c.home.spoke = true
 	case model.ReasonWorkerUnreachable:
 		c.home.spoke = c.home.spoke || c.hasReport
--- a/internal/entry/move_test.go
+++ b/internal/entry/move_test.go
@@ -84,7 +84,7 @@
 func extraArrivals(t *testing.T, entries int, extra, ratio float64, perSecond int) int {
 	t.Helper()
 	engine := testEngine(newFakeTable(6))
-	engine.SetEntries(entries)
+	engine.SetEntryNodes(entries)
 	b := &bundle.Bundle{
 		Name: "b", Version: 1, Retry: bundle.Retry{PerPath: 10, Ratio: ratio, FleetExtra: extra},
 		Classes:  []bundle.Class{{Name: "view", DeadlineMs: 10_000, MaxAttempts: 4}},
--- a/internal/entry/owner_test.go
+++ b/internal/entry/owner_test.go
@@ -57,8 +57,8 @@
 	switch {
 	case a.OwnerIncarnation != o.instance.Incarnation:
 		return notRun(model.ReasonIncarnation)
-	case o.attempts[a.ID] == model.AttemptBarred:
-		return notRun(model.ReasonBarred)
+	case o.attempts[a.ID] == model.AttemptFenced:
+		return notRun(model.ReasonFenced)
 	case a.OwnerClock == 0 || o.late(now, &a):
 		return notRun(model.ReasonStale)
 	}
@@ -68,7 +68,7 @@
 	}
 	if rapid.IntRange(0, 2).Draw(t, "refuse") == 0 {
 		reason := rapid.SampledFrom(refusalReasons).Draw(t, "reason")
-		o.attempts[a.ID] = model.AttemptBarred
+		o.attempts[a.ID] = model.AttemptFenced
 		if key && reason < model.ReasonTenantLimit {
 			o.keys[a.Request] = keyRecord{attempt: a.ID, delegated: true}
 			reason = model.ReasonDelegated
@@ -88,14 +88,14 @@
 func (o *fakeOwner) bar(id model.AttemptID, request model.RequestID) {
 	delete(o.queued, id)
 	delete(o.running, id)
-	o.attempts[id] = model.AttemptBarred
+	o.attempts[id] = model.AttemptFenced
 	if rec := o.keys[request]; rec.attempt == id {
 		delete(o.keys, request)
 	}
 }
 
-func (o *fakeOwner) settle(now time.Time, a model.Attempt) wire.SettleReply {
-	r := wire.SettleReply{Attempt: a.ID, Report: o.report(now), State: model.AttemptForgotten}
+func (o *fakeOwner) settle(now time.Time, a model.Attempt) wire.ResolveReply {
+	r := wire.ResolveReply{Attempt: a.ID, Report: o.report(now), State: model.AttemptForgotten}
 	if a.OwnerIncarnation != o.instance.Incarnation {
 		return r
 	}
@@ -118,7 +118,7 @@
 	switch {
 	case a.OwnerIncarnation != o.instance.Incarnation, a.OwnerClock == 0:
 		return true
-	case o.attempts[a.ID] == model.AttemptBarred:
+	case o.attempts[a.ID] == model.AttemptFenced:
 		return true
 	case o.attempts[a.ID] == model.AttemptNeverSeen:
 		return o.late(now, a)
--- a/internal/entry/place.go
+++ b/internal/entry/place.go
@@ -55,9 +55,9 @@
 // placeCost returns what placing the request once more costs.
 func (c *Call) placeCost() int64 {
 	if c.loaded {
-		return c.engine.tuning.Shed
+		return c.engine.tuning.ShedCost
 	}
-	return c.engine.tuning.Place
+	return c.engine.tuning.PlaceCost
 }
 
 // retry goes on after an attempt that may have run, when its request is
@@ -95,7 +95,7 @@
 func (c *Call) exhausted(now time.Time) {
 	switch {
 	case c.sends == 0:
-		c.giveUp(c.engine.table.Lack(c.queryAt(now)))
+		c.giveUp(c.engine.table.NoUpstreamReason(c.queryAt(now)))
 		return
 	case c.named.home != "":
 		c.giveUp(c.reason)
@@ -107,7 +107,7 @@
 	}
 	until := c.nextRound(now)
 	unknownEnd := !c.passing && !c.keyed()
-	if c.loaded || unknownEnd || c.rounds == c.engine.tuning.Rounds || c.sends >= maxSends || !until.Before(c.deadline) {
+	if c.loaded || unknownEnd || c.rounds == c.engine.tuning.MaxRounds || c.sends >= maxSends || !until.Before(c.deadline) {
 		c.giveUp(c.reason)
 		return
 	}
@@ -125,7 +125,7 @@
 // that is not ready will be, or one out of reach comes back, nobody knows.
 func passes(r model.Reason) bool {
 	switch r {
-	case model.ReasonPaused, model.ReasonIncarnation, model.ReasonStale, model.ReasonBarred:
+	case model.ReasonPaused, model.ReasonIncarnation, model.ReasonStale, model.ReasonFenced:
 		return true
 	}
 	return false
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -19,13 +19,13 @@
 	c.life = r.Incarnation
 	c.clock = r.Clock
 	c.hasReport = true
-	c.starts.hear(r.StartedShare())
+	c.starts.hear(r.ImmediateStartShare())
 }
 
-// Held tells how much of the current attempt's time the owner accounts for: its
+// SetOwnerTime tells how much of the current attempt's time the owner accounts for: its
 // queue and its worker. What is left is the way's. The adapter calls it before
 // Answered.
-func (c *Call) Held(t wire.Times) {
+func (c *Call) SetOwnerTime(t wire.AttemptTimes) {
 	if c.phase == phaseSent {
 		c.held = t.Queued + t.Worker
 	}
@@ -103,28 +103,28 @@
 	case model.ReasonDelegated:
 		if c.bound() && c.replaceable() {
 			c.delegate()
-			c.named.home, c.named.lent = r.Home, r.Lent
+			c.named.home, c.named.lent = r.OnlyOwner, r.Granted
 			c.phase = phasePlace
 			return
 		}
 	case model.ReasonBusy:
 		c.moveOn(now)
 		return
-	case model.ReasonHeldBack:
+	case model.ReasonDeferred:
 		c.placeHeld(now, r)
 		return
-	case model.ReasonTenantLimit, model.ReasonPutAside, model.ReasonNoRoute, model.ReasonBodyTooLarge, model.ReasonBadRequest, model.ReasonCancelled:
+	case model.ReasonTenantLimit, model.ReasonQuarantined, model.ReasonNoRoute, model.ReasonBodyTooLarge, model.ReasonBadRequest, model.ReasonCancelled:
 		c.giveUp(r.Reason)
 		return
 	}
 	c.placeElsewhere(now)
 }
 
-// Broken reports that the way to the owner broke, or an answer was cut, after
+// Interrupted reports that the way to the owner broke, or an answer was cut, after
 // bytes had left, or that the step's Until passed without an answer.
 // sentToCaller tells that part of an answer has gone on already; it may come
 // after Answered, when the rest of a streamed answer is missing.
-func (c *Call) Broken(now time.Time, sentToCaller bool) {
+func (c *Call) Interrupted(now time.Time, sentToCaller bool) {
 	if c.phase == phaseEnd && c.outcome == model.OutcomeAnswered && sentToCaller {
 		c.end(model.OutcomeUnknown, model.ReasonLinkBroken)
 		return
@@ -154,7 +154,7 @@
 // so that a settlement would prove nothing more.
 func (c *Call) unproved(now time.Time, reason model.Reason) {
 	c.reason = reason
-	if reason == model.ReasonWorkerEnded {
+	if reason == model.ReasonWorkerCrashed {
 		c.ends++
 		c.named.endedAt = c.to.ID
 	}
@@ -166,15 +166,15 @@
 		if !c.retry(now) {
 			c.giveUp(reason)
 		}
-	case reason == model.ReasonWorkerBroken, reason == model.ReasonWorkerEnded:
+	case reason == model.ReasonWorkerBroken, reason == model.ReasonWorkerCrashed:
 		c.giveUp(reason)
 	default:
 		c.phase = phaseSettle
 	}
 }
 
-// CallerGone reports that the caller gave up.
-func (c *Call) CallerGone(now time.Time) {
+// CallerCancelled reports that the caller gave up.
+func (c *Call) CallerCancelled(now time.Time) {
 	if c.phase == phaseEnd {
 		return
 	}
@@ -187,6 +187,6 @@
 // done tells the table that the attempt in flight ended.
 func (c *Call) done(now time.Time, r route.Result) {
 	r.Latency = now.Sub(c.sentAt)
-	r.Held = c.held
+	r.OwnerTime = c.held
 	c.engine.table.Done(now, c.to.ID, r)
 }
--- a/internal/entry/settle.go
+++ b/internal/entry/settle.go
@@ -11,7 +11,7 @@
 func (c *Call) settleStep(now time.Time) Step {
 	attempt := c.current
 	attempt.Remaining = c.deadline.Sub(now)
-	return Step{Kind: StepSettle, To: c.to, Attempt: attempt, Until: c.until}
+	return Step{Kind: StepResolve, To: c.to, Attempt: attempt, Until: c.until}
 }
 
 // ask begins a settlement, for which the owner has a time that doubles with
@@ -28,15 +28,15 @@
 	return c.phase == phaseAsked || c.phase == phaseWait && c.after == phaseSettle
 }
 
-// Settled reports the owner's settlement. A reply about another attempt is no
+// Resolved reports the owner's settlement. A reply about another attempt is no
 // answer. Started, done and forgotten are final: the answer was lost with its
 // connection, and asking again could not bring it back.
-func (c *Call) Settled(now time.Time, r wire.SettleReply) {
+func (c *Call) Resolved(now time.Time, r wire.ResolveReply) {
 	if !c.settling() {
 		return
 	}
 	if r.Attempt != c.current.ID {
-		c.SettleFailed(now)
+		c.ResolveFailed(now)
 		return
 	}
 	if !c.provesNotRun(r) {
@@ -49,20 +49,20 @@
 
 // provesNotRun tells whether the reply proves that the current attempt did not
 // and will not run. Only the incarnation that the attempt was bound to can tell.
-func (c *Call) provesNotRun(r wire.SettleReply) bool {
+func (c *Call) provesNotRun(r wire.ResolveReply) bool {
 	if r.Report.Owner != c.to.ID || r.Report.Incarnation != c.current.OwnerIncarnation {
 		return false
 	}
 	switch r.State {
-	case model.AttemptNeverSeen, model.AttemptQueued, model.AttemptBarred:
+	case model.AttemptNeverSeen, model.AttemptQueued, model.AttemptFenced:
 		return true
 	}
 	return false
 }
 
-// SettleFailed reports that the owner could not be asked this time. It is asked
+// ResolveFailed reports that the owner could not be asked this time. It is asked
 // again after a doubling, jittered wait, until the deadline.
-func (c *Call) SettleFailed(now time.Time) {
+func (c *Call) ResolveFailed(now time.Time) {
 	if c.phase != phaseAsked {
 		return
 	}
--- a/internal/entry/step.go
+++ b/internal/entry/step.go
@@ -14,12 +14,12 @@
 // The steps.
 const (
 	// StepSend: send Attempt to To, then report Answered, Refused or Broken;
-	// Broken at Until at the latest. An owner that has not begun to answer at TakenUpBy
+	// Interrupted at Until at the latest. An owner that has not begun to answer at AcknowledgeBy
 	// is reported as Refused for ReasonNotTakenUp, once nothing can run there any more.
 	StepSend StepKind = iota
-	// StepSettle: ask To what became of Attempt, then report Settled or
-	// SettleFailed; SettleFailed at Until at the latest.
-	StepSettle
+	// StepResolve: ask To what became of Attempt, then report Settled or
+	// ResolveFailed; ResolveFailed at Until at the latest.
+	StepResolve
 	// StepWait: wait until Until, then ask Next again.
 	StepWait
 	// StepEnd: tell the caller Outcome; the call is over.
@@ -42,11 +42,11 @@
 	To      model.Instance
 	Attempt model.Attempt
 	Until   time.Time
-	// TakenUpBy, when set on StepSend, is when the attempt is withdrawn unless its owner
+	// AcknowledgeBy, when set on StepSend, is when the attempt is withdrawn unless its owner
 	// has begun to answer; zero lets the body leave at once.
-	TakenUpBy time.Time
-	// Believed is what the choice of To rested on, for logs; for StepSend.
-	Believed route.Belief
+	AcknowledgeBy time.Time
+	// Estimate is what the choice of To rested on, for logs; for StepSend.
+	Estimate route.EstimateSummary
 	// HedgeAt, when set on StepSend, is when the adapter may call Call.Hedge.
 	HedgeAt time.Time
 	// Outcome, Reason and RetryAfter are for StepEnd with no answer. RetryAfter
--- a/internal/entry/takeup.go
+++ b/internal/entry/takeup.go
@@ -26,7 +26,7 @@
 // begun to answer; zero where the body leaves at once: this node's own owner always
 // answers, and one that was heard just now is in reach.
 func (c *Call) takeUpTime(now time.Time) time.Time {
-	if c.to.ID == c.engine.cfg.Self.ID || c.believed.Heard && c.believed.Age < heardAge {
+	if c.to.ID == c.engine.cfg.Self.ID || c.believed.Reported && c.believed.Age < heardAge {
 		return time.Time{}
 	}
 	patience := takeUpMost
--- a/internal/entry/takeup_test.go
+++ b/internal/entry/takeup_test.go
@@ -9,7 +9,7 @@
 )
 
 func notTakenUp(s *script) {
-	s.call.Refused(s.now, model.Refusal{Reason: model.ReasonNotTakenUp, NotRun: true})
+	s.call.Refused(s.now, model.Refusal{Reason: model.ReasonNotAcknowledged, NotRun: true})
 }
 
 func TestAnOwnerHasAPartOfTheObjectiveToTakeAnAttemptUp(t *testing.T) {
@@ -28,7 +28,7 @@
 		class.ObjectiveMs = tt.objectiveMs
 		r.Target.Class = &class
 		step := testEngine(newFakeTable(2)).Begin(epoch, r).Next(epoch)
-		if got := step.TakenUpBy.Sub(epoch); got != tt.want {
+		if got := step.AcknowledgeBy.Sub(epoch); got != tt.want {
 			t.Errorf("%s: %s, want %s", tt.name, got, tt.want)
 		}
 	}
@@ -38,8 +38,8 @@
 	table := newFakeTable(1)
 	e := testEngine(table)
 	e.cfg.Self.ID = e.Begin(epoch, testRequest()).Next(epoch).To.ID
-	if step := e.Begin(epoch, testRequest()).Next(epoch); !step.TakenUpBy.IsZero() {
-		t.Errorf("withdrawn after %s", step.TakenUpBy.Sub(epoch))
+	if step := e.Begin(epoch, testRequest()).Next(epoch); !step.AcknowledgeBy.IsZero() {
+		t.Errorf("withdrawn after %s", step.AcknowledgeBy.Sub(epoch))
 	}
 }
 
@@ -72,12 +72,12 @@
 func TestTheBodyLeavesAtOnceForAnOwnerThatWasHeardJustNow(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
-		believed route.Belief
+		believed route.EstimateSummary
 		withheld bool
 	}{
-		{"never heard", route.Belief{}, true},
-		{"heard just now", route.Belief{Heard: true, Age: heardAge / 2}, false},
-		{"heard a while ago", route.Belief{Heard: true, Age: heardAge}, true},
+		{"never heard", route.EstimateSummary{}, true},
+		{"heard just now", route.EstimateSummary{Reported: true, Age: heardAge / 2}, false},
+		{"heard a while ago", route.EstimateSummary{Reported: true, Age: heardAge}, true},
 	} {
 		s := start(t, 2)
 		s.call.believed = tt.believed
--- a/internal/entry/world_faults_test.go
+++ b/internal/entry/world_faults_test.go
@@ -14,7 +14,7 @@
 func (w *world) breakLink(t *rapid.T) {
 	l := w.awaiting(t, StepSend)
 	l.awaits = false
-	l.call.Broken(w.now, false)
+	l.call.Interrupted(w.now, false)
 }
 
 // noConnection reports an attempt whose message never left.
@@ -42,19 +42,19 @@
 }
 
 func (w *world) settle(t *rapid.T) {
-	l := w.awaiting(t, StepSettle)
+	l := w.awaiting(t, StepResolve)
 	l.awaits = false
 	a := l.step.Attempt
 	switch rapid.IntRange(0, 3).Draw(t, "way") {
 	case 0:
-		l.call.SettleFailed(w.now)
+		l.call.ResolveFailed(w.now)
 	case 1:
 		w.owner(a.Owner).settle(w.now, a)
-		l.call.SettleFailed(w.now)
+		l.call.ResolveFailed(w.now)
 	case 2:
-		l.call.Settled(w.now, wire.SettleReply{Attempt: model.AttemptID{Entry: "x"}, Report: w.owner(a.Owner).report(w.now)})
+		l.call.Resolved(w.now, wire.ResolveReply{Attempt: model.AttemptID{Entry: "x"}, Report: w.owner(a.Owner).report(w.now)})
 	default:
-		l.call.Settled(w.now, w.owner(a.Owner).settle(w.now, a))
+		l.call.Resolved(w.now, w.owner(a.Owner).settle(w.now, a))
 	}
 }
 
@@ -86,5 +86,5 @@
 	w.rarely(t)
 	l := draw(t, w.calls, func(l *liveCall) bool { return !l.ended })
 	l.awaits = false
-	l.call.CallerGone(w.now)
+	l.call.CallerCancelled(w.now)
 }
--- a/internal/entry/world_test.go
+++ b/internal/entry/world_test.go
@@ -91,7 +91,7 @@
 	return w.choice(w.home(id)), true
 }
 
-func (w *world) Named(_ time.Time, _ *route.Query, id model.InstanceID) (route.Choice, bool) {
+func (w *world) PickInstance(_ time.Time, _ *route.Query, id model.InstanceID) (route.Choice, bool) {
 	for _, o := range w.owners {
 		if o.instance.ID == id {
 			return w.choice(o), true
@@ -113,7 +113,7 @@
 	return route.Choice{Instance: in, OwnerClock: h.report.Clock + w.now.Sub(h.at)}
 }
 
-func (w *world) Lack(*route.Query) model.Reason { return model.ReasonNoUpstream }
+func (w *world) NoUpstreamReason(*route.Query) model.Reason { return model.ReasonNoUpstream }
 
 func (w *world) Sent(_ time.Time, id model.InstanceID) { w.inFlight[id]++ }
 
@@ -165,7 +165,7 @@
 	switch s.Kind {
 	case StepSend:
 		w.send(t, l)
-	case StepSettle:
+	case StepResolve:
 		l.awaits = true
 	case StepWait:
 		if s.Until.After(l.call.Deadline()) || !s.Until.After(w.now) {
@@ -254,7 +254,7 @@
 func (w *world) refuse(o *fakeOwner, a *model.Attempt, r model.Refusal) {
 	w.reply(&reply{attempt: a.ID, report: o.report(w.now), refusal: r})
 	switch r.Reason {
-	case model.ReasonIncarnation, model.ReasonBarred, model.ReasonStale, model.ReasonDuplicateRunning:
+	case model.ReasonIncarnation, model.ReasonFenced, model.ReasonStale, model.ReasonDuplicateRunning:
 		return
 	}
 	if l := w.byID[a.ID]; !a.Delegated {
@@ -396,7 +396,7 @@
 	switch l := w.focus; {
 	case !l.awaits:
 		w.step(t)
-	case l.step.Kind == StepSettle:
+	case l.step.Kind == StepResolve:
 		w.settle(t)
 	default:
 		w.carry(t, l.step.Attempt)
--- a/internal/event/member.go
+++ b/internal/event/member.go
@@ -19,7 +19,7 @@
 	SuspicionRefuted = define(305, zerolog.WarnLevel, "suspicion against this node refuted",
 		"Peers could not reach this node, which objected.",
 		"When it repeats, look at this host's network and at pauses.")
-	PartitionDoubted = define(306, zerolog.WarnLevel, "data centre unreachable, nobody declared gone",
+	PartitionSuspected = define(306, zerolog.WarnLevel, "data centre unreachable, nobody declared gone",
 		"Too large a share of a data centre's instances looks dead at once, or none of it can be reached: taken for a partition.",
 		"Look at the network between the data centres; work goes on with what can be reached.")
 	IncarnationRaised = define(307, zerolog.WarnLevel, "own incarnation raised",
@@ -33,7 +33,7 @@
 	ListStale = define(310, zerolog.WarnLevel, "platform's list older than known",
 		"The platform served an older revision of the list than one already seen; it was dropped.",
 		"Look at the platform's service: it serves stale content.")
-	ListDistrusted = define(311, zerolog.ErrorLevel, "platform's list lacks too many instances",
+	ListIncomplete = define(311, zerolog.ErrorLevel, "platform's list lacks too many instances",
 		"A full list lacks more than a third of the instances that earlier ones named; none is removed for it.",
 		"Look at the platform's service.")
 	ListSaysLeaving = define(312, zerolog.WarnLevel, "platform's list says that this instance leaves",
--- a/internal/event/process.go
+++ b/internal/event/process.go
@@ -16,7 +16,7 @@
 	Suspended = define(112, zerolog.WarnLevel, "machine was suspended",
 		"The machine stood still for that many milliseconds, which the steady clock does not count. What the node knew is taken to be older by that.",
 		"Find out who suspends the machine. Time-outs that were running then last longer by it.")
-	HintsDropped = define(114, zerolog.WarnLevel, "what calls showed was left out",
+	CallHintsDropped = define(114, zerolog.WarnLevel, "what calls showed was left out",
 		"The queue of the node's core was full, so that calls went on without telling it what they had seen: newer versions, owners that gave no answer or that peers cannot reach. How many times since the last such line. Later calls show it again.",
 		"The process is starved, or its core is stuck: look at event 104 and at its processor time.")
 	SuspensionUnknown = define(113, zerolog.WarnLevel, "suspensions cannot be seen",
@@ -30,7 +30,7 @@
 	StopStepEnded = define(108, zerolog.InfoLevel, "stop step ended",
 		"A step of a planned stop ended: when it began after the stop did and how long it took in milliseconds, and how many callers' requests and other entries' attempts were in hand at its end.",
 		"None, unless the steps before the caller drain take most of stop_timeout_ms: then look for peers that stand still.")
-	PartFailed = define(111, zerolog.ErrorLevel, "part failed, the node goes on",
+	ComponentFailed = define(111, zerolog.ErrorLevel, "part failed, the node goes on",
 		"What serves one request or no request panicked, or a part did not end with the node. The request is told that its outcome is unknown, where that has not been settled.",
 		"Report the stack, with the version.")
 	ServerError = define(107, zerolog.ErrorLevel, "HTTP server reported",
--- a/internal/event/spread.go
+++ b/internal/event/spread.go
@@ -22,7 +22,7 @@
 	ConfigUnreachable = define(225, zerolog.WarnLevel, "configuration service does not answer",
 		"This node's reading of the index failed or timed out. The fleet keeps its versions, and some node tries again about once a second.",
 		"Look at the configuration service when it lasts.")
-	ConfigAnswers = define(226, zerolog.InfoLevel, "configuration service answers again",
+	ConfigRecovered = define(226, zerolog.InfoLevel, "configuration service answers again",
 		"A reading of the index succeeded after one had failed or was stale.", "none")
 	ConfigUnconfirmed = define(227, zerolog.WarnLevel, "bundles are not confirmed",
 		"For the time in the detail no reading, by this node or a peer, has confirmed the versions in force.",
@@ -32,13 +32,13 @@
 		"Publish a version of one of the two without the service or route.")
 	BundlesReady = define(229, zerolog.InfoLevel, "bundles ready",
 		"The node has asked its peers and the platform and holds every version that they named.", "none")
-	BundlesReadyAlone = define(230, zerolog.WarnLevel, "bundles ready on the platform's word alone",
+	BundlesReadyUnconfirmed = define(230, zerolog.WarnLevel, "bundles ready on the platform's word alone",
 		"No peer answered, so nobody could tell whether the configuration service is stale. The node serves, unconfirmed.",
 		"Look at the links of this node when other nodes are up.")
 	BundleUnobtainable = define(231, zerolog.WarnLevel, "bundle version cannot be had",
 		"A version was named by a peer, a call or the index, but nobody has sent it for a minute.",
 		"Compare the version with what is published; look at the platform and the links.")
-	BundleNotKept = define(232, zerolog.WarnLevel, "bundle is not passed on",
+	BundleNotForwarded = define(232, zerolog.WarnLevel, "bundle is not passed on",
 		"The signed bytes of all bundles together are over this node's bound, so it keeps this one in force but does not send it to peers.",
 		"Publish smaller or fewer bundles.")
 )
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -268,7 +268,7 @@
 	total := uint64(0)
 	for _, m := range fleet.Members() {
 		total += m.Worker.Counters().Measuring
-		total += m.Node.Core().Origin.Counts().Sent
+		total += m.Node.Core().EntryLimiter.Counts().Sent
 	}
 	return total
 }
--- a/internal/failure/deadly_test.go
+++ b/internal/failure/deadly_test.go
@@ -142,7 +142,7 @@
 	t.Helper()
 	sent := c.sendings()
 	last := sent[len(sent)-1]
-	if last.outcome != notRun || last.reason != model.ReasonPutAside.String() || last.told.status != http.StatusServiceUnavailable {
+	if last.outcome != notRun || last.reason != model.ReasonQuarantined.String() || last.told.status != http.StatusServiceUnavailable {
 		t.Errorf("the last sending of the deadly request: told %d %s %s", last.told.status, last.outcome, last.reason)
 	}
 	for _, m := range f.Members() {
--- a/internal/failure/input_test.go
+++ b/internal/failure/input_test.go
@@ -187,7 +187,7 @@
 func TestMalformedMessagesOnALinkLeaveTheNodeServing(t *testing.T) {
 	f := sharedFleet(t)
 	owner := of(f, "ledger")[0]
-	hello, err := wire.Encode(wire.Hello{Instance: model.Instance{ID: "stranger"}, Brief: true})
+	hello, err := wire.Encode(wire.Hello{Instance: model.Instance{ID: "stranger"}, Transient: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -197,12 +197,12 @@
 	}{
 		{"no hello", [][]byte{[]byte("junk")}},
 		{"a hello of nobody", [][]byte{mustEncode(t, wire.Hello{})}},
-		{"another message first", [][]byte{mustEncode(t, wire.Settle{})}},
+		{"another message first", [][]byte{mustEncode(t, wire.Resolve{})}},
 		{"junk after the hello", [][]byte{hello, []byte("junk"), nil, []byte(strings.Repeat("\x81", 1000))}},
 		{"an unknown kind", [][]byte{hello, {0xa3, 1, 1, 2, 0x19, 0x7f, 0xff, 3, 0xa0}}},
 		{"an unknown version", [][]byte{hello, {0xa3, 1, 0x18, 99, 2, 10, 3, 0xa0}}},
 		{"a message over the bound", [][]byte{hello, make([]byte, wire.MaxMessageBytes+1)}},
-		{"a settlement of nothing", [][]byte{hello, mustEncode(t, wire.Settle{}), mustEncode(t, wire.SettleReply{}), mustEncode(t, wire.KeyResult{})}},
+		{"a settlement of nothing", [][]byte{hello, mustEncode(t, wire.Resolve{}), mustEncode(t, wire.ResolveReply{}), mustEncode(t, wire.KeyResult{})}},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/failure/stopsilent_test.go
+++ b/internal/failure/stopsilent_test.go
@@ -32,7 +32,7 @@
 	}
 	t.Cleanup(func() { _ = ws.CloseNow() }) // the node may have closed it
 	p := &silentPeer{ws}
-	p.say(t, wire.Hello{Instance: model.Instance{ID: "silent-1", Service: "raw", DataCentre: "dc1", PeerAddress: "127.0.0.1:1"}, Brief: true})
+	p.say(t, wire.Hello{Instance: model.Instance{ID: "silent-1", Service: "raw", DataCentre: "dc1", PeerAddress: "127.0.0.1:1"}, Transient: true})
 	if _, _, err := ws.Read(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 		for range asksBetweenLooks {
 			asked++
 			id := model.AttemptID{Entry: "silent-1", Incarnation: 1, Sequence: asked}
-			p.say(t, wire.Settle{Attempt: id, Request: "none", Remaining: time.Second})
+			p.say(t, wire.Resolve{Attempt: id, Request: "none", Remaining: time.Second})
 		}
 		sentBefore, lostBefore := sent, lost
 		sent, lost = linkMessages(t, m, "out"), linkMessages(t, m, "dropped")
--- a/internal/fake/worker/worker_test.go
+++ b/internal/fake/worker/worker_test.go
@@ -225,7 +225,7 @@
 		if !errors.Is(r.err, io.ErrUnexpectedEOF) || len(r.body) != 250 {
 			t.Errorf("%d bytes, %v; want 250 and an unexpected end", len(r.body), r.err)
 		}
-		if err := answer.Check(r.body, own(c)); !errors.Is(err, answer.ErrCut) {
+		if err := answer.Check(r.body, own(c)); !errors.Is(err, answer.ErrTruncated) {
 			t.Errorf("%v, want ErrCut", err)
 		}
 	})
@@ -247,7 +247,7 @@
 			s.change(t, test.fault)
 			second := call{path: "/a", id: "second"}
 			r := s.do(t, second)
-			if err := answer.Check(r.body, own(second)); !errors.Is(err, answer.ErrOther) {
+			if err := answer.Check(r.body, own(second)); !errors.Is(err, answer.ErrMismatch) {
 				t.Errorf("%s: %v, want ErrOther", test.name, err)
 			}
 			if err := answer.Check(r.body, own(first)); err != nil {
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -37,8 +37,8 @@
 	Leaving bool
 }
 
-// Judge holds the evidence. It is used by one goroutine at a time.
-type Judge struct {
+// Tracker holds the evidence. It is used by one goroutine at a time.
+type Tracker struct {
 	state   model.UpstreamState
 	refused int
 	bad     int
@@ -48,20 +48,20 @@
 	reachable bool
 }
 
-// NewJudge returns a judge of a worker that is taken for cold.
-func NewJudge() *Judge { return &Judge{state: model.StateCold} }
+// NewTracker returns a judge of a worker that is taken for cold.
+func NewTracker() *Tracker { return &Tracker{state: model.StateCold} }
 
-// NewReachabilityJudge returns a judge that asks of polls only whether the worker
+// NewReachabilityTracker returns a judge that asks of polls only whether the worker
 // answers at all. It is for fleets where a directory says which workers take work
 // and health answers are known to be false either way: a worker that calls itself
 // ill and gets no work could not show by its work that it is well.
-func NewReachabilityJudge() *Judge { return &Judge{state: model.StateCold, reachable: true} }
+func NewReachabilityTracker() *Tracker { return &Tracker{state: model.StateCold, reachable: true} }
 
 // State returns the present judgement.
-func (j *Judge) State() model.UpstreamState { return j.state }
+func (j *Tracker) State() model.UpstreamState { return j.state }
 
-// Polled takes a poll's outcome and returns the judgement.
-func (j *Judge) Polled(now time.Time, p Poll) model.UpstreamState {
+// ObservePoll takes a poll's outcome and returns the judgement.
+func (j *Tracker) ObservePoll(now time.Time, p Poll) model.UpstreamState {
 	if j.reachable {
 		p.OK, p.Leaving = p.Answered, false
 	}
@@ -86,9 +86,9 @@
 	return j.state
 }
 
-// Traffic takes the outcome of real work: refused tells that no connection could
+// ObserveTraffic takes the outcome of real work: refused tells that no connection could
 // be had, otherwise the worker answered.
-func (j *Judge) Traffic(now time.Time, refused bool) model.UpstreamState {
+func (j *Tracker) ObserveTraffic(now time.Time, refused bool) model.UpstreamState {
 	j.countRefused(refused)
 	if !refused {
 		j.answer = now
@@ -96,7 +96,7 @@
 	return j.state
 }
 
-func (j *Judge) countRefused(refused bool) {
+func (j *Tracker) countRefused(refused bool) {
 	if !refused {
 		j.refused = 0
 		return
@@ -108,7 +108,7 @@
 }
 
 // become changes the state; leaving is final.
-func (j *Judge) become(s model.UpstreamState) {
+func (j *Tracker) become(s model.UpstreamState) {
 	if j.state < model.StateLeaving {
 		j.state = s
 	}
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -36,11 +36,11 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			j := health.NewJudge()
+			j := health.NewTracker()
 			now := time.Unix(1000, 0)
 			for _, p := range c.polls {
 				now = now.Add(time.Second)
-				j.Polled(now, p)
+				j.ObservePoll(now, p)
 			}
 			if got := j.State(); got != c.want {
 				t.Errorf("state %v, want %v", got, c.want)
@@ -50,19 +50,19 @@
 }
 
 func TestAnswersToTrafficOutweighBadPolls(t *testing.T) {
-	j := health.NewJudge()
+	j := health.NewTracker()
 	now := time.Unix(1000, 0)
-	j.Polled(now, ok)
+	j.ObservePoll(now, ok)
 	for range 10 {
 		now = now.Add(100 * time.Millisecond)
-		j.Traffic(now, false)
-		j.Polled(now, bad)
+		j.ObserveTraffic(now, false)
+		j.ObservePoll(now, bad)
 	}
 	if got := j.State(); got != model.StateLive {
 		t.Errorf("with traffic answered: state %v, want live", got)
 	}
 	now = now.Add(2 * time.Second)
-	if got := j.Polled(now, bad); got != model.StateCold {
+	if got := j.ObservePoll(now, bad); got != model.StateCold {
 		t.Errorf("without traffic: state %v, want cold", got)
 	}
 }
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -47,8 +47,8 @@
 	Self func() model.Instance
 	// Sink receives LinkUp, LinkDown and Received.
 	Sink Sink
-	// Failed is told a panic in a goroutine of the manager's.
-	Failed func(error)
+	// OnPanic is told a panic in a goroutine of the manager's.
+	OnPanic func(error)
 	// TLS, when set, secures links that this node opens.
 	TLS *tls.Config
 	// Dial opens connections; nil means TCP.
@@ -144,7 +144,7 @@
 	go func() {
 		defer m.wg.Done()
 		if err := task.Do(f); err != nil {
-			m.cfg.Failed(err)
+			m.cfg.OnPanic(err)
 		}
 	}()
 }
@@ -307,7 +307,7 @@
 // greet exchanges Hello messages.
 func (m *Manager) greet(ctx context.Context, ws *websocket.Conn, brief, outgoing bool) (*connection, error) {
 	ws.SetReadLimit(wire.MaxMessageBytes)
-	data, err := wire.Encode(wire.Hello{Instance: m.cfg.Self(), Brief: brief})
+	data, err := wire.Encode(wire.Hello{Instance: m.cfg.Self(), Transient: brief})
 	if err != nil {
 		return nil, err
 	}
@@ -330,7 +330,7 @@
 		peer:     hello.Instance,
 		ws:       ws,
 		queue:    make(chan []byte, queueLength),
-		brief:    brief || hello.Brief,
+		brief:    brief || hello.Transient,
 		outgoing: outgoing,
 	}, nil
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -28,7 +28,7 @@
 	e.manager = link.New(link.Config{
 		Self:        func() model.Instance { return model.Instance{ID: id, Incarnation: 1} },
 		Sink:        func(ev control.Event) { e.events <- ev },
-		Failed:      func(err error) { t.Error(err) },
+		OnPanic:     func(err error) { t.Error(err) },
 		MaxAccepted: maxAccepted,
 	})
 	mux := http.NewServeMux()
@@ -199,7 +199,7 @@
 				panic("the cause")
 			}
 		},
-		Failed:      func(err error) { failed <- err },
+		OnPanic:     func(err error) { failed <- err },
 		MaxAccepted: 4,
 	})
 	s := httptest.NewServer(broken.Handler())
--- a/internal/load/judge.go
+++ b/internal/load/judge.go
@@ -77,7 +77,7 @@
 	switch {
 	case err == nil:
 		return verdictAnswered
-	case errors.Is(err, answer.ErrCut):
+	case errors.Is(err, answer.ErrTruncated):
 		return verdictCut
 	}
 	return verdictWrong
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -45,7 +45,7 @@
 	l.Main = zerolog.New(l.writer).Level(level).With().Timestamp().Logger()
 	l.sampler = &sampler{burst: int64(requestLines)}
 	l.Requests = l.Main.Sample(l.sampler)
-	task.Go(l.tell, func(err error) { event.Log(&l.Main, event.PartFailed).Err(err).Send() })
+	task.Go(l.tell, func(err error) { event.Log(&l.Main, event.ComponentFailed).Err(err).Send() })
 	return l
 }
 
@@ -70,7 +70,7 @@
 	if sampled == 0 && missed == 0 {
 		return
 	}
-	event.Log(&l.Main, event.LinesLeftOut).Int("over_the_bound", sampled).Int("reader_too_slow", missed).Send()
+	event.Log(&l.Main, event.LogLinesDropped).Int("over_the_bound", sampled).Int("reader_too_slow", missed).Send()
 }
 
 // Close writes what waits and ends the writer. Lines after it are lost.
--- a/internal/measure/landing.go
+++ b/internal/measure/landing.go
@@ -11,30 +11,30 @@
 // probes.
 const pollGrace = 3
 
-// LandingCounts counts the messages at one owner since its start.
-type LandingCounts struct {
+// OwnerCounts counts the messages at one owner since its start.
+type OwnerCounts struct {
 	// PollsSent reached the worker, PollsDeferred were not sent for the budget.
 	PollsSent, PollsDeferred uint64
-	// ProbesTaken were answered, ProbesRefused were over the budget.
-	ProbesTaken, ProbesRefused uint64
+	// ProbesAnswered were answered, ProbesRefused were over the budget.
+	ProbesAnswered, ProbesRefused uint64
 }
 
-// Landing admits what measures one upstream, at its owner. Polls and probes
+// OwnerLimiter admits what measures one upstream, at its owner. Polls and probes
 // together stay within the budget in any second; each kind keeps its share. It
 // is safe for concurrent use.
-type Landing struct {
+type OwnerLimiter struct {
 	mu            sync.Mutex
 	total         *spacing
 	polls, probes *spacing
 	// pollFirst is until when a poll that found no token goes before probes.
 	pollFirst time.Time
-	counts    LandingCounts
+	counts    OwnerCounts
 }
 
-// NewLanding returns a Landing that admits nothing at first: the life before a
+// NewOwnerLimiter returns a Landing that admits nothing at first: the life before a
 // restart may have used the budget up to now.
-func NewLanding(now time.Time, m bundle.Measuring) *Landing {
-	return &Landing{
+func NewOwnerLimiter(now time.Time, m bundle.Measuring) *OwnerLimiter {
+	return &OwnerLimiter{
 		total:  newSpacing(now, perSecond(m.PerUpstreamPerSecond)),
 		polls:  newSpacing(now, pollLimit(&m)),
 		probes: newSpacing(now, probeLimit(&m)),
@@ -42,7 +42,7 @@
 }
 
 // Configure applies another bundle's budget to later messages.
-func (l *Landing) Configure(now time.Time, m bundle.Measuring) {
+func (l *OwnerLimiter) Configure(now time.Time, m bundle.Measuring) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.total.setLimit(now, perSecond(m.PerUpstreamPerSecond))
@@ -54,7 +54,7 @@
 // the worker asks for itself, right before it is sent: a permission kept over a
 // pause of the process would be a message too many. A poll within its share that
 // finds the budget used up by a probe goes before later probes.
-func (l *Landing) AllowPoll(now time.Time) bool {
+func (l *OwnerLimiter) AllowPoll(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.polls.ready(now) {
@@ -74,7 +74,7 @@
 
 // AllowProbe tells whether a probe of an entry node is answered. One that is
 // not is dropped without any work.
-func (l *Landing) AllowProbe(now time.Time) bool {
+func (l *OwnerLimiter) AllowProbe(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now.Before(l.pollFirst) || !l.probes.ready(now) || !l.total.allow(now) {
@@ -82,18 +82,18 @@
 		return false
 	}
 	l.probes.allow(now)
-	l.counts.ProbesTaken++
+	l.counts.ProbesAnswered++
 	return true
 }
 
 // Counts returns the counters.
-func (l *Landing) Counts() LandingCounts {
+func (l *OwnerLimiter) Counts() OwnerCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counts
 }
 
-func (l *Landing) grace() time.Duration {
+func (l *OwnerLimiter) grace() time.Duration {
 	limit := float64(l.total.limiter.Limit())
 	return time.Duration(pollGrace / limit * float64(time.Second))
 }
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -52,13 +52,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMeasuring(t)
 		now := start
-		l := NewLanding(now, m)
+		l := NewOwnerLimiter(now, m)
 		var taken []time.Time
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(gap(t))
 			switch rapid.IntRange(0, 19).Draw(t, "step") {
 			case 0:
-				l = NewLanding(now, m)
+				l = NewOwnerLimiter(now, m)
 			case 1:
 				// A flood.
 				for range 2000 {
@@ -85,7 +85,7 @@
 
 func TestLandingIgnoresTimeRunningBackwards(t *testing.T) {
 	m := bundle.Measuring{PerUpstreamPerSecond: 2, PollShare: 0.5}
-	l := NewLanding(start, m)
+	l := NewOwnerLimiter(start, m)
 	taken := 0
 	for i := range 100 {
 		now := start.Add(10 * time.Second)
@@ -112,7 +112,7 @@
 	} {
 		t.Run(fmt.Sprint(m), func(t *testing.T) {
 			const seconds = 100
-			l := NewLanding(start, m)
+			l := NewOwnerLimiter(start, m)
 			for ms := range seconds * 1000 {
 				now := start.Add(time.Duration(ms) * time.Millisecond)
 				l.AllowProbe(now)
@@ -128,7 +128,7 @@
 			if want := uint64(0.95 * seconds / spacing); c.PollsSent < want {
 				t.Errorf("%d polls in %d s, want at least %d (%+v)", c.PollsSent, seconds, want, c)
 			}
-			if m.PollShare < 0.9 && c.ProbesTaken == 0 {
+			if m.PollShare < 0.9 && c.ProbesAnswered == 0 {
 				t.Errorf("no probe was taken: %+v", c)
 			}
 		})
@@ -136,8 +136,8 @@
 }
 
 func TestZeroBudgetAllowsNothing(t *testing.T) {
-	l := NewLanding(start, bundle.Measuring{})
-	o := NewOrigin(nil)
+	l := NewOwnerLimiter(start, bundle.Measuring{})
+	o := NewEntryLimiter(nil)
 	for i := range 100 {
 		now := start.Add(time.Duration(i) * time.Minute)
 		if l.AllowPoll(now) || l.AllowProbe(now) || o.Allow(now, "a", bundle.Measuring{}, 1) {
@@ -147,7 +147,7 @@
 }
 
 func TestConfigureAppliesSmallerBudgetAtOnce(t *testing.T) {
-	l := NewLanding(start, bundle.Measuring{PerUpstreamPerSecond: 20, PollShare: 0.5})
+	l := NewOwnerLimiter(start, bundle.Measuring{PerUpstreamPerSecond: 20, PollShare: 0.5})
 	l.Configure(start, bundle.Measuring{PerUpstreamPerSecond: 1, PollShare: 0.5})
 	var taken []time.Time
 	for i := range 10_000 {
@@ -169,7 +169,7 @@
 		m := drawMeasuring(t)
 		m.PollShare = min(m.PollShare, 0.9)
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		o := NewOrigin(rng.Uint64)
+		o := NewEntryLimiter(rng.Uint64)
 		now, probers := start, 1
 		// earned is the part of the budget since the last probe, in probes.
 		earned := 1.0
@@ -192,7 +192,7 @@
 }
 
 // sendAll asks all origins every tick and returns what arrived when.
-func sendAll(origins []*Origin, from time.Time, d time.Duration, m bundle.Measuring) []time.Time {
+func sendAll(origins []*EntryLimiter, from time.Time, d time.Duration, m bundle.Measuring) []time.Time {
 	const tick = 100 * time.Millisecond
 	var arrived []time.Time
 	for at := time.Duration(0); at < d; at += tick {
@@ -210,9 +210,9 @@
 	const phase = 2 * time.Minute
 	m := bundle.Measuring{PerUpstreamPerSecond: 10, PollShare: 0.5}
 	rng := rand.New(rand.NewPCG(1, 2))
-	origins := make([]*Origin, nodes)
+	origins := make([]*EntryLimiter, nodes)
 	for i := range origins {
-		origins[i] = NewOrigin(rng.Uint64)
+		origins[i] = NewEntryLimiter(rng.Uint64)
 	}
 	cases := []struct {
 		name string
@@ -239,11 +239,11 @@
 
 func TestOriginBoundsItsMemory(t *testing.T) {
 	m := bundle.Measuring{PerUpstreamPerSecond: 10, PollShare: 0.5}
-	o := NewOrigin(nil)
+	o := NewEntryLimiter(nil)
 	for i := range 3 * maxTracked {
 		o.Allow(start, model.InstanceID(fmt.Sprint(i)), m, 1)
 	}
-	want := OriginCounts{Untracked: 2 * maxTracked}
+	want := EntryCounts{Untracked: 2 * maxTracked}
 	got := o.Counts()
 	got.Sent, got.Deferred = 0, 0
 	if diff := cmp.Diff(want, got); diff != "" {
--- a/internal/measure/origin.go
+++ b/internal/measure/origin.go
@@ -26,26 +26,26 @@
 	maxPeriod = time.Hour
 )
 
-// OriginCounts counts the probes of one entry node since its start.
-type OriginCounts struct {
+// EntryCounts counts the probes of one entry node since its start.
+type EntryCounts struct {
 	// Sent were allowed; Deferred were wanted before their time; Untracked were
 	// wanted while the bound on tracked upstreams was reached.
 	Sent, Deferred, Untracked uint64
 }
 
-// Origin keeps an entry node's probes to its part of each upstream's budget:
+// EntryLimiter keeps an entry node's probes to its part of each upstream's budget:
 // the probes' share, divided by the number of nodes that are likely to probe.
 // Nodes that begin to want probes at one moment (a partition heals, a data
 // centre starts, a service's traffic stops) must not send them at one moment, so
 // the first probe is planned at a random time within its period, and the next a
 // jittered period after it. A probe whose time passed unused, as over a pause of
 // the process, is planned anew like a first one. It is safe for concurrent use.
-type Origin struct {
+type EntryLimiter struct {
 	mu       sync.Mutex
 	random   func() uint64
 	upstream map[model.InstanceID]*plan
 	pruned   time.Time
-	counts   OriginCounts
+	counts   EntryCounts
 }
 
 // plan is the next probe of one upstream.
@@ -57,19 +57,19 @@
 	used time.Time
 }
 
-// NewOrigin returns an Origin that draws from random, uniform 64-bit values; nil
+// NewEntryLimiter returns an Origin that draws from random, uniform 64-bit values; nil
 // means math/rand/v2's global source.
-func NewOrigin(random func() uint64) *Origin {
+func NewEntryLimiter(random func() uint64) *EntryLimiter {
 	if random == nil {
 		random = rand.Uint64
 	}
-	return &Origin{random: random, upstream: map[model.InstanceID]*plan{}}
+	return &EntryLimiter{random: random, upstream: map[model.InstanceID]*plan{}}
 }
 
 // Allow tells whether a probe of id may be sent now under m, with the given
 // number of nodes likely to probe it. It is to be asked again and again while a
 // probe is wanted: the first time plans one.
-func (o *Origin) Allow(now time.Time, id model.InstanceID, m bundle.Measuring, probers int) bool {
+func (o *EntryLimiter) Allow(now time.Time, id model.InstanceID, m bundle.Measuring, probers int) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	limit := probeLimit(&m) / rate.Limit(max(1, probers))
@@ -93,7 +93,7 @@
 }
 
 // take uses the planned probe when its time has come, and plans one otherwise.
-func (o *Origin) take(now time.Time, p *plan, period time.Duration) bool {
+func (o *EntryLimiter) take(now time.Time, p *plan, period time.Duration) bool {
 	if now.Sub(p.due) > missedAfter {
 		p.due = now.Add(o.within(period))
 	}
@@ -105,7 +105,7 @@
 }
 
 // track returns the plan of id, or nil when no more can be tracked.
-func (o *Origin) track(now time.Time, id model.InstanceID, limit rate.Limit) *plan {
+func (o *EntryLimiter) track(now time.Time, id model.InstanceID, limit rate.Limit) *plan {
 	p := o.upstream[id]
 	if p != nil {
 		return p
@@ -122,7 +122,7 @@
 }
 
 // prune forgets upstreams whose plan no longer binds, now and then.
-func (o *Origin) prune(now time.Time) {
+func (o *EntryLimiter) prune(now time.Time) {
 	if now.Sub(o.pruned) < pruneInterval {
 		return
 	}
@@ -136,12 +136,12 @@
 }
 
 // within returns a random part of a period.
-func (o *Origin) within(period time.Duration) time.Duration {
+func (o *EntryLimiter) within(period time.Duration) time.Duration {
 	return time.Duration(o.random() % uint64(max(1, period)))
 }
 
 // Counts returns the counters.
-func (o *Origin) Counts() OriginCounts {
+func (o *EntryLimiter) Counts() EntryCounts {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.counts
--- a/internal/member/accuse.go
+++ b/internal/member/accuse.go
@@ -107,7 +107,7 @@
 // accuse spreads this node's own observation and asks others to look.
 func (c *Controller) accuse(now time.Time, x *check) {
 	c.record(event.MemberSuspected, string(x.target.ID), x.cause)
-	c.accusation(now, wire.Accusation{
+	c.accusation(now, wire.Suspicion{
 		Target: x.target.ID, Incarnation: x.target.Incarnation,
 		Counter: x.target.Counter, Observer: c.cfg.Self.ID,
 	}, c.cfg.Self.ID)
@@ -125,7 +125,7 @@
 }
 
 // accusation takes an accusation that from told.
-func (c *Controller) accusation(now time.Time, a wire.Accusation, from model.InstanceID) {
+func (c *Controller) accusation(now time.Time, a wire.Suspicion, from model.InstanceID) {
 	if a.Target == c.cfg.Self.ID {
 		c.refute(now, a)
 		return
@@ -143,7 +143,7 @@
 }
 
 // noteAccusation reports whether the accusation is news.
-func (c *Controller) noteAccusation(now time.Time, a wire.Accusation) bool {
+func (c *Controller) noteAccusation(now time.Time, a wire.Suspicion) bool {
 	k := &c.checks
 	at, ok := slices.BinarySearchFunc(k.accused, a.Target, compareAccused)
 	if !ok {
@@ -207,7 +207,7 @@
 		return
 	}
 	r, _ := c.table.get(a.id)
-	if serving(r.State) && r.ListMark != wire.ListAbsent && c.looksCutOff(r.DataCentre) {
+	if serving(r.State) && r.ListStatus != wire.ListAbsent && c.looksCutOff(r.DataCentre) {
 		c.sayDoubt(now, r.DataCentre)
 		return
 	}
@@ -268,5 +268,5 @@
 		return
 	}
 	k.doubtSaid[dc] = now
-	c.record(event.PartitionDoubted, string(dc), "")
+	c.record(event.PartitionSuspected, string(dc), "")
 }
--- a/internal/member/accuse_test.go
+++ b/internal/member/accuse_test.go
@@ -81,7 +81,7 @@
 	s.now = s.now.Add(time.Minute)
 	s.actions = nil
 	s.handle(control.Paused{For: time.Minute})
-	s.handle(control.OwnerDoubted{Owner: instance(1, 1, 0), NoConnection: true})
+	s.handle(control.OwnerUnresponsive{Owner: instance(1, 1, 0), NoConnection: true})
 	s.run(2 * time.Second)
 	if recorded(s.actions, event.MemberSuspected) || len(s.c.Links()) != 4 {
 		t.Errorf("%d links and actions %v just after a pause", len(s.c.Links()), s.actions)
@@ -97,7 +97,7 @@
 	for _, a := range s.handle(control.Tick{}) {
 		if send, ok := a.(control.Send); ok {
 			if r, ok := send.Message.(wire.Rumours); ok {
-				for _, x := range r.Accusations {
+				for _, x := range r.Suspicions {
 					told[x.Target] = true
 				}
 			}
--- a/internal/member/check.go
+++ b/internal/member/check.go
@@ -190,7 +190,7 @@
 		c.send(l.peer, wire.ProbeReply{})
 		return
 	case c.cfg.Self.ID:
-		c.refute(now, wire.Accusation{Target: m.Target, Incarnation: m.Incarnation, Counter: m.Counter, Observer: l.peer})
+		c.refute(now, wire.Suspicion{Target: m.Target, Incarnation: m.Incarnation, Counter: m.Counter, Observer: l.peer})
 		return
 	}
 	r, ok := c.table.get(m.Target)
--- a/internal/member/explore.go
+++ b/internal/member/explore.go
@@ -77,7 +77,7 @@
 		if !ok || r.State != model.StateGone || r.Incarnation != t.incarnation {
 			continue
 		}
-		if r.ListMark <= wire.ListLive && c.unlinked(r) {
+		if r.ListStatus <= wire.ListLive && c.unlinked(r) {
 			out = append(out, r)
 		}
 	}
--- a/internal/member/failure_test.go
+++ b/internal/member/failure_test.go
@@ -129,7 +129,7 @@
 	if gone > 20/lossShare+1 {
 		t.Errorf("%d of 20 instances of a data centre declared gone at once", gone)
 	}
-	if f.eventCount(event.PartitionDoubted) == 0 {
+	if f.eventCount(event.PartitionSuspected) == 0 {
 		t.Error("no event tells the doubt")
 	}
 }
--- a/internal/member/fleetview_test.go
+++ b/internal/member/fleetview_test.go
@@ -14,7 +14,7 @@
 	"gypsumstand/internal/wire"
 )
 
-func (f *fleet) say(n *node, s model.UpstreamState) { f.handle(n, control.SelfChanged{State: s}) }
+func (f *fleet) say(n *node, s model.UpstreamState) { f.handle(n, control.SelfStateChanged{State: s}) }
 
 func TestLeavingIsKnownEverywhereWithinASecond(t *testing.T) {
 	f := grown(t, 100, 5, 20*time.Second)
@@ -77,7 +77,7 @@
 
 func isReject(m wire.Message) bool {
 	r, ok := m.(wire.LinkReject)
-	return ok && len(r.Others) > 0
+	return ok && len(r.Alternatives) > 0
 }
 
 // lone returns a controller without a fleet around it.
@@ -136,7 +136,7 @@
 		"long id":          func(r *wire.MemberRecord) { r.ID = model.InstanceID(make([]byte, maxNameBytes+1)) },
 		"long address":     func(r *wire.MemberRecord) { r.PeerAddress = string(make([]byte, maxAddressBytes+1)) },
 		"unknown state":    func(r *wire.MemberRecord) { r.State = model.StateGone + 1 },
-		"unknown mark":     func(r *wire.MemberRecord) { r.ListMark = wire.ListAbsent + 1 },
+		"unknown mark":     func(r *wire.MemberRecord) { r.ListStatus = wire.ListAbsent + 1 },
 		"last incarnation": func(r *wire.MemberRecord) { r.Incarnation = ^model.Incarnation(0) },
 	}
 	for name, spoil := range cases {
--- a/internal/member/gossip.go
+++ b/internal/member/gossip.go
@@ -32,7 +32,7 @@
 }
 
 type accusationRumour struct {
-	accusation wire.Accusation
+	accusation wire.Suspicion
 	from       model.InstanceID
 }
 
@@ -96,12 +96,12 @@
 		return
 	}
 	batch := c.gossip.take()
-	n := min(len(c.gossip.accused), wire.MaxAccusations)
+	n := min(len(c.gossip.accused), wire.MaxSuspicions)
 	accused := c.gossip.accused[:n]
 	c.gossip.accused = slices.Clone(c.gossip.accused[n:])
 	for _, l := range open {
-		m := wire.Rumours{Records: c.recordsFor(l.peer, batch), Accusations: accusationsFor(l.peer, accused)}
-		if len(m.Records)+len(m.Accusations) > 0 {
+		m := wire.Rumours{Records: c.recordsFor(l.peer, batch), Suspicions: accusationsFor(l.peer, accused)}
+		if len(m.Records)+len(m.Suspicions) > 0 {
 			c.send(l.peer, m)
 		}
 	}
@@ -118,8 +118,8 @@
 	return out
 }
 
-func accusationsFor(peer model.InstanceID, accused []accusationRumour) []wire.Accusation {
-	var out []wire.Accusation
+func accusationsFor(peer model.InstanceID, accused []accusationRumour) []wire.Suspicion {
+	var out []wire.Suspicion
 	for _, a := range accused {
 		if a.from != peer {
 			out = append(out, a.accusation)
@@ -133,7 +133,7 @@
 // instances that were not known at all: that this node lacked them says nothing
 // of others.
 func (c *Controller) rumours(now time.Time, l *link, m wire.Rumours) {
-	if len(m.Records) > wire.MaxMemberRecords || len(m.Accusations) > wire.MaxAccusations {
+	if len(m.Records) > wire.MaxMemberRecords || len(m.Suspicions) > wire.MaxSuspicions {
 		c.recordRarely(now, event.MemberMalformed, string(l.peer), "too many rumours in one message")
 		return
 	}
@@ -152,7 +152,7 @@
 	if len(newer) > 0 {
 		c.send(l.peer, wire.Rumours{Records: newer})
 	}
-	for _, a := range m.Accusations {
+	for _, a := range m.Suspicions {
 		c.accusation(now, a, l.peer)
 	}
 }
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -142,7 +142,7 @@
 
 // heardList takes a peer's beacon that was on its way for at most waited.
 func (c *Controller) heardList(now time.Time, l *link, ages wire.ListAges, waited time.Duration) {
-	c.list.timer.Heard(now, older(ages.Attempt.Duration(), waited), older(ages.Confirmed.Duration(), waited))
+	c.list.timer.ObservePeer(now, older(ages.Attempt.Duration(), waited), older(ages.Confirmed.Duration(), waited))
 	c.list.note(now, ages.Revision)
 	c.relayList(now, l.peer)
 }
@@ -186,7 +186,7 @@
 
 func (c *Controller) endRead(now time.Time, ok bool) {
 	c.list.reading = time.Time{}
-	c.list.timer.Own(now, ok)
+	c.list.timer.ReadDone(now, ok)
 	c.relayList(now, "")
 }
 
@@ -200,7 +200,7 @@
 	c.list.stale = false
 	c.list.note(now, e.Revision)
 	if e.Full && c.lacksTooMany(e) {
-		c.record(event.ListDistrusted, "", "")
+		c.record(event.ListIncomplete, "", "")
 		c.applyList(now, e)
 		c.endRead(now, false)
 		return
@@ -239,10 +239,10 @@
 	if !known || r.Incarnation == 0 && mark != wire.ListAbsent {
 		r = c.firstSeen(revision, i, before)
 	}
-	if before.ListMark != mark {
-		r.ListRevision, r.ListMark = revision, mark
+	if before.ListStatus != mark {
+		r.ListRevision, r.ListStatus = revision, mark
 	}
-	turned := before.ListMark == wire.ListLive || before.Incarnation == 0
+	turned := before.ListStatus == wire.ListLive || before.Incarnation == 0
 	if mark == wire.ListLeaving && turned && serving(r.State) {
 		r.State = model.StateLeaving
 	}
@@ -273,7 +273,7 @@
 
 // markOf returns the mark for a state on the list. What is gone is as good as
 // absent.
-func markOf(s model.UpstreamState) wire.ListMark {
+func markOf(s model.UpstreamState) wire.ListStatus {
 	switch s {
 	case model.StateLeaving:
 		return wire.ListLeaving
@@ -284,7 +284,7 @@
 	}
 }
 
-func listed(m wire.ListMark) bool { return m == wire.ListLive || m == wire.ListLeaving }
+func listed(m wire.ListStatus) bool { return m == wire.ListLive || m == wire.ListLeaving }
 
 // lacksTooMany reports whether a full list lacks so many instances that earlier
 // ones named that it is more likely wrong than true.
@@ -294,7 +294,7 @@
 	on := onList(e)
 	for _, id := range c.table.order {
 		r := c.table.entries[id].rec
-		if !serving(r.State) || r.ListMark != wire.ListLive {
+		if !serving(r.State) || r.ListStatus != wire.ListLive {
 			continue
 		}
 		named++
@@ -311,8 +311,8 @@
 	var absent []wire.MemberRecord
 	for _, id := range c.table.order {
 		r := c.table.entries[id].rec
-		if listed(r.ListMark) && !on[id] {
-			r.ListRevision, r.ListMark = e.Revision, wire.ListAbsent
+		if listed(r.ListStatus) && !on[id] {
+			r.ListRevision, r.ListStatus = e.Revision, wire.ListAbsent
 			absent = append(absent, r)
 		}
 	}
--- a/internal/member/listword_test.go
+++ b/internal/member/listword_test.go
@@ -22,7 +22,7 @@
 	}
 	s.handle(control.ListRead{Revision: 1, Full: true, Instances: all})
 	s.handle(control.ListRead{Revision: 2, Full: true, Instances: all[:5]})
-	if len(s.c.reaper.due) > 0 || !recorded(s.actions, event.ListDistrusted) {
+	if len(s.c.reaper.due) > 0 || !recorded(s.actions, event.ListIncomplete) {
 		t.Errorf("%d instances are to be removed", len(s.c.reaper.due))
 	}
 	s.handle(control.ListRead{Revision: 3, Full: true, Instances: all[:8]})
@@ -54,7 +54,7 @@
 	s.run(time.Second, 1)
 	sent := s.c.clock(s.now)
 	s.run(3 * time.Second)
-	s.c.list.timer.Own(s.now.Add(-time.Minute), true)
+	s.c.list.timer.ReadDone(s.now.Add(-time.Minute), true)
 	s.handle(control.Received{From: id(1), Message: wire.ListBeacon{Echo: sent, List: wire.ListAges{Attempt: 1, Confirmed: 1}}})
 	if age := s.now.Sub(s.c.ListConfirmed()); age < 3*time.Second {
 		t.Errorf("confirmed %s ago by a message that was sent 3 s ago", age)
@@ -137,7 +137,7 @@
 	s.handle(control.ListRead{Revision: 1, Full: true, Instances: []model.Instance{listed}})
 	s.handle(control.ListRead{Revision: 2, Instances: []model.Instance{{ID: listed.ID, State: model.StateGone}}})
 	r, _ := s.c.table.get(listed.ID)
-	if r.PeerAddress != listed.PeerAddress || r.ListMark != wire.ListAbsent {
+	if r.PeerAddress != listed.PeerAddress || r.ListStatus != wire.ListAbsent {
 		t.Errorf("record %+v", r)
 	}
 }
@@ -145,9 +145,9 @@
 func TestNewerListThatSaysLiveOverrulesAnOlderLeavingThatComesLate(t *testing.T) {
 	s := newSingle(1)
 	own := s.c.self()
-	own.ListRevision, own.ListMark = 9, wire.ListLive
+	own.ListRevision, own.ListStatus = 9, wire.ListLive
 	s.handle(control.Received{From: id(1), Message: wire.Rumours{Records: []wire.MemberRecord{own}}})
-	own.ListRevision, own.ListMark, own.State = 8, wire.ListLeaving, model.StateLeaving
+	own.ListRevision, own.ListStatus, own.State = 8, wire.ListLeaving, model.StateLeaving
 	s.handle(control.Received{From: id(1), Message: wire.Rumours{Records: []wire.MemberRecord{own}}})
 	if got := s.c.self(); got.State != model.StateLive || got.Incarnation <= own.Incarnation {
 		t.Errorf("own record %+v", got)
@@ -157,7 +157,7 @@
 func TestOwnerThatTheListMarksLeavingStaysKnownWhenDeclaredGone(t *testing.T) {
 	s := newSingle(1)
 	own := s.c.self()
-	own.ListRevision, own.ListMark, own.State = 8, wire.ListLeaving, model.StateLeaving
+	own.ListRevision, own.ListStatus, own.State = 8, wire.ListLeaving, model.StateLeaving
 	s.handle(control.Received{From: id(1), Message: wire.Rumours{Records: []wire.MemberRecord{own}}})
 	gone := own
 	gone.State = model.StateGone
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -94,10 +94,10 @@
 		c.publish()
 	case control.ListReadFailed:
 		c.listReadFailed(now, e.Err)
-	case control.SelfChanged:
+	case control.SelfStateChanged:
 		c.selfChanged(now, e.State)
 		c.publish()
-	case control.OwnerDoubted:
+	case control.OwnerUnresponsive:
 		if e.NoConnection {
 			c.suspect(now, e.Owner.ID, "a call could not connect")
 		}
@@ -107,10 +107,10 @@
 
 // ListConfirmed returns the time at which the platform's list was last
 // confirmed, by this node's reading or a peer's; zero for never.
-func (c *Controller) ListConfirmed() time.Time { return c.list.timer.Confirmed() }
+func (c *Controller) ListConfirmed() time.Time { return c.list.timer.LastSuccess() }
 
 // ListReads counts this node's own reads of the platform's list.
-func (c *Controller) ListReads() uint64 { return c.list.timer.Reads() }
+func (c *Controller) ListReads() uint64 { return c.list.timer.ReadCount() }
 
 // FleetSize returns the number of known instances that are not gone, this node
 // included.
@@ -128,15 +128,15 @@
 	Peer model.InstanceID
 	// Outgoing tells whether this node opened it.
 	Outgoing bool
-	// Heard is when the peer was last heard on it.
-	Heard time.Time
+	// LastReceived is when the peer was last heard on it.
+	LastReceived time.Time
 }
 
 // Links returns the open links in the order of the peers' ids.
 func (c *Controller) Links() []Link {
 	var out []Link
 	for _, l := range c.links.open() {
-		out = append(out, Link{Peer: l.peer, Outgoing: l.outgoing, Heard: l.heard})
+		out = append(out, Link{Peer: l.peer, Outgoing: l.outgoing, LastReceived: l.heard})
 	}
 	return out
 }
@@ -206,7 +206,7 @@
 		c.rumours(now, l, m)
 	case wire.SnapshotRequest:
 		c.serveSnapshot(now, l, m)
-	case wire.SnapshotPiece:
+	case wire.SnapshotChunk:
 		c.snapshotPiece(now, l, m)
 	case wire.Digest:
 		c.digest(now, l, m)
@@ -214,7 +214,7 @@
 		c.digestBuckets(now, l, m)
 	case wire.BucketSummaries:
 		c.bucketSummaries(now, l, m)
-	case wire.Want:
+	case wire.RecordRequest:
 		c.want(now, l, m)
 	case wire.Probe:
 		c.probe(now, l, m)
--- a/internal/member/peers.go
+++ b/internal/member/peers.go
@@ -310,7 +310,7 @@
 			return serving(r.State) && r.ID != l.peer && r.ID != c.cfg.Self.ID
 		})
 		if ok {
-			m.Others = append(m.Others, r)
+			m.Alternatives = append(m.Alternatives, r)
 		}
 	}
 	c.send(l.peer, m)
@@ -318,7 +318,7 @@
 
 // rejected closes a link whose peer has enough, and takes over whom it named.
 func (c *Controller) rejected(now time.Time, l *link, m wire.LinkReject) {
-	for _, r := range m.Others[:min(len(m.Others), redirects)] {
+	for _, r := range m.Alternatives[:min(len(m.Alternatives), redirects)] {
 		c.takeOver(now, l, r)
 	}
 	c.closeLink(now, l)
--- a/internal/member/reap.go
+++ b/internal/member/reap.go
@@ -72,7 +72,7 @@
 		if !m.known || m.old.State != model.StateLeaving || m.old.Incarnation != m.now.Incarnation {
 			p.due[id] = now.Add(leavingFor)
 		}
-	case m.now.ListMark == wire.ListAbsent:
+	case m.now.ListStatus == wire.ListAbsent:
 		p.due[id] = now.Add(supportFor)
 	default:
 		delete(p.due, id)
@@ -131,7 +131,7 @@
 		r, ok := c.table.get(t.id)
 		switch {
 		case !ok || r.State != model.StateGone || r.Incarnation != t.incarnation:
-		case listed(r.ListMark) && len(p.tombstones) < maxTombstones:
+		case listed(r.ListStatus) && len(p.tombstones) < maxTombstones:
 			p.tombstones = append(p.tombstones, tombstone{id: t.id, incarnation: t.incarnation, at: now})
 		default:
 			c.table.remove(t.id)
@@ -142,7 +142,7 @@
 // tickReaffirm lets this node say that it lives while the list lacks it.
 func (c *Controller) tickReaffirm(now time.Time) {
 	own := c.self()
-	if own.ListMark != wire.ListAbsent || !serving(own.State) {
+	if own.ListStatus != wire.ListAbsent || !serving(own.State) {
 		c.reaper.reaffirm = time.Time{}
 		return
 	}
--- a/internal/member/record.go
+++ b/internal/member/record.go
@@ -29,7 +29,7 @@
 		newest = b
 	}
 	out.ListRevision = newest.ListRevision
-	out.ListMark = newest.ListMark
+	out.ListStatus = newest.ListStatus
 	return out
 }
 
@@ -53,7 +53,7 @@
 func compareList(a, b wire.MemberRecord) int {
 	return cmp.Or(
 		cmp.Compare(a.ListRevision, b.ListRevision),
-		cmp.Compare(a.ListMark, b.ListMark),
+		cmp.Compare(a.ListStatus, b.ListStatus),
 	)
 }
 
@@ -83,7 +83,7 @@
 	buf = append(buf, r.DataCentre...)
 	buf = append(buf, 0)
 	buf = append(buf, r.PeerAddress...)
-	buf = append(buf, 0, byte(r.State), byte(r.ListMark))
+	buf = append(buf, 0, byte(r.State), byte(r.ListStatus))
 	buf = binary.BigEndian.AppendUint64(buf, uint64(r.Incarnation))
 	buf = binary.BigEndian.AppendUint64(buf, r.Counter)
 	return xxhash.Sum64(buf)
@@ -108,7 +108,7 @@
 		return false
 	case len(r.PeerAddress) > maxAddressBytes:
 		return false
-	case r.State > model.StateGone, r.ListMark > wire.ListAbsent:
+	case r.State > model.StateGone, r.ListStatus > wire.ListAbsent:
 		return false
 	case r.Incarnation > maxIncarnation, r.Counter > maxCounter:
 		return false
--- a/internal/member/record_test.go
+++ b/internal/member/record_test.go
@@ -20,7 +20,7 @@
 			State:        model.UpstreamState(rapid.IntRange(0, 3).Draw(t, "state")),
 			Counter:      uint64(rapid.IntRange(0, 2).Draw(t, "counter")),
 			ListRevision: uint64(rapid.IntRange(0, 2).Draw(t, "revision")),
-			ListMark:     wire.ListMark(rapid.IntRange(0, 3).Draw(t, "mark")),
+			ListStatus:   wire.ListStatus(rapid.IntRange(0, 3).Draw(t, "mark")),
 		}
 	})
 }
--- a/internal/member/self.go
+++ b/internal/member/self.go
@@ -110,7 +110,7 @@
 // within the same incarnation that is not this process's, a greater counter.
 func (c *Controller) raise(now time.Time, seen wire.MemberRecord) merged {
 	r := c.self()
-	r.ListRevision, r.ListMark = join(r, seen).ListRevision, join(r, seen).ListMark
+	r.ListRevision, r.ListStatus = join(r, seen).ListRevision, join(r, seen).ListStatus
 	if seen.Incarnation == r.Incarnation && serving(seen.State) {
 		r.Counter = seen.Counter + 1
 		c.say(now, r)
@@ -135,7 +135,7 @@
 }
 
 // refute answers an accusation against this node's present record.
-func (c *Controller) refute(now time.Time, a wire.Accusation) {
+func (c *Controller) refute(now time.Time, a wire.Suspicion) {
 	own := c.self()
 	if !serving(own.State) || a.Incarnation > own.Incarnation {
 		return
@@ -166,7 +166,7 @@
 		return
 	}
 	switch {
-	case after.ListMark == wire.ListLive:
+	case after.ListStatus == wire.ListLive:
 		c.newIncarnation(now, after, after.Incarnation+1, c.stage)
 	case serving(before.State):
 		c.record(event.ListSaysLeaving, string(after.ID), "")
--- a/internal/member/single_test.go
+++ b/internal/member/single_test.go
@@ -70,15 +70,15 @@
 func (s *single) state(i int) model.UpstreamState { return (&node{board: s.board}).state(id(i)) }
 
 func (s *single) accuse(by, target int) {
-	a := wire.Accusation{Target: id(target), Incarnation: instance(target, 1, 0).Incarnation, Observer: id(by)}
-	s.handle(control.Received{From: id(by), Message: wire.Rumours{Accusations: []wire.Accusation{a}}})
+	a := wire.Suspicion{Target: id(target), Incarnation: instance(target, 1, 0).Incarnation, Observer: id(by)}
+	s.handle(control.Received{From: id(by), Message: wire.Rumours{Suspicions: []wire.Suspicion{a}}})
 }
 
 func TestNodeWithoutTheFleetServesNoSnapshot(t *testing.T) {
 	s := newSingle(3)
 	s.c.sync.loaded = false
 	actions := s.handle(control.Received{From: id(1), Message: wire.SnapshotRequest{}})
-	if piece := actions[0].(control.Send).Message.(wire.SnapshotPiece); !piece.Partial || len(piece.Records) > 0 {
+	if piece := actions[0].(control.Send).Message.(wire.SnapshotChunk); !piece.Partial || len(piece.Records) > 0 {
 		t.Errorf("served %+v", piece)
 	}
 }
--- a/internal/member/sync.go
+++ b/internal/member/sync.go
@@ -131,19 +131,19 @@
 // repeated by the peer at another node. A node without the whole fleet says so.
 func (c *Controller) serveSnapshot(now time.Time, l *link, m wire.SnapshotRequest) {
 	if !c.sync.loaded {
-		c.send(l.peer, wire.SnapshotPiece{After: m.After, Partial: true})
+		c.send(l.peer, wire.SnapshotChunk{After: m.After, Partial: true})
 		return
 	}
 	if !c.sync.served.take(now, snapshotsPerSecond) {
 		return
 	}
 	records, last := c.table.after(m.After, snapshotPieceRecords)
-	c.send(l.peer, wire.SnapshotPiece{After: m.After, Records: records, Last: last})
+	c.send(l.peer, wire.SnapshotChunk{After: m.After, Records: records, Last: last})
 }
 
 // snapshotPiece takes a piece over. It is no news to others, so it starts no
 // rumour.
-func (c *Controller) snapshotPiece(now time.Time, l *link, m wire.SnapshotPiece) {
+func (c *Controller) snapshotPiece(now time.Time, l *link, m wire.SnapshotChunk) {
 	if c.sync.loaded || m.After != c.sync.after {
 		return
 	}
@@ -278,11 +278,11 @@
 }
 
 func (c *Controller) askFor(l *link, m wire.BucketSummaries, same map[uint32]bool) {
-	var want wire.Want
+	var want wire.RecordRequest
 	n := 0
 	for _, b := range m.Buckets {
 		var ids []byte
-		for at := 0; at < len(b.Entries) && n < wire.MaxWanted; at += entryBytes {
+		for at := 0; at < len(b.Entries) && n < wire.MaxRequestedIDs; at += entryBytes {
 			id := binary.BigEndian.Uint32(b.Entries[at:])
 			if !same[id] {
 				ids = binary.BigEndian.AppendUint32(ids, id)
@@ -290,7 +290,7 @@
 			}
 		}
 		if len(ids) > 0 {
-			want.Buckets = append(want.Buckets, wire.WantBucket{Index: b.Index, IDs: ids})
+			want.Buckets = append(want.Buckets, wire.RecordRequestBucket{Index: b.Index, IDs: ids})
 		}
 	}
 	if n > 0 {
@@ -299,11 +299,11 @@
 }
 
 // want answers with the records asked for.
-func (c *Controller) want(now time.Time, l *link, m wire.Want) {
+func (c *Controller) want(now time.Time, l *link, m wire.RecordRequest) {
 	var marked bucketSet
 	ids := map[uint32]bool{}
 	for _, b := range m.Buckets {
-		if int(b.Index) >= wire.DigestBucketCount || len(b.IDs)%shortHashBytes != 0 || len(ids) > wire.MaxWanted {
+		if int(b.Index) >= wire.DigestBucketCount || len(b.IDs)%shortHashBytes != 0 || len(ids) > wire.MaxRequestedIDs {
 			c.recordRarely(now, event.MemberMalformed, string(l.peer), "wanted records out of bounds")
 			return
 		}
--- a/internal/model/attempt.go
+++ b/internal/model/attempt.go
@@ -48,11 +48,11 @@
 	// every change, where it follows one. It says nothing of its age: an attempt may
 	// have waited on its way for as long as a link was cut.
 	DirectoryRevision uint64 `cbor:"20,keyasint,omitempty"`
-	// Ends counts the workers that seem to have ended under earlier attempts of this sending.
-	Ends uint8 `cbor:"21,keyasint,omitempty"`
-	// Lent says that the owner whose worker ended last under the request leaves this run
+	// Crashes counts the workers that seem to have ended under earlier attempts of this sending.
+	Crashes uint8 `cbor:"21,keyasint,omitempty"`
+	// Granted says that the owner whose worker ended last under the request leaves this run
 	// to the attempt's owner.
-	Lent bool `cbor:"22,keyasint,omitempty"`
+	Granted bool `cbor:"22,keyasint,omitempty"`
 	// Regions are those in which the request may run. One that may run nowhere is never sent.
 	Regions Regions `cbor:"23,keyasint,omitempty"`
 }
@@ -109,8 +109,8 @@
 	ReasonDuplicateRunning
 	// ReasonDuplicateDone: the same non-idempotent request has run.
 	ReasonDuplicateDone
-	// ReasonBarred: the attempt was settled before it arrived.
-	ReasonBarred
+	// ReasonFenced: the attempt was settled before it arrived.
+	ReasonFenced
 	// ReasonWorkerUnreachable: no connection to the worker could be had; no byte left.
 	ReasonWorkerUnreachable
 	// ReasonWorkerShed: the worker said itself that it did not run the request.
@@ -139,17 +139,17 @@
 	// ReasonWorkerReplaced: another worker answered in place of the one that was named,
 	// and did not run the request.
 	ReasonWorkerReplaced
-	// ReasonNotTakenUp: the owner did not begin to answer in time, and the attempt was
+	// ReasonNotAcknowledged: the owner did not begin to answer in time, and the attempt was
 	// withdrawn before anything of it could run.
-	ReasonNotTakenUp
-	// ReasonWorkerEnded: the worker's process seems to have ended while it had the attempt:
+	ReasonNotAcknowledged
+	// ReasonWorkerCrashed: the worker's process seems to have ended while it had the attempt:
 	// its port is closed, or it broke several attempts off at one moment.
-	ReasonWorkerEnded
-	// ReasonPutAside: workers ended under the same request time and again.
-	ReasonPutAside
-	// ReasonHeldBack: a worker ended under the same request, which now may run at one owner
+	ReasonWorkerCrashed
+	// ReasonQuarantined: workers ended under the same request time and again.
+	ReasonQuarantined
+	// ReasonDeferred: a worker ended under the same request, which now may run at one owner
 	// only; see Refusal.Home.
-	ReasonHeldBack
+	ReasonDeferred
 	// ReasonEvacuated: nothing is to be sent to the workers of the owner's data centre.
 	ReasonEvacuated
 	// ReasonRegion: the request may not run in the owner's region, or no upstream is in one
@@ -194,10 +194,10 @@
 	// RetryAfter is the time after which another try here makes sense; zero
 	// means no advice.
 	RetryAfter time.Duration
-	// Home, with ReasonHeldBack or ReasonDelegated, is the only owner at which the request
+	// Home, with ReasonDeferred or ReasonDelegated, is the only owner at which the request
 	// may run; empty where none is known. Lent: that owner is to be told so by Attempt.Lent.
-	Home InstanceID
-	Lent bool
+	OnlyOwner InstanceID
+	Granted   bool
 }
 
 // AttemptState is the owner's record of one attempt.
@@ -210,7 +210,7 @@
 	AttemptQueued
 	AttemptStarted
 	AttemptDone
-	AttemptBarred
+	AttemptFenced
 	// AttemptForgotten: the owner's bounded memory no longer reaches back, or
 	// the attempt was bound to another incarnation. It proves nothing.
 	AttemptForgotten
--- a/internal/model/directory.go
+++ b/internal/model/directory.go
@@ -46,9 +46,9 @@
 	Packed []byte `cbor:"2,keyasint"`
 }
 
-// DirectoryMark says how much of a directory a node knows. It rides on every report,
+// DirectoryFreshness says how much of a directory a node knows. It rides on every report,
 // so that nodes learn of news from each other, and of how fresh their knowledge is.
-type DirectoryMark struct {
+type DirectoryFreshness struct {
 	// Revision is the directory's up to which the node knows every change; zero when
 	// it knows nothing.
 	Revision uint64 `cbor:"1,keyasint,omitempty"`
@@ -64,9 +64,9 @@
 // the time after which a node reads the directory itself.
 const freshStep = 100
 
-// Newer tells whether m tells more than another mark: a greater revision, or the same
+// IsNewerThan tells whether m tells more than another mark: a greater revision, or the same
 // one confirmed later.
-func (m DirectoryMark) Newer(than DirectoryMark) bool {
+func (m DirectoryFreshness) IsNewerThan(than DirectoryFreshness) bool {
 	if m.Revision != than.Revision {
 		return m.Revision > than.Revision
 	}
@@ -74,7 +74,7 @@
 }
 
 // Aged returns the mark as it is after a time of at most d on its way.
-func (m DirectoryMark) Aged(d time.Duration) DirectoryMark {
+func (m DirectoryFreshness) Aged(d time.Duration) DirectoryFreshness {
 	age := uint64(m.AgeMs) + uint64(max(d.Milliseconds(), 0))
 	m.AgeMs = uint32(min(age, AgeUnknown))
 	return m
--- a/internal/model/directory_test.go
+++ b/internal/model/directory_test.go
@@ -17,26 +17,26 @@
 		{AgeUnknown, time.Second, AgeUnknown},
 		{AgeUnknown - 5, time.Second, AgeUnknown},
 	} {
-		m := DirectoryMark{Revision: 7, AgeMs: tt.age}
-		if got := m.Aged(tt.by); got != (DirectoryMark{Revision: 7, AgeMs: tt.want}) {
+		m := DirectoryFreshness{Revision: 7, AgeMs: tt.age}
+		if got := m.Aged(tt.by); got != (DirectoryFreshness{Revision: 7, AgeMs: tt.want}) {
 			t.Errorf("%d ms and %s: %+v, want age %d", tt.age, tt.by, got, tt.want)
 		}
 	}
 }
 
 func TestAMarkIsNewerByItsRevisionOrElseByItsAge(t *testing.T) {
-	known := DirectoryMark{Revision: 7, AgeMs: 300}
+	known := DirectoryFreshness{Revision: 7, AgeMs: 300}
 	for _, tt := range []struct {
-		mark DirectoryMark
+		mark DirectoryFreshness
 		want bool
 	}{
-		{DirectoryMark{Revision: 6, AgeMs: 0}, false},
-		{DirectoryMark{Revision: 8, AgeMs: AgeUnknown}, true},
-		{DirectoryMark{Revision: 7, AgeMs: 250}, false},
-		{DirectoryMark{Revision: 7, AgeMs: 200}, true},
-		{DirectoryMark{Revision: 7, AgeMs: AgeUnknown}, false},
+		{DirectoryFreshness{Revision: 6, AgeMs: 0}, false},
+		{DirectoryFreshness{Revision: 8, AgeMs: AgeUnknown}, true},
+		{DirectoryFreshness{Revision: 7, AgeMs: 250}, false},
+		{DirectoryFreshness{Revision: 7, AgeMs: 200}, true},
+		{DirectoryFreshness{Revision: 7, AgeMs: AgeUnknown}, false},
 	} {
-		if got := tt.mark.Newer(known); got != tt.want {
+		if got := tt.mark.IsNewerThan(known); got != tt.want {
 			t.Errorf("%+v newer than %+v: %v", tt.mark, known, got)
 		}
 	}
--- a/internal/model/ident.go
+++ b/internal/model/ident.go
@@ -14,7 +14,7 @@
 type InstanceID string
 
 // WorkerID names a worker. One that starts again may have another, or the same: lives of
-// one id are told apart by WorkerLife.
+// one id are told apart by WorkerIncarnation.
 type WorkerID string
 
 // ServiceName names a service of a bundle.
@@ -48,10 +48,10 @@
 // printable ASCII, names of tenants a part of that.
 const scopeSeparator = "\x1f"
 
-// ScopedRequest returns the id under which a request is remembered by its home:
+// ScopedRequestID returns the id under which a request is remembered by its home:
 // the same key of two tenants is two requests. Tenants that no bundle names share
 // one scope.
-func ScopedRequest(tenant TenantName, id RequestID) RequestID {
+func ScopedRequestID(tenant TenantName, id RequestID) RequestID {
 	if tenant == "" || tenant == OtherTenant {
 		return id
 	}
--- a/internal/model/load.go
+++ b/internal/model/load.go
@@ -67,11 +67,11 @@
 	// Bundle is the version that governs the owner's service, so that a node
 	// behind learns of a newer one from any call.
 	Bundle BundleVersion `cbor:"10,keyasint"`
-	// Pace is how long work takes at the worker at this moment, in percent of
+	// SlowdownPercent is how long work takes at the worker at this moment, in percent of
 	// usual; 0 when the worker does not tell.
-	Pace uint16 `cbor:"11,keyasint,omitempty"`
+	SlowdownPercent uint16 `cbor:"11,keyasint,omitempty"`
 	// Directory is what the owner's node knows of the directory, where it follows one.
-	Directory DirectoryMark `cbor:"12,keyasint,omitempty"`
+	Directory DirectoryFreshness `cbor:"12,keyasint,omitempty"`
 	// WarmingMs is for how much longer the worker is warming, in milliseconds; zero when
 	// it is not, or nothing says so.
 	WarmingMs uint32 `cbor:"13,keyasint,omitempty"`
@@ -83,23 +83,23 @@
 // delayedUnit is the unit of LoadReport.Delayed.
 const delayedUnit = 1000
 
-// DelayedOf returns the form of a share, 0 to 1, in LoadReport.Delayed.
-func DelayedOf(share float64) uint16 { return uint16(share*delayedUnit + 0.5) }
+// DelayedThousandths returns the form of a share, 0 to 1, in LoadReport.Delayed.
+func DelayedThousandths(share float64) uint16 { return uint16(share*delayedUnit + 0.5) }
 
-// StartedShare returns the share of offered attempts that the owner started at once.
-func (r *LoadReport) StartedShare() float64 {
+// ImmediateStartShare returns the share of offered attempts that the owner started at once.
+func (r *LoadReport) ImmediateStartShare() float64 {
 	return max(1-float64(r.Delayed)/delayedUnit, 0)
 }
 
-// Warming returns for how much longer the worker is warming.
-func (r *LoadReport) Warming() time.Duration {
+// WarmingLeft returns for how much longer the worker is warming.
+func (r *LoadReport) WarmingLeft() time.Duration {
 	return time.Duration(r.WarmingMs) * time.Millisecond
 }
 
-// Slowness returns how many times as long as usual work takes, at least 1.
-func (r *LoadReport) Slowness() float64 {
+// SlowdownFactor returns how many times as long as usual work takes, at least 1.
+func (r *LoadReport) SlowdownFactor() float64 {
 	const usual = 100
-	return max(1, float64(r.Pace)/usual)
+	return max(1, float64(r.SlowdownPercent)/usual)
 }
 
 // failureUnit is the unit of LoadReport.FailureRate.
@@ -121,10 +121,10 @@
 	// Worker is the present life of the instance's worker, where the source of
 	// instances tells the lives apart; empty otherwise.
 	Worker WorkerID `cbor:"7,keyasint,omitempty"`
-	// WorkerBorn tells lives of one Worker apart that started again under the same id:
+	// WorkerStarted tells lives of one Worker apart that started again under the same id:
 	// when the present one started, in Unix milliseconds by its own clock; zero where
 	// the source does not say. It only identifies and is never compared with a time.
-	WorkerBorn int64 `cbor:"9,keyasint,omitempty"`
+	WorkerStarted int64 `cbor:"9,keyasint,omitempty"`
 	// Slots is the number of requests that the worker runs at once, as it says
 	// itself; zero when only the bundle tells.
 	Slots int `cbor:"8,keyasint,omitempty"`
@@ -133,14 +133,16 @@
 	WarmingUntil time.Time `cbor:"-"`
 }
 
-// WorkerLife identifies one life of a worker.
-type WorkerLife struct {
-	ID   WorkerID
-	Born int64
+// WorkerIncarnation identifies one life of a worker.
+type WorkerIncarnation struct {
+	ID      WorkerID
+	Started int64
 }
 
-// Life returns the present life of the instance's worker; zero when none is known.
-func (in *Instance) Life() WorkerLife { return WorkerLife{ID: in.Worker, Born: in.WorkerBorn} }
+// WorkerIncarnation returns the present life of the instance's worker; zero when none is known.
+func (in *Instance) WorkerIncarnation() WorkerIncarnation {
+	return WorkerIncarnation{ID: in.Worker, Started: in.WorkerStarted}
+}
 
 // Fleet is an immutable view of all known instances, sorted by ID. Readers must
 // not change it.
--- a/internal/model/regions.go
+++ b/internal/model/regions.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// Places tells the region of each data centre.
-type Places map[DataCentre]RegionName
+// DataCentreRegions tells the region of each data centre.
+type DataCentreRegions map[DataCentre]RegionName
 
 // Regions are those in which a request may run: their names, each followed by a comma. The
 // empty value means any region, noRegion none.
@@ -12,8 +12,8 @@
 // noRegion is a list without names.
 const noRegion Regions = ","
 
-// RegionsOf returns the regions of a list of names; an absent list means any.
-func RegionsOf(names []RegionName) Regions {
+// NewRegions returns the regions of a list of names; an absent list means any.
+func NewRegions(names []RegionName) Regions {
 	if names == nil {
 		return ""
 	}
@@ -27,9 +27,9 @@
 	return Regions(b.String())
 }
 
-// Allow tells whether a request may run in a region. One whose name is not known is none of
+// Allows tells whether a request may run in a region. One whose name is not known is none of
 // those that a list names.
-func (r Regions) Allow(region RegionName) bool {
+func (r Regions) Allows(region RegionName) bool {
 	if r == "" {
 		return true
 	}
@@ -41,8 +41,8 @@
 	return false
 }
 
-// And returns the regions that both allow.
-func (r Regions) And(other Regions) Regions {
+// Intersect returns the regions that both allow.
+func (r Regions) Intersect(other Regions) Regions {
 	switch {
 	case r == "":
 		return other
@@ -51,9 +51,9 @@
 	}
 	both := []RegionName{}
 	for name := range strings.SplitSeq(string(r), ",") {
-		if name != "" && other.Allow(RegionName(name)) {
+		if name != "" && other.Allows(RegionName(name)) {
 			both = append(both, RegionName(name))
 		}
 	}
-	return RegionsOf(both)
+	return NewRegions(both)
 }
--- a/internal/node/callerconns.go
+++ b/internal/node/callerconns.go
@@ -168,7 +168,7 @@
 // end closes the connection: of a header's line that is cut short net/http would say that
 // it is malformed, and callers don't come again after that.
 func (c *callerConn) end(b bound, since time.Time) {
-	event.Log(c.bounds.log, event.CallerConnectionBounded).
+	event.Log(c.bounds.log, event.CallerConnectionTimedOut).
 		Str("from", c.RemoteAddr().String()).Str("bound", string(b)).
 		Int("bound_ms", c.bounds.of(b).Milliseconds()).Int("ran_ms", time.Since(since).Milliseconds()).Send()
 	// The other side may have closed it already.
--- a/internal/node/callfilter.go
+++ b/internal/node/callfilter.go
@@ -16,15 +16,15 @@
 	unanswered map[model.InstanceID]bool
 	lost       map[model.InstanceID]bool
 	// marked is the newest mark of a directory that was passed on in this tick.
-	marked model.DirectoryMark
+	marked model.DirectoryFreshness
 }
 
 // newMark reports whether no mark as new as m has been passed on since the last
 // tick.
-func (f *callFilter) newMark(m model.DirectoryMark) bool {
+func (f *callFilter) newMark(m model.DirectoryFreshness) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !m.Newer(f.marked) {
+	if !m.IsNewerThan(f.marked) {
 		return false
 	}
 	f.marked = m
@@ -48,7 +48,7 @@
 	clear(f.sent)
 	clear(f.unanswered)
 	clear(f.lost)
-	f.marked = model.DirectoryMark{}
+	f.marked = model.DirectoryFreshness{}
 }
 
 // firstUnanswered reports whether id has not been passed on since the last tick as an
--- a/internal/node/collector.go
+++ b/internal/node/collector.go
@@ -70,9 +70,9 @@
 
 func (c collector) suspects(ch chan<- prometheus.Metric) {
 	counts := c.node.core.Quarantine.Counts()
-	gauge(ch, descSuspects, float64(counts.Suspects-counts.PutAside), "suspect")
-	gauge(ch, descSuspects, float64(counts.PutAside), "put-aside")
-	counter(ch, descEnds, counts.Ends)
+	gauge(ch, descSuspects, float64(counts.Suspects-counts.Quarantined), "suspect")
+	gauge(ch, descSuspects, float64(counts.Quarantined), "put-aside")
+	counter(ch, descEnds, counts.Crashes)
 	counter(ch, descUntold, c.node.tellsFailed.Load())
 }
 
@@ -135,16 +135,16 @@
 		return
 	}
 	v := s.Directory
-	for _, lag := range directory.Lags {
+	for _, lag := range directory.ViewStatuses {
 		is := 0.0
-		if v.Lag == lag {
+		if v.Status == lag {
 			is = 1
 		}
 		gauge(ch, descLag, is, string(lag))
 	}
-	gauge(ch, descBehind, float64(v.Heard-v.Revision))
-	for _, cause := range directory.Causes {
-		counter(ch, descReadings, v.Readings[cause], string(cause))
+	gauge(ch, descBehind, float64(v.NewestSeen-v.Revision))
+	for _, cause := range directory.ReadCauses {
+		counter(ch, descReadings, v.Reads[cause], string(cause))
 	}
 }
 
@@ -158,10 +158,10 @@
 }
 
 func (c collector) measuring(ch chan<- prometheus.Metric) {
-	landing, origin := c.node.core.Landing.Counts(), c.node.core.Origin.Counts()
+	landing, origin := c.node.core.OwnerLimiter.Counts(), c.node.core.EntryLimiter.Counts()
 	counter(ch, descMeasuring, landing.PollsSent, "poll")
 	counter(ch, descMeasuring, landing.PollsDeferred, "poll-deferred")
-	counter(ch, descMeasuring, landing.ProbesTaken, "probe-taken")
+	counter(ch, descMeasuring, landing.ProbesAnswered, "probe-taken")
 	counter(ch, descMeasuring, landing.ProbesRefused, "probe-refused")
 	counter(ch, descMeasuring, origin.Sent, "probe-sent")
 	if _, b := c.node.core.Board.Bundles.Get().Service(c.node.cfg.Service); b != nil {
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -34,12 +34,12 @@
 		n.sink(control.DirectoryFailed{Err: err})
 		return
 	}
-	read.Took = n.elapsed(began)
+	read.ReadDuration = n.elapsed(began)
 	n.sink(read)
 }
 
 // askDirectory asks a peer over the connections that calls use.
-func (n *Node) askDirectory(a control.AskDirectory) {
+func (n *Node) askDirectory(a control.RequestPeerDirectory) {
 	ctx, cancel := context.WithTimeout(n.ctx, askTimeout)
 	defer cancel()
 	query := url.Values{
@@ -49,12 +49,12 @@
 	began := n.clock()
 	data, err := n.forwarder.Get(ctx, a.Peer.PeerAddress, directoryPath+"?"+query.Encode(), wire.MaxDirectoryBytes)
 	if err != nil {
-		n.sink(control.DirectoryAskFailed{From: a.Peer.ID, Err: err})
+		n.sink(control.PeerDirectoryFailed{From: a.Peer.ID, Err: err})
 		return
 	}
 	told, err := n.decodeDirectory(data)
 	if err != nil {
-		n.sink(control.DirectoryAskFailed{From: a.Peer.ID, Err: err})
+		n.sink(control.PeerDirectoryFailed{From: a.Peer.ID, Err: err})
 		return
 	}
 	told.From = a.Peer.ID
@@ -63,16 +63,16 @@
 	n.sink(told)
 }
 
-func (n *Node) decodeDirectory(data []byte) (control.DirectoryTold, error) {
+func (n *Node) decodeDirectory(data []byte) (control.PeerDirectoryReceived, error) {
 	c, err := wire.DecodeDirectory(data)
 	if err != nil {
-		return control.DirectoryTold{}, err
+		return control.PeerDirectoryReceived{}, err
 	}
-	told := control.DirectoryTold{
-		Age:     time.Duration(c.AgeMs) * time.Millisecond,
-		Failing: c.Failing,
+	told := control.PeerDirectoryReceived{
+		Age:          time.Duration(c.AgeMs) * time.Millisecond,
+		ReadsFailing: c.ReadsFailing,
 		DirectoryRead: control.DirectoryRead{
-			Revision: c.Revision, Whole: c.Whole, Listed: c.Listed, Gone: c.Gone, Evacuations: c.Evacuations,
+			Revision: c.Revision, Full: c.Full, Listed: c.Listed, Unlisted: c.Unlisted, Evacuations: c.Evacuations,
 		},
 	}
 	n.takeConfig(&told.DirectoryRead, c.Config)
@@ -118,8 +118,8 @@
 	changes := directory.Changes(known, after)
 	now := time.Now()
 	data, err := wire.EncodeDirectory(&wire.DirectoryChanges{
-		Revision: changes.Revision, AgeMs: known.Mark(now).AgeMs, Failing: known.Failing(now),
-		Whole: changes.Whole, Listed: changes.Listed, Gone: changes.Gone, Evacuations: changes.Evacuations, Config: changes.Config, Refused: changes.Refused,
+		Revision: changes.Revision, AgeMs: known.Freshness(now).AgeMs, ReadsFailing: known.Failing(now),
+		Full: changes.Full, Listed: changes.Listed, Unlisted: changes.Unlisted, Evacuations: changes.Evacuations, Config: changes.Config, Refused: changes.Refused,
 	})
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -130,39 +130,39 @@
 }
 
 // mark returns what this node knows of the directory, for messages to peers.
-func (n *Node) mark() model.DirectoryMark {
-	return n.core.Board.Directory.Get().Mark(time.Now())
+func (n *Node) mark() model.DirectoryFreshness {
+	return n.core.Board.Directory.Get().Freshness(time.Now())
 }
 
 // ownerHeard is told each owner that answered an attempt, with the mark that it told.
-func (n *Node) ownerHeard(from model.InstanceID, m model.DirectoryMark) {
-	n.core.Quarantine.Heard(from)
+func (n *Node) ownerHeard(from model.InstanceID, m model.DirectoryFreshness) {
+	n.core.Quarantine.PeerSeen(from)
 	n.markHeard(from, m)
 }
 
 // entryHeard is told each entry that sent an attempt, with the revision that it told.
 func (n *Node) entryHeard(from model.InstanceID, revision uint64) {
-	n.core.Quarantine.Heard(from)
+	n.core.Quarantine.PeerSeen(from)
 	n.revisionHeard(from, revision)
 }
 
 // revisionHeard is told each revision that rode on an attempt or a question, whose age
 // nothing bounds.
 func (n *Node) revisionHeard(from model.InstanceID, revision uint64) {
-	n.markHeard(from, model.DirectoryMark{Revision: revision, AgeMs: model.AgeUnknown})
+	n.markHeard(from, model.DirectoryFreshness{Revision: revision, AgeMs: model.AgeUnknown})
 }
 
 // markHeard is told each mark that rode on a message; it passes on those that tell
 // something, at most a few a tick.
-func (n *Node) markHeard(from model.InstanceID, m model.DirectoryMark) {
+func (n *Node) markHeard(from model.InstanceID, m model.DirectoryFreshness) {
 	if m.Revision == 0 || n.cfg.Directory == nil {
 		return
 	}
 	known := n.mark()
-	if !m.Newer(known) {
+	if !m.IsNewerThan(known) {
 		return
 	}
 	if n.calls.newMark(m) {
-		n.hint(control.DirectoryHeard{From: from, Mark: m})
+		n.hint(control.PeerFreshnessReceived{From: from, Freshness: m})
 	}
 }
--- a/internal/node/ended.go
+++ b/internal/node/ended.go
@@ -26,11 +26,11 @@
 // broke takes a run that broke at the own worker and tells whether the worker seems to have
 // ended. It implements server.ExecutorConfig.Broke.
 func (n *Node) broke(r quarantine.Run) (ended bool) {
-	if n.core.Owner.Departing() {
+	if n.core.Owner.Draining() {
 		return false
 	}
 	now := time.Now()
-	if n.core.Quarantine.Broke(now, r) {
+	if n.core.Quarantine.RunFailed(now, r) {
 		return true
 	}
 	n.start(func() { n.watch.askWhetherGone(now) })
@@ -47,7 +47,7 @@
 		if ended, known := n.watch.lastWord(since); known {
 			return ended
 		}
-		if n.core.Quarantine.BrokeTogether(since) {
+		if n.core.Quarantine.FailedTogether(since) {
 			return true
 		}
 		age := time.Since(since)
@@ -88,8 +88,8 @@
 // portClosed takes that a poll that began then found no listener at the worker's port.
 func (n *Node) portClosed(began time.Time) {
 	ended, known := n.watch.lastWord(began)
-	if known && ended && !n.core.Owner.Departing() {
-		n.core.Quarantine.Ended(time.Now())
+	if known && ended && !n.core.Owner.Draining() {
+		n.core.Quarantine.WorkerCrashed(time.Now())
 	}
 }
 
--- a/internal/node/fault.go
+++ b/internal/node/fault.go
@@ -60,7 +60,7 @@
 }
 
 // partFailed logs a fault that the node goes on with.
-func (n *Node) partFailed(err error) { event.Log(&n.log, event.PartFailed).Err(err).Send() }
+func (n *Node) partFailed(err error) { event.Log(&n.log, event.ComponentFailed).Err(err).Send() }
 
 // start runs f in a goroutine of the node, unless the node is being cleaned up.
 func (n *Node) start(f func()) {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -33,7 +33,7 @@
 		now := n.clock()
 		n.noteSuspension(last, now)
 		// A pause comes before whatever waited meanwhile, be it tick or message.
-		if gap := now.at.Sub(last.at); gap > control.TickInterval+control.PauseGap {
+		if gap := now.at.Sub(last.at); gap > control.TickInterval+control.PauseThreshold {
 			event.Log(&n.log, event.Paused).Int("milliseconds", gap.Milliseconds()).Send()
 			n.apply(n.core.Handle(now.at, control.Paused{For: gap}))
 		}
@@ -47,7 +47,7 @@
 func (n *Node) take(now time.Time, ev control.Event) {
 	defer n.calls.reset(ev)
 	n.noteHints()
-	if e, ok := ev.(control.SelfChanged); ok && e.State >= model.StateLeaving {
+	if e, ok := ev.(control.SelfStateChanged); ok && e.State >= model.StateLeaving {
 		defer n.leavingTold.Store(true)
 	}
 	n.apply(n.core.Handle(now, ev))
@@ -98,15 +98,15 @@
 		n.start(func() { n.readValue(a.Name) })
 	case control.ReadDirectory:
 		n.start(func() { n.readDirectory(a.After) })
-	case control.AskDirectory:
+	case control.RequestPeerDirectory:
 		n.start(func() { n.askDirectory(a) })
-	case control.ProbeReach:
+	case control.ProbeReachability:
 		n.start(func() { n.probeReach(a.Owner) })
-	case control.OwnerLost:
-		n.lostSignal.Lost(a.Owner)
-	case control.TellSuspects:
+	case control.OwnerUnreachable:
+		n.lostSignal.Raise(a.Owner)
+	case control.SendSuspectUpdate:
 		n.start(func() { n.tellSuspects(a) })
-	case control.SettleAnswered:
+	case control.OutcomeResolved:
 		n.settler.answered(a.Reply)
 	case control.Record:
 		n.record(a)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,7 +39,7 @@
 	Service    model.ServiceName
 	DataCentre model.DataCentre
 	// Regions names the region of each data centre.
-	Regions model.Places
+	Regions model.DataCentreRegions
 	// Addresses are "ip:port"; port 0 takes a free one.
 	CallerAddress   string
 	PeerAddress     string
@@ -61,7 +61,7 @@
 	// place of ListAddresses, ConfigAddresses, Seeds and Trusted.
 	Directory Directory
 	// DialPeer opens connections to other nodes; nil means TCP.
-	DialPeer upstream.Dial
+	DialPeer upstream.DialFunc
 	// StopTimeout bounds a graceful stop; LeaveGrace is how long callers are
 	// still accepted after "leaving" was told.
 	StopTimeout time.Duration
@@ -139,7 +139,7 @@
 	stopBound  *server.StopBound
 	watch      *workerWatch
 	events     chan control.Event
-	lostSignal server.LostSignal
+	lostSignal server.UnreachableSignal
 	// tellsFailed counts what peers were not told of suspect requests.
 	tellsFailed atomic.Uint64
 	// hintsDropped counts the hints that the core's queue had no room for.
@@ -231,17 +231,17 @@
 	n.makeCore(started)
 	n.watch = newWorkerWatch(n)
 	n.executor = server.NewExecutor(server.ExecutorConfig{
-		Owner:   n.core.Owner,
-		Address: n.cfg.WorkerAddress,
-		Dialect: n.cfg.Workers,
-		Worker:  n.worker,
-		Traffic: n.watch.traffic,
-
-		Requests: &n.cfg.Requests,
-		Refresh:  n.watch.refresh,
-		Mark:     n.mark,
-		Said:     n.watch.said,
-		Broke:    n.broke,
+		Owner:              n.core.Owner,
+		Address:            n.cfg.WorkerAddress,
+		Dialect:            n.cfg.Workers,
+		Worker:             n.worker,
+		ConnectionObserved: n.watch.traffic,
+
+		RequestLog:         &n.cfg.Requests,
+		RefreshLoad:        n.watch.refresh,
+		DirectoryFreshness: n.mark,
+		WorkerIdentified:   n.watch.said,
+		DetectCrash:        n.broke,
 
 		PortClosed: n.workerRefused,
 		Quarantine: n.core.Quarantine,
@@ -250,9 +250,9 @@
 		},
 	})
 	n.forwarder = server.NewForwarder(n.cfg.DialPeer, n.cfg.PeerTLS, n.cfg.MaxIdleConnections)
-	n.forwarder.Lost = &server.LostOwners{Tell: n.tellLost, Heard: n.heardLost}
+	n.forwarder.Unreachable = &server.UnreachableOwners{List: n.tellLost, Reported: n.heardLost}
 	n.links = link.New(link.Config{
-		Self: n.self, Sink: n.sink, Failed: n.partFailed,
+		Self: n.self, Sink: n.sink, OnPanic: n.partFailed,
 		TLS: n.cfg.PeerTLS, Dial: n.cfg.DialPeer, MaxAccepted: maxAcceptedLinks,
 	})
 	n.settler = newSettler(n)
@@ -297,14 +297,14 @@
 			PeerAddress: n.ports.peer.Addr().String(),
 			Incarnation: model.Incarnation(started.UnixMicro()),
 		},
-		Regions:     n.cfg.Regions,
-		Trusted:     n.cfg.Trusted,
-		Seeds:       n.cfg.Seeds,
-		LocalDelay:  n.cfg.LocalDelay,
-		RemoteDelay: n.cfg.RemoteDelay,
-		Policy:      n.cfg.Policy,
-		ProbeAge:    n.cfg.ProbeAge,
-		Breaking:    n.workerBreaks,
+		Regions:         n.cfg.Regions,
+		Trusted:         n.cfg.Trusted,
+		Seeds:           n.cfg.Seeds,
+		LocalDelay:      n.cfg.LocalDelay,
+		RemoteDelay:     n.cfg.RemoteDelay,
+		Policy:          n.cfg.Policy,
+		ProbeAge:        n.cfg.ProbeAge,
+		OnBreakerChange: n.workerBreaks,
 
 		FollowsDirectory: n.cfg.Directory != nil,
 
@@ -348,7 +348,7 @@
 // noteHints logs the hints that were dropped.
 func (n *Node) noteHints() {
 	if dropped := n.hintsDropped.Swap(0); dropped > 0 {
-		event.Log(&n.log, event.HintsDropped).Int("dropped", int64(dropped)).Send()
+		event.Log(&n.log, event.CallHintsDropped).Int("dropped", int64(dropped)).Send()
 	}
 }
 
--- a/internal/node/reach.go
+++ b/internal/node/reach.go
@@ -11,30 +11,30 @@
 	if !n.calls.firstUnanswered(owner.ID) {
 		return
 	}
-	n.hint(control.OwnerDoubted{
-		Owner:        owner,
-		NoConnection: reason == model.ReasonWorkerUnreachable || reason == model.ReasonOwnerAbsent,
-		NotTakenUp:   reason == model.ReasonNotTakenUp,
+	n.hint(control.OwnerUnresponsive{
+		Owner:           owner,
+		NoConnection:    reason == model.ReasonWorkerUnreachable || reason == model.ReasonOwnerAbsent,
+		NotAcknowledged: reason == model.ReasonNotAcknowledged,
 	})
 }
 
 // probeReach finds out whether an owner's node answers.
 func (n *Node) probeReach(owner model.Instance) {
 	err := n.forwarder.Probe(n.ctx, owner.PeerAddress)
-	n.sink(control.ReachProbed{Owner: owner, Err: err})
+	n.sink(control.ReachabilityProbed{Owner: owner, Err: err})
 }
 
 // tellLost returns some of the owners that this node cannot connect to, in turn.
 func (n *Node) tellLost() []model.InstanceID {
-	lost := n.core.Board.OutOfReach.Get()
+	lost := n.core.Board.Unreachable.Get()
 	if lost == nil {
 		return nil
 	}
-	if len(*lost) <= wire.MaxLost {
+	if len(*lost) <= wire.MaxUnreachable {
 		return *lost
 	}
-	out := make([]model.InstanceID, wire.MaxLost)
-	first := int(n.lostTold.Add(wire.MaxLost) % uint64(len(*lost)))
+	out := make([]model.InstanceID, wire.MaxUnreachable)
+	first := int(n.lostTold.Add(wire.MaxUnreachable) % uint64(len(*lost)))
 	for i := range out {
 		out[i] = (*lost)[(first+i)%len(*lost)]
 	}
@@ -50,6 +50,6 @@
 		}
 	}
 	if len(fresh) > 0 {
-		n.hint(control.OwnersSaidLost{Owners: fresh})
+		n.hint(control.OwnersReportedUnreachable{Owners: fresh})
 	}
 }
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -63,27 +63,27 @@
 }
 
 func (n *Node) callerRoutes() http.Handler {
-	caller := &server.Caller{
-		Self:       n.cfg.Instance,
-		Board:      n.core.Board,
-		Engine:     n.core.Engine,
-		Table:      n.core.Table,
-		Executor:   n.executor,
-		Forwarder:  n.forwarder,
-		Settler:    n.settler,
-		Recorder:   recorder{n},
-		Requests:   &n.cfg.Requests,
-		Seen:       n.seen,
-		Heard:      n.ownerHeard,
-		Mark:       n.mark,
-		Unanswered: n.unanswered,
-		LostSignal: &n.lostSignal,
-		Quarantine: n.core.Quarantine,
-		Stop:       n.stopBound,
-		Dialect:    n.cfg.Callers,
-		Service:    n.cfg.Service,
-		Leaving:    n.leaving,
-		Returns:    n.returns,
+	caller := &server.CallerHandler{
+		Self:               n.cfg.Instance,
+		Board:              n.core.Board,
+		Engine:             n.core.Engine,
+		Table:              n.core.Table,
+		Executor:           n.executor,
+		Forwarder:          n.forwarder,
+		Resolver:           n.settler,
+		Recorder:           recorder{n},
+		RequestLog:         &n.cfg.Requests,
+		BundleReported:     n.seen,
+		FreshnessReported:  n.ownerHeard,
+		DirectoryFreshness: n.mark,
+		AttemptUnanswered:  n.unanswered,
+		UnreachableSignal:  &n.lostSignal,
+		Quarantine:         n.core.Quarantine,
+		StopBound:          n.stopBound,
+		Dialect:            n.cfg.Callers,
+		Service:            n.cfg.Service,
+		Leaving:            n.leaving,
+		ExtendRetryAfter:   n.returns,
 	}
 	r := newRouter()
 	r.PathPrefix("/").Handler(caller)
@@ -114,7 +114,7 @@
 	r := newRouter()
 	r.Path(link.Path).Handler(n.links.Handler())
 	r.Path(server.ReachPath).Methods(http.MethodGet).HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
-	attempts := &server.Peer{Executor: n.executor, Seen: n.seen, Heard: n.entryHeard, Lost: n.forwarder.Lost}
+	attempts := &server.PeerHandler{Executor: n.executor, BundleReported: n.seen, RevisionReported: n.entryHeard, Unreachable: n.forwarder.Unreachable}
 	for _, prefix := range server.AttemptPaths {
 		r.PathPrefix(prefix).Handler(attempts)
 	}
--- a/internal/node/settle.go
+++ b/internal/node/settle.go
@@ -20,41 +20,41 @@
 type settler struct {
 	node    *Node
 	mu      sync.Mutex
-	waiters map[model.AttemptID]chan wire.SettleReply
+	waiters map[model.AttemptID]chan wire.ResolveReply
 }
 
-var _ server.Settler = (*settler)(nil)
+var _ server.OutcomeResolver = (*settler)(nil)
 
 func newSettler(n *Node) *settler {
-	return &settler{node: n, waiters: map[model.AttemptID]chan wire.SettleReply{}}
+	return &settler{node: n, waiters: map[model.AttemptID]chan wire.ResolveReply{}}
 }
 
-// Settle implements server.Settler.
-func (s *settler) Settle(ctx context.Context, to model.Instance, q wire.Settle) (wire.SettleReply, error) {
+// Resolve implements server.Settler.
+func (s *settler) Resolve(ctx context.Context, to model.Instance, q wire.Resolve) (wire.ResolveReply, error) {
 	if to.ID == s.node.cfg.Instance {
-		reply, ds := s.node.core.Owner.Settle(time.Now(), q)
+		reply, ds := s.node.core.Owner.Resolve(time.Now(), q)
 		s.node.executor.Deliver(ds)
 		return reply, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
-	ch := make(chan wire.SettleReply, 1)
+	ch := make(chan wire.ResolveReply, 1)
 	s.add(q.Attempt, ch)
 	defer s.remove(q.Attempt)
 	if err := s.node.links.SendTo(ctx, to, q); err != nil {
-		return wire.SettleReply{}, err
+		return wire.ResolveReply{}, err
 	}
 	select {
 	case r := <-ch:
 		return r, nil
 	case <-ctx.Done():
-		return wire.SettleReply{}, ctx.Err()
+		return wire.ResolveReply{}, ctx.Err()
 	case <-s.node.ctx.Done():
-		return wire.SettleReply{}, errStopped
+		return wire.ResolveReply{}, errStopped
 	}
 }
 
-func (s *settler) add(id model.AttemptID, ch chan wire.SettleReply) {
+func (s *settler) add(id model.AttemptID, ch chan wire.ResolveReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.waiters[id] = ch
@@ -67,7 +67,7 @@
 }
 
 // answered hands a reply to the call that asked; a late one is dropped.
-func (s *settler) answered(r wire.SettleReply) {
+func (s *settler) answered(r wire.ResolveReply) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ch := s.waiters[r.Attempt]
@@ -81,7 +81,7 @@
 // keeps the request's id until its memory ends, which is the safe side.
 func (s *settler) Notify(to model.Instance, r wire.KeyResult) {
 	if to.ID == s.node.cfg.Instance {
-		s.node.core.Owner.KeyResult(time.Now(), r)
+		s.node.core.Owner.FinishDelegated(time.Now(), r)
 		return
 	}
 	if r.Outcome == model.OutcomeNotRun {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -100,12 +100,12 @@
 	}
 	v := s.Directory
 	out := &status.Directory{
-		Revision: v.Revision, Heard: v.Heard, Age: status.Age(now, v.Confirmed),
-		Late: v.Lag != directory.InTime, Lag: string(v.Lag),
-		Listed: v.Listed, Asked: v.Asked, Answered: v.Answered, Failures: v.Failures,
+		Revision: v.Revision, Heard: v.NewestSeen, Age: status.Age(now, v.Confirmed),
+		Late: v.Status != directory.ViewCurrent, Lag: string(v.Status),
+		Listed: v.Listed, Asked: v.PeerRequests, Answered: v.PeerReplies, Failures: v.ReadFailures,
 		Readings: map[string]uint64{}, Evacuated: n.core.Board.Fleet.Get().Evacuated,
 	}
-	for cause, count := range v.Readings {
+	for cause, count := range v.Reads {
 		out.Readings[string(cause)] = count
 	}
 	return out
@@ -117,7 +117,7 @@
 		return
 	}
 	for _, l := range s.Links {
-		link := status.Link{Peer: l.Peer, Outgoing: l.Outgoing, Age: status.Ms(now.Sub(l.Heard))}
+		link := status.Link{Peer: l.Peer, Outgoing: l.Outgoing, Age: status.Ms(now.Sub(l.LastReceived))}
 		if in := find(fleet, l.Peer); in != nil {
 			link.DataCentre = in.DataCentre
 		}
@@ -128,23 +128,23 @@
 // serveAside answers with the requests under which workers ended.
 func (n *Node) serveAside(w http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
-	out := status.Aside{Requests: []status.SuspectRequest{}, Ends: n.core.Quarantine.Counts().Ends}
+	out := status.Aside{Requests: []status.SuspectRequest{}, Ends: n.core.Quarantine.Counts().Crashes}
 	for _, s := range n.core.Quarantine.Suspects() {
 		out.Requests = append(out.Requests, suspectStatus(now, &s))
 	}
 	writeJSON(w, out)
 }
 
-func suspectStatus(now time.Time, s *quarantine.Suspect) status.SuspectRequest {
+func suspectStatus(now time.Time, s *quarantine.SuspectRequest) status.SuspectRequest {
 	out := status.SuspectRequest{
-		Fingerprint: s.Content.String(), Asked: s.Label, PutAside: s.PutAside,
+		Fingerprint: s.Content.String(), Asked: s.Label, PutAside: s.Quarantined,
 		SinceAge: status.Age(now, s.Since), Ends: []status.SuspectEnd{},
 	}
 	if !s.NextTrial.IsZero() {
 		in := status.Ms(max(s.NextTrial.Sub(now), 0))
 		out.NextTrial = &in
 	}
-	for _, e := range s.Ends {
+	for _, e := range s.Crashes {
 		out.Ends = append(out.Ends, status.SuspectEnd{Instance: e.Owner, Age: status.Ms(now.Sub(e.At))})
 	}
 	return out
@@ -160,10 +160,10 @@
 }
 
 func (n *Node) measuringStatus(out *status.Measuring) {
-	landing, origin := n.core.Landing.Counts(), n.core.Origin.Counts()
+	landing, origin := n.core.OwnerLimiter.Counts(), n.core.EntryLimiter.Counts()
 	out.Polls = landing.PollsSent
 	out.Sent = origin.Sent
-	out.Received = landing.ProbesTaken
+	out.Received = landing.ProbesAnswered
 	out.Refused = landing.ProbesRefused
 	if _, b := n.core.Board.Bundles.Get().Service(n.cfg.Service); b != nil {
 		out.BudgetPerSecond = b.Measuring.PerUpstreamPerSecond
@@ -210,7 +210,7 @@
 	query := &route.Query{Service: t.Service.Name, Class: class.Name, Remaining: class.Deadline()}
 	for _, e := range n.core.Table.Explain(now, query) {
 		out.Candidates = append(out.Candidates, candidate(&e))
-		if out.Chosen == "" && !e.Leaving && !e.Unreached && !e.Evacuated {
+		if out.Chosen == "" && !e.Leaving && !e.Unreachable && !e.Evacuated {
 			out.Chosen = e.Instance.ID
 		}
 	}
@@ -221,26 +221,26 @@
 		Instance:   e.Instance.ID,
 		DataCentre: e.Instance.DataCentre,
 		Expected:   status.Ms(e.Expected),
-		Wait:       status.Ms(e.Wait + e.Silence),
+		Wait:       status.Ms(e.Wait + e.Overdue),
 		Service:    status.Ms(e.Service),
 		Link:       status.Ms(e.Link),
 		Penalty:    status.Ms(e.Failure),
 		InFlight:   e.OwnInFlight,
 	}
-	if e.Heard {
+	if e.Reported {
 		age := status.Ms(e.Age)
 		c.ReportAge = &age
 	}
 	switch {
 	case e.Leaving:
 		c.Note = "leaving: not chosen"
-	case e.Unreached:
+	case e.Unreachable:
 		c.Note = "out of reach: not chosen"
 	case e.Evacuated:
 		c.Note = "its data centre is evacuated: not chosen"
 	case e.Warming > 0:
 		c.Note = fmt.Sprintf("warming for %s: chosen in turn", e.Warming.Round(time.Millisecond))
-	case !e.Heard:
+	case !e.Reported:
 		c.Note = "no report heard yet: taken for the service's mean"
 	}
 	return c
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -47,8 +47,8 @@
 	}
 	end()
 	var callers, peers error
-	n.step("caller drain", func() { callers = drain(ctx, n.ports.callerHTTP, toldTime, n.stopBound.InHand) })
-	n.step("peer drain", func() { peers = drain(ctx, n.ports.peerHTTP, 0, n.executor.InHand) })
+	n.step("caller drain", func() { callers = drain(ctx, n.ports.callerHTTP, toldTime, n.stopBound.InFlight) })
+	n.step("peer drain", func() { peers = drain(ctx, n.ports.peerHTTP, 0, n.executor.InFlight) })
 	if err := errors.Join(callers, peers); err != nil {
 		n.inHand(event.Log(&n.log, event.DrainTimeout)).Err(err).Send()
 		return fmt.Errorf("%w: %w", ErrCutOff, err)
@@ -121,7 +121,7 @@
 // next homes what this node remembers, or when ctx or the node ends.
 func (n *Node) tellLeaving(ctx context.Context) {
 	select {
-	case n.events <- control.SelfChanged{State: model.StateLeaving}:
+	case n.events <- control.SelfStateChanged{State: model.StateLeaving}:
 	case <-ctx.Done():
 		return
 	}
@@ -151,7 +151,7 @@
 
 // inHand adds what a stop would cut off now.
 func (n *Node) inHand(line *event.Line) *event.Line {
-	return line.Int("callers_in_hand", n.stopBound.InHand()).Int("attempts_in_hand", n.executor.InHand())
+	return line.Int("callers_in_hand", n.stopBound.InFlight()).Int("attempts_in_hand", n.executor.InFlight())
 }
 
 // Kill ends the node at once, as a crash would; for tests.
