--- a/internal/node/suspects.go
+++ b/internal/node/suspects.go
@@ -25,13 +25,13 @@
 // tellSuspects tells a peer, over the connections that calls use, and once more when its
 // answer shows that it lacks something. What does not arrive is told by a later round, and
 // others are told in the peer's place.
-func (n *Node) tellSuspects(a control.TellSuspects) {
-	reply, err := n.postSuspects(a.To, a.News)
+func (n *Node) tellSuspects(a control.SendSuspectUpdate) {
+	reply, err := n.postSuspects(a.To, a.Update)
 	if err != nil {
 		n.untold(a)
 		return
 	}
-	more, differ := n.core.Quarantine.Told(time.Now(), reply)
+	more, differ := n.core.Quarantine.HandleReply(time.Now(), reply)
 	if !differ {
 		return
 	}
@@ -40,21 +40,21 @@
 	}
 }
 
-func (n *Node) untold(a control.TellSuspects) {
+func (n *Node) untold(a control.SendSuspectUpdate) {
 	n.tellsFailed.Add(1)
-	n.core.Quarantine.Unanswered(time.Now(), a)
+	n.core.Quarantine.SendFailed(time.Now(), a)
 }
 
-func (n *Node) postSuspects(to model.Instance, news wire.SuspectNews) (wire.SuspectNews, error) {
+func (n *Node) postSuspects(to model.Instance, news wire.SuspectUpdate) (wire.SuspectUpdate, error) {
 	data, err := wire.EncodeSuspects(&news)
 	if err != nil {
-		return wire.SuspectNews{}, err
+		return wire.SuspectUpdate{}, err
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, tellTimeout)
 	defer cancel()
 	answer, err := n.forwarder.Post(ctx, to.PeerAddress, suspectsPath, data, wire.MaxSuspectBytes)
 	if err != nil {
-		return wire.SuspectNews{}, err
+		return wire.SuspectUpdate{}, err
 	}
 	return wire.DecodeSuspects(answer)
 }
@@ -72,7 +72,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	reply := n.core.Quarantine.Answer(time.Now(), news)
+	reply := n.core.Quarantine.HandleUpdate(time.Now(), news)
 	data, err = wire.EncodeSuspects(&reply)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -34,7 +34,7 @@
 	client *http.Client
 
 	mu    sync.Mutex
-	judge *health.Judge
+	judge *health.Tracker
 	// life is the worker as it last named itself, in answers of its health path and
 	// where it refused what was meant for another.
 	life model.WorkerID
@@ -53,9 +53,9 @@
 		Timeout:       pollTimeout,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
-	judge := health.NewJudge()
+	judge := health.NewTracker()
 	if n.cfg.Directory != nil {
-		judge = health.NewReachabilityJudge()
+		judge = health.NewReachabilityTracker()
 	}
 	return &workerWatch{node: n, client: client, judge: judge}
 }
@@ -72,7 +72,7 @@
 			pause.For(w.node.ctx, noBundlePause)
 			continue
 		}
-		if w.node.core.Landing.AllowPoll(time.Now()) {
+		if w.node.core.OwnerLimiter.AllowPoll(time.Now()) {
 			w.ask(svc.HealthPath)
 		}
 		pause.For(w.node.ctx, w.pollPause(b))
@@ -109,7 +109,7 @@
 	}
 	done := make(chan struct{})
 	svc, _ := w.node.core.Board.Bundles.Get().Service(w.node.cfg.Service)
-	if svc == nil || !w.node.core.Landing.AllowPoll(time.Now()) {
+	if svc == nil || !w.node.core.OwnerLimiter.AllowPoll(time.Now()) {
 		close(done)
 		return done
 	}
@@ -197,7 +197,7 @@
 	w.life = id
 	w.mu.Unlock()
 	if before != id {
-		w.node.sink(control.WorkerSaid{Worker: id})
+		w.node.sink(control.WorkerIdentified{Worker: id})
 	}
 }
 
@@ -230,7 +230,7 @@
 	if w.node.ctx.Err() != nil {
 		return
 	}
-	w.changed(w.judged(func() model.UpstreamState { return w.judge.Polled(time.Now(), p) }))
+	w.changed(w.judged(func() model.UpstreamState { return w.judge.ObservePoll(time.Now(), p) }))
 }
 
 // judged returns the worker's state before and after a judgement; one that panics leaves no
@@ -244,7 +244,7 @@
 
 // traffic takes the evidence of real work; it is the executor's hook.
 func (w *workerWatch) traffic(refused bool) {
-	w.changed(w.judged(func() model.UpstreamState { return w.judge.Traffic(time.Now(), refused) }))
+	w.changed(w.judged(func() model.UpstreamState { return w.judge.ObserveTraffic(time.Now(), refused) }))
 }
 
 func (w *workerWatch) changed(before, after model.UpstreamState) {
@@ -252,15 +252,15 @@
 		return
 	}
 	event.Log(&w.node.log, event.WorkerState).Str("from", before.String()).Str("to", after.String()).Send()
-	w.node.sink(control.SelfChanged{State: after})
+	w.node.sink(control.SelfStateChanged{State: after})
 }
 
 // workerBreaks is told when this node's worker begins to break every attempt, and when
 // that ends.
 func (n *Node) workerBreaks(open bool) {
-	id := event.WorkerAnswers
+	id := event.WorkerRecovered
 	if open {
-		id = event.WorkerBreaks
+		id = event.WorkerFailing
 	}
 	event.Log(&n.log, id).Send()
 }
--- a/internal/owner/admission_test.go
+++ b/internal/owner/admission_test.go
@@ -22,7 +22,7 @@
 	if got := r.o.Pending(); got != 6 {
 		t.Errorf("%d pending", got)
 	}
-	r.wantDecisions(r.finish(running[0], Finish{Status: 200}), startOf(waiting[0]))
+	r.wantDecisions(r.finish(running[0], Completion{Status: 200}), startOf(waiting[0]))
 }
 
 func TestUpstreamOverrideAndConnectionsBoundTheLimit(t *testing.T) {
@@ -80,9 +80,9 @@
 	for _, a := range []*model.Attempt{poor, late, early} {
 		r.want(r.offer(a), waits)
 	}
-	r.wantDecisions(r.finish(running[0], Finish{Status: 200}), startOf(early))
-	r.wantDecisions(r.finish(running[1], Finish{Status: 200}), startOf(late))
-	r.wantDecisions(r.finish(early, Finish{Status: 200}), startOf(poor))
+	r.wantDecisions(r.finish(running[0], Completion{Status: 200}), startOf(early))
+	r.wantDecisions(r.finish(running[1], Completion{Status: 200}), startOf(late))
+	r.wantDecisions(r.finish(early, Completion{Status: 200}), startOf(poor))
 }
 
 func TestClassUnderItsShareGoesFirst(t *testing.T) {
@@ -100,9 +100,9 @@
 	for _, a := range []*model.Attempt{rich, lookup, lookup2} {
 		r.want(r.offer(a), waits)
 	}
-	r.wantDecisions(r.finish(running[0], Finish{Status: 200}), startOf(lookup))
-	r.wantDecisions(r.finish(running[1], Finish{Status: 200}), startOf(rich))
-	r.wantDecisions(r.finish(running[2], Finish{Status: 200}), startOf(lookup2))
+	r.wantDecisions(r.finish(running[0], Completion{Status: 200}), startOf(lookup))
+	r.wantDecisions(r.finish(running[1], Completion{Status: 200}), startOf(rich))
+	r.wantDecisions(r.finish(running[2], Completion{Status: 200}), startOf(lookup2))
 }
 
 // A class without worth or share still gets its floor under endless worth.
@@ -121,7 +121,7 @@
 	for range enough {
 		a := r.attempt()
 		r.want(r.offer(a), waits)
-		ds := r.finish(running[0], Finish{Status: 200})
+		ds := r.finish(running[0], Completion{Status: 200})
 		running = running[1:]
 		for _, d := range ds {
 			if d.Attempt == lookup.ID {
@@ -149,7 +149,7 @@
 	r.want(r.offer(equal), refused(model.ReasonQueueFull, true))
 	r.want(r.offer(r.attempt()), waits)
 	r.wantDecisions(r.tick(0), refusalOf(views[3], model.ReasonQueueFull))
-	r.want(r.offer(views[3]), refused(model.ReasonBarred, true))
+	r.want(r.offer(views[3]), refused(model.ReasonFenced, true))
 }
 
 // A class keeps its share of the queue's places against a higher worth.
@@ -187,8 +187,8 @@
 	next.Worth = 100
 	r.want(r.offer(next), waits)
 	r.want(r.offer(small), waits)
-	r.wantDecisions(r.finish(running[0], Finish{Status: 200}), startOf(small))
-	r.wantDecisions(r.finish(running[1], Finish{Status: 200}), startOf(next))
+	r.wantDecisions(r.finish(running[0], Completion{Status: 200}), startOf(small))
+	r.wantDecisions(r.finish(running[1], Completion{Status: 200}), startOf(next))
 }
 
 func TestTenantRateIsThisOwnersPart(t *testing.T) {
@@ -225,7 +225,7 @@
 func TestWorkThatCannotFinishIsRefusedEarly(t *testing.T) {
 	r := newRig(t, testService())
 	for _, a := range r.fill(2) {
-		r.finish(a, Finish{Status: 200, ServiceTime: 100 * time.Millisecond})
+		r.finish(a, Completion{Status: 200, ServiceTime: 100 * time.Millisecond})
 	}
 	r.fill(2)
 	// One slot comes free every 50 ms, and the service takes 100 ms.
@@ -244,7 +244,7 @@
 func TestLongEstimateIsProbed(t *testing.T) {
 	r := newRig(t, testService())
 	a := r.fill(1)[0]
-	r.finish(a, Finish{Status: 200, ServiceTime: time.Hour})
+	r.finish(a, Completion{Status: 200, ServiceTime: time.Hour})
 	r.fill(1)
 }
 
@@ -268,9 +268,9 @@
 		r.o.SetState(r.now, s)
 		r.want(r.offer(r.attempt()), refused(model.ReasonLeaving, true))
 	}
-	r.wantDecisions(r.finish(running[0], Finish{Status: 200}), startOf(waiting))
-	r.finish(running[1], Finish{Status: 200})
-	r.finish(waiting, Finish{Status: 200})
+	r.wantDecisions(r.finish(running[0], Completion{Status: 200}), startOf(waiting))
+	r.finish(running[1], Completion{Status: 200})
+	r.finish(waiting, Completion{Status: 200})
 	if got := r.o.Pending(); got != 0 {
 		t.Errorf("%d pending", got)
 	}
@@ -308,7 +308,7 @@
 		defer mu.Unlock()
 		for _, d := range ds {
 			waiting[d.Attempt] = false
-			if d.Verdict == Start {
+			if d.Kind == Start {
 				running <- d.Attempt
 			}
 		}
@@ -325,7 +325,7 @@
 				}
 				mu.Lock()
 				v, _ := r.o.Offer(now, a, false)
-				waiting[a.ID] = v == Wait
+				waiting[a.ID] = v == Queue
 				mu.Unlock()
 				if v == Start {
 					running <- a.ID
@@ -335,7 +335,7 @@
 				}
 				select {
 				case id := <-running:
-					take(r.o.Finish(now, id, Finish{Status: 200}))
+					take(r.o.Finish(now, id, Completion{Status: 200}))
 				default:
 				}
 			}
@@ -358,12 +358,12 @@
 	r.want(r.offer(short), waits)
 	r.want(r.offer(long), waits)
 	r.pass(2 * time.Second)
-	r.wantDecisions(r.o.Paused(r.now, 2*time.Second), refusalOf(short, model.ReasonExpired))
+	r.wantDecisions(r.o.ProcessPaused(r.now, 2*time.Second), refusalOf(short, model.ReasonExpired))
 	r.want(r.offer(r.attempt()), refused(model.ReasonPaused, true))
 	if r.o.Confirm(r.now, running[0].ID) {
 		t.Error("confirmed an attempt whose time ran out")
 	}
-	r.wantDecisions(r.finish(running[0], Finish{NotRun: true}))
+	r.wantDecisions(r.finish(running[0], Completion{NotRun: true}))
 	r.wantDecisions(r.tick(0), startOf(long))
 	unstamped := r.attempt()
 	unstamped.Idempotent, unstamped.OwnerClock = true, 0
@@ -374,7 +374,7 @@
 	r := newRig(t, testService())
 	a := r.attempt()
 	r.want(r.offer(a), started)
-	r.o.Paused(r.now, 500*time.Millisecond)
+	r.o.ProcessPaused(r.now, 500*time.Millisecond)
 	if r.o.Confirm(r.now, a.ID) {
 		t.Error("confirmed while in doubt")
 	}
@@ -386,7 +386,7 @@
 
 func TestDoubtEndsWithoutATick(t *testing.T) {
 	r := newRig(t, testService())
-	r.o.Paused(r.now, time.Second)
+	r.o.ProcessPaused(r.now, time.Second)
 	r.pass(pauseDoubt)
 	r.want(r.offer(r.attempt()), started)
 }
--- a/internal/owner/attempts_test.go
+++ b/internal/owner/attempts_test.go
@@ -53,7 +53,7 @@
 		a.Idempotent = idempotent
 		r.want(r.offer(a), started)
 		r.want(r.offer(a), refused(model.ReasonDuplicateRunning, false))
-		r.finish(a, Finish{Status: 200})
+		r.finish(a, Completion{Status: 200})
 		r.want(r.offer(a), refused(model.ReasonDuplicateDone, false))
 	}
 }
@@ -62,9 +62,9 @@
 	r := newRig(t, testService())
 	a := r.attempt()
 	r.want(r.offer(a), started)
-	r.finish(a, Finish{NotRun: true})
-	r.want(r.offer(a), refused(model.ReasonBarred, true))
-	if got := r.settle(a, time.Second); got != model.AttemptBarred {
+	r.finish(a, Completion{NotRun: true})
+	r.want(r.offer(a), refused(model.ReasonFenced, true))
+	if got := r.settle(a, time.Second); got != model.AttemptFenced {
 		t.Fatalf("settled as %v", got)
 	}
 }
@@ -75,7 +75,7 @@
 	a := r.attempt()
 	r.want(r.offer(a), refused(model.ReasonNotReady, true))
 	r.o.SetState(r.now, model.StateLive)
-	r.want(r.offer(a), refused(model.ReasonBarred, true))
+	r.want(r.offer(a), refused(model.ReasonFenced, true))
 }
 
 func TestSettle(t *testing.T) {
@@ -88,18 +88,18 @@
 	if got := r.settle(never, time.Second); got != model.AttemptNeverSeen {
 		t.Errorf("never seen: settled as %v", got)
 	}
-	r.want(r.offer(never), refused(model.ReasonBarred, true))
+	r.want(r.offer(never), refused(model.ReasonFenced, true))
 	if got := r.settle(running, time.Second); got != model.AttemptStarted {
 		t.Errorf("started: settled as %v", got)
 	}
 	if got := r.settle(waiting, time.Second); got != model.AttemptQueued {
 		t.Errorf("queued: settled as %v", got)
 	}
-	r.wantDecisions(r.decided, refusalOf(waiting, model.ReasonBarred))
-	if got := r.settle(waiting, time.Second); got != model.AttemptBarred {
+	r.wantDecisions(r.decided, refusalOf(waiting, model.ReasonFenced))
+	if got := r.settle(waiting, time.Second); got != model.AttemptFenced {
 		t.Errorf("settled again: settled as %v", got)
 	}
-	r.finish(running, Finish{Status: 500, Failed: true})
+	r.finish(running, Completion{Status: 500, Failed: true})
 	if got := r.settle(running, time.Second); got != model.AttemptDone {
 		t.Errorf("done: settled as %v", got)
 	}
@@ -132,7 +132,7 @@
 	r := newRig(t, testService())
 	a, never := r.attempt(), r.attempt()
 	r.want(r.offer(a), started)
-	r.finish(a, Finish{Status: 200})
+	r.finish(a, Completion{Status: 200})
 	r.tick(time.Hour)
 	if got := r.settle(a, 0); got != model.AttemptForgotten {
 		t.Errorf("a done attempt: settled as %v", got)
@@ -164,7 +164,7 @@
 		t.Fatalf("settled as %v", got)
 	}
 	r.want(r.offer(done), started)
-	r.finish(done, Finish{Status: 200})
+	r.finish(done, Completion{Status: 200})
 	for range 100 {
 		r.pass(time.Microsecond)
 		if a := r.attempt(); r.settle(a, 10*time.Second) != model.AttemptNeverSeen {
@@ -198,5 +198,5 @@
 		t.Error("a queued attempt was not cancelled")
 	}
 	r.wantDecisions(ds, refusalOf(waiting, model.ReasonCancelled))
-	r.want(r.offer(waiting), refused(model.ReasonBarred, true))
+	r.want(r.offer(waiting), refused(model.ReasonFenced, true))
 }
--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -58,7 +58,7 @@
 		r.next(a)
 		r.o.Offer(r.now, a, false)
 		r.o.Confirm(r.now, a.ID)
-		r.o.Finish(r.now, a.ID, Finish{Status: 200, ServiceTime: time.Millisecond})
+		r.o.Finish(r.now, a.ID, Completion{Status: 200, ServiceTime: time.Millisecond})
 		if i%200 == 0 {
 			r.o.Tick(r.now)
 		}
@@ -102,8 +102,8 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		step()
-		for _, d := range r.o.Finish(r.now, running[0], Finish{Status: 200, ServiceTime: time.Millisecond}) {
-			if d.Verdict == Start {
+		for _, d := range r.o.Finish(r.now, running[0], Completion{Status: 200, ServiceTime: time.Millisecond}) {
+			if d.Kind == Start {
 				running = append(running, d.Attempt)
 			}
 		}
@@ -167,7 +167,7 @@
 func BenchmarkMemoryPerAttempt(b *testing.B) {
 	benchMemory(b, memorySizes, func(r *rig, i int) {
 		id := model.AttemptID{Entry: model.InstanceID(fmt.Sprint("e", i%100)), Incarnation: 1, Sequence: uint64(i)}
-		r.o.Settle(r.now, wire.Settle{Attempt: id, OwnerIncarnation: testIncarnation, Remaining: time.Hour})
+		r.o.Resolve(r.now, wire.Resolve{Attempt: id, OwnerIncarnation: testIncarnation, Remaining: time.Hour})
 	})
 }
 
--- a/internal/owner/breaker.go
+++ b/internal/owner/breaker.go
@@ -76,7 +76,7 @@
 // that little is sent to it anyway, and what waits meanwhile is mostly served after it.
 // Counted in, time-outs took the worth answered by a worker that hangs for 0.7 of 2 s
 // from 0.72 to 0.55 (TestLimitsCompared).
-func (f *Finish) broke() bool {
+func (f *Completion) broke() bool {
 	return f.Failed && !f.NotRun && !f.Abandoned && !f.Expired && f.Status == 0
 }
 
@@ -91,15 +91,15 @@
 
 // noteBreak takes an attempt's end to the breaker. When that opens it, what waits is
 // turned away, to be placed elsewhere.
-func (o *Owner) noteBreak(t time.Duration, f Finish) {
+func (o *Owner) noteBreak(t time.Duration, f Completion) {
 	if f.NotRun || f.Abandoned || f.Expired {
 		return
 	}
 	wasOpen := o.breaker.open()
 	o.breaker.ended(t, f.broke())
 	open := o.breaker.open()
-	if open != wasOpen && o.cfg.Breaking != nil {
-		o.cfg.Breaking(open)
+	if open != wasOpen && o.cfg.OnBreakerChange != nil {
+		o.cfg.OnBreakerChange(open)
 	}
 	if open && !wasOpen {
 		o.turnAwayAll(t, model.Refusal{Reason: model.ReasonNotReady, NotRun: true, RetryAfter: breakerPause})
--- a/internal/owner/breaker_test.go
+++ b/internal/owner/breaker_test.go
@@ -28,7 +28,7 @@
 	t.Helper()
 	r := newRig(t, testService())
 	var out broken
-	r.o.cfg.Breaking = func(open bool) { out.changes = append(out.changes, open) }
+	r.o.cfg.OnBreakerChange = func(open bool) { out.changes = append(out.changes, open) }
 	for i := range 400 {
 		at := time.Duration(i) * 10 * time.Millisecond
 		a := r.attempt()
@@ -39,9 +39,9 @@
 			out.refusals = append(out.refusals, got.Refusal)
 		case Start:
 			r.o.Confirm(r.now, a.ID)
-			f := Finish{ServiceTime: 5 * time.Millisecond, Status: 200}
+			f := Completion{ServiceTime: 5 * time.Millisecond, Status: 200}
 			if at >= time.Second && at < 2*time.Second {
-				f = Finish{ServiceTime: time.Millisecond, Failed: true}
+				f = Completion{ServiceTime: time.Millisecond, Failed: true}
 				out.all++
 				if !a.Idempotent {
 					out.lost++
@@ -104,15 +104,15 @@
 
 func TestOnlyABrokenAnswerSpeaksAgainstTheWorker(t *testing.T) {
 	for name, tt := range map[string]struct {
-		f    Finish
+		f    Completion
 		want bool
 	}{
-		"reset":        {Finish{Failed: true, ServiceTime: time.Millisecond}, true},
-		"time-out":     {Finish{Failed: true, Expired: true, ServiceTime: time.Second}, false},
-		"given up":     {Finish{Failed: true, Abandoned: true}, false},
-		"server error": {Finish{Failed: true, Status: 500, ServiceTime: time.Millisecond}, false},
-		"not run":      {Finish{Failed: true, NotRun: true}, false},
-		"answered":     {Finish{Status: 200}, false},
+		"reset":        {Completion{Failed: true, ServiceTime: time.Millisecond}, true},
+		"time-out":     {Completion{Failed: true, Expired: true, ServiceTime: time.Second}, false},
+		"given up":     {Completion{Failed: true, Abandoned: true}, false},
+		"server error": {Completion{Failed: true, Status: 500, ServiceTime: time.Millisecond}, false},
+		"not run":      {Completion{Failed: true, NotRun: true}, false},
+		"answered":     {Completion{Status: 200}, false},
 	} {
 		if got := tt.f.broke(); got != tt.want {
 			t.Errorf("%s: broke %v, want %v", name, got, tt.want)
--- a/internal/owner/caution.go
+++ b/internal/owner/caution.go
@@ -6,17 +6,17 @@
 	"gypsumstand/internal/model"
 )
 
-// Caution is what is known against a request that is offered.
-type Caution struct {
-	// Ends counts the workers that ended under earlier attempts of the same sending.
-	Ends int
+// Restrictions is what is known against a request that is offered.
+type Restrictions struct {
+	// Crashes counts the workers that ended under earlier attempts of the same sending.
+	Crashes int
 	// Alone: it runs where nothing else does that is to run alone.
-	Alone bool
+	Exclusive bool
 	// Refusal is what refuses it whatever this owner's state, ReasonNone where nothing does.
 	Refusal model.Refusal
-	// Home is the only owner at which it may run, empty where any may run it; RetryAfter is
+	// OnlyOwner is the only owner at which it may run, empty where any may run it; RetryAfter is
 	// when a worker that ended under it is expected back.
-	Home       model.InstanceID
+	OnlyOwner  model.InstanceID
 	RetryAfter time.Duration
 }
 
@@ -27,20 +27,20 @@
 const endsToRunAlone = 2
 
 // alone tells whether the request has to run alone.
-func (c Caution) alone() bool { return c.Alone || c.Ends >= endsToRunAlone }
+func (c Restrictions) alone() bool { return c.Exclusive || c.Crashes >= endsToRunAlone }
 
 // untilBack gives a refusal by an owner whose worker is away the time at which that is
 // expected back, where the request may run nowhere else.
-func (c Caution) untilBack(r model.Refusal) model.Refusal {
-	if c.Home == "" || r.Reason != model.ReasonNotReady {
+func (c Restrictions) untilBack(r model.Refusal) model.Refusal {
+	if c.OnlyOwner == "" || r.Reason != model.ReasonNotReady {
 		return r
 	}
-	return model.Refusal{Reason: model.ReasonHeldBack, NotRun: true, RetryAfter: c.RetryAfter, Home: c.Home}
+	return model.Refusal{Reason: model.ReasonDeferred, NotRun: true, RetryAfter: c.RetryAfter, OnlyOwner: c.OnlyOwner}
 }
 
-// RunAlone takes that a started attempt is to run alone, as is known only now that its whole
+// MarkExclusive takes that a started attempt is to run alone, as is known only now that its whole
 // request is here. It reports whether it does: no other one that runs alone is at the worker.
-func (o *Owner) RunAlone(id model.AttemptID) bool {
+func (o *Owner) MarkExclusive(id model.AttemptID) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	it := o.live[id]
--- a/internal/owner/delayed.go
+++ b/internal/owner/delayed.go
@@ -6,7 +6,7 @@
 const delayedGain = 1.0 / 16
 
 // noteOffer takes whether an offered attempt was started at once.
-func (o *Owner) noteOffer(v Verdict) {
+func (o *Owner) noteOffer(v DecisionKind) {
 	target := 1.0
 	if v == Start {
 		target = 0
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -81,7 +81,7 @@
 		}
 		o.learnWait(t, it, t-it.arrived)
 		o.start(t, it)
-		o.out = append(o.out, Decision{Attempt: it.id, Verdict: Start})
+		o.out = append(o.out, Decision{Attempt: it.id, Kind: Start})
 	}
 }
 
@@ -126,7 +126,7 @@
 	}
 	r = o.delegate(t, it, r)
 	o.attempts.end(t, it, attemptBarred)
-	o.out = append(o.out, Decision{Attempt: it.id, Verdict: Refuse, Refusal: r})
+	o.out = append(o.out, Decision{Attempt: it.id, Kind: Refuse, Refusal: r})
 }
 
 // hopeShare is the part of the expected service time that must be left for a start: of
--- a/internal/owner/evacuate_test.go
+++ b/internal/owner/evacuate_test.go
@@ -13,23 +13,23 @@
 	queued := r.attempt()
 	queued.Remaining = 5 * time.Second
 	r.want(r.offer(queued), waits)
-	r.o.Evacuate(r.now, true)
+	r.o.SetEvacuated(r.now, true)
 	r.want(r.offer(r.attempt()), refused(model.ReasonEvacuated, true))
 	for waited := time.Duration(0); waited < evacuatedQueue+10*time.Millisecond; waited += 10 * time.Millisecond {
 		r.tick(10 * time.Millisecond)
 	}
-	r.keep(r.o.Finish(r.now, running[0].ID, Finish{ServiceTime: time.Second, Status: 200}))
-	if len(r.decided) != 1 || r.decided[0].Verdict != Refuse || r.decided[0].Refusal.Reason != model.ReasonEvacuated || !r.decided[0].Refusal.NotRun {
+	r.keep(r.o.Finish(r.now, running[0].ID, Completion{ServiceTime: time.Second, Status: 200}))
+	if len(r.decided) != 1 || r.decided[0].Kind != Refuse || r.decided[0].Refusal.Reason != model.ReasonEvacuated || !r.decided[0].Refusal.NotRun {
 		t.Errorf("decisions %+v, want the one that waited handed on as not run", r.decided)
 	}
-	r.o.Evacuate(r.now, false)
+	r.o.SetEvacuated(r.now, false)
 	r.want(r.offer(r.attempt()), started)
 }
 
 // A caller's own id that its home cannot run is remembered there, so that it runs once.
 func TestAnEvacuatedHomeRemembersWhatItSendsElsewhere(t *testing.T) {
 	r := newRig(t, testService())
-	r.o.Evacuate(r.now, true)
+	r.o.SetEvacuated(r.now, true)
 	a := r.attempt()
 	a.CallerKey = true
 	r.want(r.offer(a), refused(model.ReasonDelegated, true))
@@ -53,7 +53,7 @@
 		{[]model.RegionName{}, refused(model.ReasonRegion, true)},
 	} {
 		a := r.attempt()
-		a.Regions = model.RegionsOf(tt.names)
+		a.Regions = model.NewRegions(tt.names)
 		r.want(r.offer(a), tt.want)
 	}
 }
--- a/internal/owner/handover.go
+++ b/internal/owner/handover.go
@@ -7,10 +7,10 @@
 	"gypsumstand/internal/wire"
 )
 
-// Handover returns what this owner remembers as the home of callers' request ids,
+// ExportKeys returns what this owner remembers as the home of callers' request ids,
 // for their next homes, in the order of ids. It is called when the owner begins to
 // leave; from then on it registers no id.
-func (o *Owner) Handover(now time.Time) []wire.KeyRecord {
+func (o *Owner) ExportKeys(now time.Time) []wire.KeyRecord {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.clock(now)
@@ -32,10 +32,10 @@
 	return out
 }
 
-// TakeOver remembers request ids of a home that leaves. What this owner knows
+// ImportKeys remembers request ids of a home that leaves. What this owner knows
 // itself is not changed, and ids over the bound of its memory are dropped: it
 // returns how many.
-func (o *Owner) TakeOver(now time.Time, records []wire.KeyRecord) (dropped int) {
+func (o *Owner) ImportKeys(now time.Time, records []wire.KeyRecord) (dropped int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.clock(now)
--- a/internal/owner/helpers_test.go
+++ b/internal/owner/helpers_test.go
@@ -98,12 +98,12 @@
 	return answer{v, refusal}
 }
 
-func (r *rig) finish(a *model.Attempt, f Finish) []Decision {
+func (r *rig) finish(a *model.Attempt, f Completion) []Decision {
 	return r.keep(r.o.Finish(r.now, a.ID, f))
 }
 
 func (r *rig) settle(a *model.Attempt, remaining time.Duration) model.AttemptState {
-	reply, ds := r.o.Settle(r.now, wire.Settle{
+	reply, ds := r.o.Resolve(r.now, wire.Resolve{
 		Attempt: a.ID, OwnerIncarnation: a.OwnerIncarnation, Request: a.Request, Remaining: remaining,
 	})
 	r.keep(ds)
@@ -112,12 +112,12 @@
 
 // answer is the result of an offer.
 type answer struct {
-	Verdict Verdict
+	Verdict DecisionKind
 	Refusal model.Refusal
 }
 
 var started = answer{Verdict: Start}
-var waits = answer{Verdict: Wait}
+var waits = answer{Verdict: Queue}
 
 // refused is a refusal without its advice.
 func refused(reason model.Reason, notRun bool) answer {
@@ -158,8 +158,8 @@
 	return out
 }
 
-func startOf(a *model.Attempt) Decision { return Decision{Attempt: a.ID, Verdict: Start} }
+func startOf(a *model.Attempt) Decision { return Decision{Attempt: a.ID, Kind: Start} }
 
 func refusalOf(a *model.Attempt, reason model.Reason) Decision {
-	return Decision{Attempt: a.ID, Verdict: Refuse, Refusal: model.Refusal{Reason: reason, NotRun: true}}
+	return Decision{Attempt: a.ID, Kind: Refuse, Refusal: model.Refusal{Reason: reason, NotRun: true}}
 }
--- a/internal/owner/keys.go
+++ b/internal/owner/keys.go
@@ -90,10 +90,10 @@
 	return model.Refusal{}
 }
 
-// KeyResult takes the end of a request that this owner, as its home, delegated.
+// FinishDelegated takes the end of a request that this owner, as its home, delegated.
 // Only the entry that it was delegated to may end it: an outcome of "not run"
 // frees the id, an answer makes it done, unknown leaves it until it lapses.
-func (o *Owner) KeyResult(now time.Time, r wire.KeyResult) {
+func (o *Owner) FinishDelegated(now time.Time, r wire.KeyResult) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.clock(now)
--- a/internal/owner/keys_test.go
+++ b/internal/owner/keys_test.go
@@ -17,7 +17,7 @@
 	if got := r.settle(second, time.Second); got != model.AttemptForgotten {
 		t.Errorf("the refused duplicate settled as %v, which an entry may take for a proof", got)
 	}
-	r.finish(first, Finish{Status: 200})
+	r.finish(first, Completion{Status: 200})
 	r.want(r.offer(r.keyed("k")), refused(model.ReasonDuplicateDone, false))
 	r.tick(59 * time.Second)
 	r.want(r.offer(r.keyed("k")), refused(model.ReasonDuplicateDone, false))
@@ -32,7 +32,7 @@
 	r := newRig(t, testService())
 	first := r.keyed("k")
 	r.want(r.offer(first), started)
-	r.finish(first, Finish{NotRun: true})
+	r.finish(first, Completion{NotRun: true})
 	r.want(r.offer(r.keyed("k")), started)
 }
 
@@ -40,7 +40,7 @@
 	r := newRig(t, testService())
 	first := r.keyed("k")
 	r.want(r.offer(first), started)
-	r.finish(first, Finish{NotRun: true, Delegate: true})
+	r.finish(first, Completion{NotRun: true, Delegate: true})
 	r.want(r.offer(r.keyed("k")), refused(model.ReasonDuplicateRunning, false))
 }
 
@@ -50,17 +50,17 @@
 		prepare func(r *rig)
 	}{
 		{"cold", func(r *rig) { r.o.SetState(r.now, model.StateCold) }},
-		{"paused", func(r *rig) { r.o.Paused(r.now, time.Second) }},
+		{"paused", func(r *rig) { r.o.ProcessPaused(r.now, time.Second) }},
 		{"long wait", func(r *rig) {
 			for _, a := range r.fill(2) {
-				r.finish(a, Finish{Status: 200, ServiceTime: 600 * time.Millisecond})
+				r.finish(a, Completion{Status: 200, ServiceTime: 600 * time.Millisecond})
 			}
 			r.fill(2)
 		}},
 		{"failing worker", func(r *rig) {
 			for range 2 * smoothing {
 				a := r.fill(1)[0]
-				r.finish(a, Finish{Status: 500, Failed: true})
+				r.finish(a, Completion{Status: 500, Failed: true})
 			}
 			r.fill(2)
 		}},
@@ -112,7 +112,7 @@
 			r.o.SetState(r.now, model.StateLive)
 			id := a.ID
 			tt.change(&id)
-			r.o.KeyResult(r.now, wire.KeyResult{Request: "k", Attempt: id, Outcome: tt.outcome})
+			r.o.FinishDelegated(r.now, wire.KeyResult{Request: "k", Attempt: id, Outcome: tt.outcome})
 			r.want(r.offer(r.keyed("k")), tt.want)
 		})
 	}
@@ -145,7 +145,7 @@
 	for i := len(r.o.keys.byID); i < r.o.keys.max; i++ {
 		a := r.keyed(model.RequestID(time.Duration(i).String()))
 		r.want(r.offer(a), started)
-		r.finish(a, Finish{Status: 200})
+		r.finish(a, Completion{Status: 200})
 	}
 	r.want(r.offer(r.keyed("new")), refused(model.ReasonOverloaded, true))
 	r.want(r.offer(r.keyed("live")), refused(model.ReasonDuplicateRunning, false))
@@ -156,13 +156,13 @@
 	r := newRig(t, testService())
 	done, running := r.keyed("done"), r.keyed("running")
 	r.want(r.offer(done), started)
-	r.finish(done, Finish{Status: 200, ServiceTime: time.Millisecond})
+	r.finish(done, Completion{Status: 200, ServiceTime: time.Millisecond})
 	r.want(r.offer(running), started)
 	r.o.SetState(r.now, model.StateLeaving)
 	r.want(r.offer(r.keyed("new")), refused(model.ReasonLeaving, true))
 	r.want(r.offer(r.keyed("done")), refused(model.ReasonDuplicateDone, false))
 	next := newRig(t, testService())
-	if dropped := next.o.TakeOver(next.now, r.o.Handover(r.now)); dropped != 0 {
+	if dropped := next.o.ImportKeys(next.now, r.o.ExportKeys(r.now)); dropped != 0 {
 		t.Errorf("%d records dropped", dropped)
 	}
 	next.want(next.offer(next.keyed("done")), refused(model.ReasonDuplicateDone, false))
@@ -174,7 +174,7 @@
 	r := newRig(t, testService())
 	first := r.keyed("k")
 	r.want(r.offer(first), started)
-	r.finish(first, Finish{Status: 200, ServiceTime: time.Millisecond})
+	r.finish(first, Completion{Status: 200, ServiceTime: time.Millisecond})
 	for range 10 {
 		r.now = r.now.Add(r.o.keys.memory * 2 / 3)
 		r.o.Tick(r.now)
@@ -199,8 +199,8 @@
 	r := newRig(t, svc)
 	r.o.Configure(r.now, testBundle(svc), svc, 1)
 	for _, a := range r.fill(2) {
-		r.finish(a, Finish{Status: 200, ServiceTime: 600 * time.Millisecond})
+		r.finish(a, Completion{Status: 200, ServiceTime: 600 * time.Millisecond})
 	}
 	r.fill(2)
-	r.want(r.offer(r.keyed("k")), answer{Verdict: Wait})
+	r.want(r.offer(r.keyed("k")), answer{Verdict: Queue})
 }
--- a/internal/owner/life.go
+++ b/internal/owner/life.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Restarted says that another life of the worker has begun, under the same id or a new
+// WorkerRestarted says that another life of the worker has begun, under the same id or a new
 // one. What was learned of the life before is forgotten: its refusals and breaks, its
 // pace, its failures; the new one gets its slots by the slow start. The classes'
 // service times stay, since they say more of the work than of a life.
@@ -10,13 +10,13 @@
 // Attempts at the life before go on until their connections end: the news comes up to
 // some seconds late, so some of them are at the new life. Nothing is proved of them; one
 // that breaks may have run. Their ends say nothing of the new life.
-func (o *Owner) Restarted(now time.Time) []Decision {
+func (o *Owner) WorkerRestarted(now time.Time) []Decision {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.clock(now)
 	o.life++
-	if o.breaker.open() && o.cfg.Breaking != nil {
-		o.cfg.Breaking(false)
+	if o.breaker.open() && o.cfg.OnBreakerChange != nil {
+		o.cfg.OnBreakerChange(false)
 	}
 	o.breaker = breaker{}
 	o.limit.adapt = newAdaptation()
--- a/internal/owner/life_test.go
+++ b/internal/owner/life_test.go
@@ -15,7 +15,7 @@
 			r.t.Fatalf("verdict %v, want a start", got.Verdict)
 		}
 		r.o.Confirm(r.now, a.ID)
-		r.o.Finish(r.now, a.ID, Finish{Failed: true})
+		r.o.Finish(r.now, a.ID, Completion{Failed: true})
 		r.pass(time.Millisecond)
 	}
 }
@@ -23,12 +23,12 @@
 func TestAnotherLifeIsNotHeldToTheBreaksOfTheOneBefore(t *testing.T) {
 	r := newRig(t, testService())
 	var told []bool
-	r.o.cfg.Breaking = func(open bool) { told = append(told, open) }
+	r.o.cfg.OnBreakerChange = func(open bool) { told = append(told, open) }
 	r.breakInRow(breakerTrips)
 	if got := r.offer(r.attempt()); got.Verdict != Refuse {
 		t.Fatalf("verdict %v while every attempt breaks, want a refusal", got.Verdict)
 	}
-	r.keep(r.o.Restarted(r.now))
+	r.keep(r.o.WorkerRestarted(r.now))
 	if got := r.offer(r.attempt()); got.Verdict != Start {
 		t.Errorf("verdict %v at the new life, want a start", got.Verdict)
 	}
@@ -46,9 +46,9 @@
 		a := r.attempt()
 		r.offer(a)
 		r.o.Confirm(r.now, a.ID)
-		old = append(old, func() { r.o.Finish(r.now, a.ID, Finish{Failed: true}) })
+		old = append(old, func() { r.o.Finish(r.now, a.ID, Completion{Failed: true}) })
 	}
-	r.keep(r.o.Restarted(r.now))
+	r.keep(r.o.WorkerRestarted(r.now))
 	for _, end := range old {
 		end()
 	}
--- a/internal/owner/limit_test.go
+++ b/internal/owner/limit_test.go
@@ -115,7 +115,7 @@
 	r := newRig(t, testService())
 	for range 50 {
 		a := r.fill(1)[0]
-		r.finish(a, Finish{NotRun: true, Failed: true, Abandoned: true, ServiceTime: time.Minute})
+		r.finish(a, Completion{NotRun: true, Failed: true, Abandoned: true, ServiceTime: time.Minute})
 	}
 	if got := r.o.Report(r.now); got.Limit != 2 || got.FailureRate != 0 || got.ServiceTime != 0 {
 		t.Errorf("limit %d, failure rate %d, service time %v after abandoned attempts", got.Limit, got.FailureRate, got.ServiceTime)
@@ -133,7 +133,7 @@
 		a := r.attempt()
 		r.want(r.offer(a), started)
 		r.pass(time.Millisecond)
-		r.finish(a, Finish{NotRun: true, Whim: true, Status: 503})
+		r.finish(a, Completion{NotRun: true, SpuriousRefusal: true, Status: 503})
 	}
 	report := r.o.Report(r.now)
 	if report.Limit != 12 || report.FailureShare() < 0.5 {
--- a/internal/owner/machine_test.go
+++ b/internal/owner/machine_test.go
@@ -32,7 +32,7 @@
 }
 
 // scoped is the id under which the request is remembered.
-func (r *record) scoped() model.RequestID { return model.ScopedRequest(r.a.Tenant, r.a.Request) }
+func (r *record) scoped() model.RequestID { return model.ScopedRequestID(r.a.Tenant, r.a.Request) }
 
 // request is the oracle's word on one caller's request id: whether one of its
 // attempts may be running or has run, here or where it was delegated to.
@@ -54,7 +54,7 @@
 	byID     map[model.AttemptID]*record
 	requests map[model.RequestID]*request
 	// settles were sent and have not arrived; each may arrive late.
-	settles     []wire.Settle
+	settles     []wire.Resolve
 	incarnation model.Incarnation
 	// doubtUntil: nothing may start before it.
 	doubtUntil time.Time
@@ -142,7 +142,7 @@
 	switch got.Verdict {
 	case Start:
 		m.started(r)
-	case Wait:
+	case Queue:
 		if r.waiting || r.running || r.ran || r.notRun {
 			m.failf("%v waits again: %+v", r.a.ID, r)
 		}
@@ -223,7 +223,7 @@
 		if !r.waiting {
 			m.failf("decision %+v on %+v", d, r)
 		}
-		if d.Verdict == Start {
+		if d.Kind == Start {
 			m.started(r)
 			continue
 		}
@@ -249,7 +249,7 @@
 
 func (m *machine) Finish(rt *rapid.T) {
 	r := m.pick(func(r *record) bool { return r.running })
-	f := Finish{ServiceTime: ms(rt, "service", 20, 5, 300), Status: 200}
+	f := Completion{ServiceTime: ms(rt, "service", 20, 5, 300), Status: 200}
 	confirmed := m.rig.o.Confirm(m.rig.now, r.a.ID)
 	if confirmed && m.late(r) {
 		m.failf("%v confirmed after its time", r.a.ID)
@@ -286,13 +286,13 @@
 func (m *machine) Ask(*rapid.T) { m.ask(m.pickSent()) }
 
 func (m *machine) ask(r *record) {
-	m.settles = append(m.settles, wire.Settle{
+	m.settles = append(m.settles, wire.Resolve{
 		Attempt: r.a.ID, OwnerIncarnation: r.a.OwnerIncarnation, Request: r.a.Request,
 		Remaining: r.sentAt.Add(r.a.Remaining).Sub(m.rig.now),
 	})
 }
 
-// Settle lets any of the settlements sent arrive, for the first or another time.
+// Resolve lets any of the settlements sent arrive, for the first or another time.
 func (m *machine) Settle(rt *rapid.T) {
 	if len(m.settles) == 0 {
 		rt.Skip("none")
@@ -300,12 +300,12 @@
 	m.settle(m.settles[rapid.IntRange(0, len(m.settles)-1).Draw(rt, "settle")])
 }
 
-func (m *machine) settle(s wire.Settle) {
+func (m *machine) settle(s wire.Resolve) {
 	r := m.byID[s.Attempt]
-	reply, ds := m.rig.o.Settle(m.rig.now, s)
+	reply, ds := m.rig.o.Resolve(m.rig.now, s)
 	m.decide(ds)
 	switch reply.State {
-	case model.AttemptNeverSeen, model.AttemptQueued, model.AttemptBarred:
+	case model.AttemptNeverSeen, model.AttemptQueued, model.AttemptFenced:
 		m.checkNotRun(r, model.Refusal{NotRun: true})
 		if r.duplicate {
 			m.failf("a refused duplicate settled as %v: %+v", reply.State, r)
@@ -332,7 +332,7 @@
 		result.Attempt.Entry = "stranger"
 		outcome = model.OutcomeUnknown
 	}
-	m.rig.o.KeyResult(m.rig.now, result)
+	m.rig.o.FinishDelegated(m.rig.now, result)
 	switch outcome {
 	case model.OutcomeNotRun:
 		delete(m.requests, r.scoped())
@@ -363,9 +363,9 @@
 func (m *machine) Pause(rt *rapid.T) {
 	d := ms(rt, "for", 100, 100, 1000, 5000)
 	m.rig.pass(d)
-	ds := m.rig.o.Paused(m.rig.now, d)
+	ds := m.rig.o.ProcessPaused(m.rig.now, d)
 	for _, d := range ds {
-		if d.Verdict == Start {
+		if d.Kind == Start {
 			m.failf("started on waking: %+v", d)
 		}
 	}
--- a/internal/owner/offer.go
+++ b/internal/owner/offer.go
@@ -37,12 +37,12 @@
 //
 // An attempt may displace another that waits; the decision on that one comes with
 // the next call that returns decisions, at the latest with Tick.
-func (o *Owner) Offer(now time.Time, a *model.Attempt, sameNode bool) (Verdict, model.Refusal) {
-	return o.OfferSuspect(now, a, sameNode, Caution{})
+func (o *Owner) Offer(now time.Time, a *model.Attempt, sameNode bool) (DecisionKind, model.Refusal) {
+	return o.OfferSuspect(now, a, sameNode, Restrictions{})
 }
 
 // OfferSuspect is Offer for an attempt of a request that may end workers.
-func (o *Owner) OfferSuspect(now time.Time, a *model.Attempt, sameNode bool, c Caution) (Verdict, model.Refusal) {
+func (o *Owner) OfferSuspect(now time.Time, a *model.Attempt, sameNode bool, c Restrictions) (DecisionKind, model.Refusal) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.clock(now)
@@ -94,7 +94,7 @@
 		return notRun(model.ReasonLeaving)
 	case a.Owner != "" && a.Owner != o.cfg.Self.ID:
 		return notRun(model.ReasonIncarnation)
-	case !a.Regions.Allow(o.cfg.Region):
+	case !a.Regions.Allows(o.cfg.Region):
 		return notRun(model.ReasonRegion)
 	case a.OwnerIncarnation == o.cfg.Self.Incarnation && a.OwnerIncarnation != 0:
 		return model.Refusal{}
@@ -116,7 +116,7 @@
 	case !known:
 		return model.Refusal{Reason: model.ReasonStale}
 	case rec == attemptBarred:
-		return notRun(model.ReasonBarred)
+		return notRun(model.ReasonFenced)
 	case rec == attemptDone:
 		return model.Refusal{Reason: model.ReasonDuplicateDone}
 	case rec == attemptDuplicate:
@@ -183,7 +183,7 @@
 }
 
 // place starts, queues or refuses an attempt that nothing else forbids.
-func (o *Owner) place(t time.Duration, now time.Time, it *item) (Verdict, model.Refusal) {
+func (o *Owner) place(t time.Duration, now time.Time, it *item) (DecisionKind, model.Refusal) {
 	if it.mayMove && (o.movesOn(t, it) || o.mustWait(it)) {
 		return Refuse, o.refuseNew(t, it, o.busy(t, it))
 	}
@@ -208,7 +208,7 @@
 	}
 	o.admit(now, it)
 	o.queue.push(it)
-	return Wait, model.Refusal{}
+	return Queue, model.Refusal{}
 }
 
 // refuseLate refuses what could not be answered in its remaining time, or gives way to
@@ -249,7 +249,7 @@
 	o.nextSeq++
 	it := &item{
 		id:       a.ID,
-		request:  model.ScopedRequest(a.Tenant, a.Request),
+		request:  model.ScopedRequestID(a.Tenant, a.Request),
 		keyed:    o.keyedHere(a),
 		class:    o.classes.get(a.Class),
 		tenant:   o.tenants.get(a.Tenant),
@@ -323,7 +323,7 @@
 func placeable(r model.Reason) bool {
 	switch r {
 	case model.ReasonOverloaded, model.ReasonQueueFull, model.ReasonNotReady,
-		model.ReasonPaused, model.ReasonDelegated, model.ReasonHeldBack, model.ReasonEvacuated:
+		model.ReasonPaused, model.ReasonDelegated, model.ReasonDeferred, model.ReasonEvacuated:
 		return true
 	}
 	return false
--- a/internal/owner/order_test.go
+++ b/internal/owner/order_test.go
@@ -236,8 +236,8 @@
 	second := r.offerWithObjective(400 * time.Millisecond)
 	// The first can no longer end in time when a slot comes free.
 	r.pass(100 * time.Millisecond)
-	r.wantDecisions(r.finish(running[0], Finish{ServiceTime: 100 * time.Millisecond, Status: 200}), Decision{Attempt: second.ID, Verdict: Start})
-	r.wantDecisions(r.finish(running[1], Finish{ServiceTime: 100 * time.Millisecond, Status: 200}), Decision{Attempt: first.ID, Verdict: Start})
+	r.wantDecisions(r.finish(running[0], Completion{ServiceTime: 100 * time.Millisecond, Status: 200}), Decision{Attempt: second.ID, Kind: Start})
+	r.wantDecisions(r.finish(running[1], Completion{ServiceTime: 100 * time.Millisecond, Status: 200}), Decision{Attempt: first.ID, Kind: Start})
 }
 
 func TestAmongThoseInTimeTheEarliestObjectiveIsServedFirst(t *testing.T) {
@@ -247,7 +247,7 @@
 	r.offerWithObjective(900 * time.Millisecond)
 	urgent := r.offerWithObjective(500 * time.Millisecond)
 	r.pass(10 * time.Millisecond)
-	r.wantDecisions(r.finish(running[0], Finish{ServiceTime: 10 * time.Millisecond, Status: 200}), Decision{Attempt: urgent.ID, Verdict: Start})
+	r.wantDecisions(r.finish(running[0], Completion{ServiceTime: 10 * time.Millisecond, Status: 200}), Decision{Attempt: urgent.ID, Kind: Start})
 }
 
 func TestWhatWouldEndAfterItsDeadlineIsRefusedWhileItWaits(t *testing.T) {
@@ -258,5 +258,5 @@
 	a.Remaining = 300 * time.Millisecond
 	r.want(r.offer(a), waits)
 	r.pass(225 * time.Millisecond)
-	r.wantDecisions(r.o.Tick(r.now), Decision{Attempt: a.ID, Verdict: Refuse, Refusal: notRun(model.ReasonExpired)})
+	r.wantDecisions(r.o.Tick(r.now), Decision{Attempt: a.ID, Kind: Refuse, Refusal: notRun(model.ReasonExpired)})
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -15,20 +15,20 @@
 	Region model.RegionName
 	// Started is the process's start; LoadReport.Clock counts from it.
 	Started time.Time
-	// Breaking is told when the breaker opens (true) and closes. It is called with
+	// OnBreakerChange is told when the breaker opens (true) and closes. It is called with
 	// the owner's lock held: it must not block nor call the owner. nil means nobody.
-	Breaking func(open bool)
+	OnBreakerChange func(open bool)
 }
 
-// Verdict is the owner's answer to an offered attempt.
-type Verdict uint8
+// DecisionKind is the owner's answer to an offered attempt.
+type DecisionKind uint8
 
 // The verdicts.
 const (
 	// Start: send it to the worker now; Finish must follow.
-	Start Verdict = iota
+	Start DecisionKind = iota
 	// Wait: queued; a Decision follows from a later call.
-	Wait
+	Queue
 	// Refuse: see the refusal.
 	Refuse
 )
@@ -36,13 +36,13 @@
 // Decision ends the waiting of a queued attempt.
 type Decision struct {
 	Attempt model.AttemptID
-	// Verdict is Start or Refuse.
-	Verdict Verdict
+	// DecisionKind is Start or Refuse.
+	Kind    DecisionKind
 	Refusal model.Refusal
 }
 
-// Finish tells how a started attempt ended at the worker.
-type Finish struct {
+// Completion tells how a started attempt ended at the worker.
+type Completion struct {
 	// ServiceTime from start to the whole answer.
 	ServiceTime time.Duration
 	// NotRun: proved that the worker did not run it (no byte left, or it said
@@ -60,7 +60,7 @@
 	Shed bool
 	// Whim: the worker refused although it had room, so that fewer attempts at once
 	// would not help. It counts as a failure, and with NotRun the attempt did not run.
-	Whim bool
+	SpuriousRefusal bool
 	// Expired, with Failed: the attempt's time ran out before a whole answer came.
 	Expired bool
 	// Abandoned: the entry gave the attempt up, or its time ended before a byte
@@ -217,9 +217,9 @@
 	return o.take()
 }
 
-// Departing tells whether the worker is to get no new work, by its own or the platform's
+// Draining tells whether the worker is to get no new work, by its own or the platform's
 // word, so that its end is a planned one.
-func (o *Owner) Departing() bool {
+func (o *Owner) Draining() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.leaving() || o.unlisted.holds
@@ -228,10 +228,10 @@
 // leaving tells whether no new attempt may be admitted any more.
 func (o *Owner) leaving() bool { return o.state >= model.StateLeaving || o.withdrawn.holds }
 
-// Adopt takes a greater incarnation, under which later attempts must be bound.
+// AdoptIncarnation takes a greater incarnation, under which later attempts must be bound.
 // What is queued or started goes on; questions about it under the earlier
 // incarnation are answered as forgotten, which claims nothing.
-func (o *Owner) Adopt(inc model.Incarnation) {
+func (o *Owner) AdoptIncarnation(inc model.Incarnation) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.cfg.Self.Incarnation = max(o.cfg.Self.Incarnation, inc)
@@ -261,8 +261,8 @@
 	return true
 }
 
-// Finish ends a started attempt and returns who may start next.
-func (o *Owner) Finish(now time.Time, id model.AttemptID, f Finish) []Decision {
+// Completion ends a started attempt and returns who may start next.
+func (o *Owner) Finish(now time.Time, id model.AttemptID, f Completion) []Decision {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.clock(now)
--- a/internal/owner/pace_test.go
+++ b/internal/owner/pace_test.go
@@ -19,7 +19,7 @@
 		a := r.attempt()
 		r.want(r.offer(a), started)
 		r.pass(d)
-		r.finish(a, Finish{ServiceTime: d, Status: 200})
+		r.finish(a, Completion{ServiceTime: d, Status: 200})
 	}
 }
 
@@ -53,7 +53,7 @@
 	r.want(r.offer(staying), waits)
 	r.pass(50 * time.Millisecond)
 	r.observe(1)
-	r.wantDecisions(r.decided, Decision{Attempt: staying.ID, Verdict: Start})
+	r.wantDecisions(r.decided, Decision{Attempt: staying.ID, Kind: Start})
 }
 
 func TestAFullOwnerTurnsAwayWhatMayMove(t *testing.T) {
@@ -83,7 +83,7 @@
 		r.want(r.offer(a), started)
 		r.pass(200 * time.Millisecond)
 		r.observe(2)
-		r.finish(a, Finish{ServiceTime: 200 * time.Millisecond, Status: 200})
+		r.finish(a, Completion{ServiceTime: 200 * time.Millisecond, Status: 200})
 	}
 	if got := r.o.Report(r.now).ServiceTime; got < 95*time.Millisecond || got > 105*time.Millisecond {
 		t.Errorf("service time %s, want about 100 ms", got)
--- a/internal/owner/pause.go
+++ b/internal/owner/pause.go
@@ -33,10 +33,10 @@
 // refresh ends the doubt: timers run again.
 func (p *pauseState) refresh() { p.doubtUntil = 0 }
 
-// Paused says that the process had been stopped for d: all attempts that wait
+// ProcessPaused says that the process had been stopped for d: all attempts that wait
 // are judged anew before anything starts. Nothing starts and nothing is admitted
 // until the next Tick, or for pauseDoubt.
-func (o *Owner) Paused(now time.Time, d time.Duration) []Decision {
+func (o *Owner) ProcessPaused(now time.Time, d time.Duration) []Decision {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.clock(now)
--- a/internal/owner/predict.go
+++ b/internal/owner/predict.go
@@ -54,11 +54,11 @@
 // learn takes the end of a started attempt into the estimates and the limit. An
 // attempt that a pause fell into, or that did not get as far as the worker, says
 // nothing of it.
-func (o *Owner) learn(t time.Duration, it *item, f Finish) {
+func (o *Owner) learn(t time.Duration, it *item, f Completion) {
 	if f.Abandoned {
 		return
 	}
-	if f.Whim {
+	if f.SpuriousRefusal {
 		o.speed.ended(t, true)
 		return
 	}
@@ -84,7 +84,7 @@
 }
 
 // signalOf reads what an end says about the worker's capacity.
-func signalOf(f Finish) signal {
+func signalOf(f Completion) signal {
 	switch {
 	case f.Shed || f.NotRun:
 		return signalShed
@@ -99,7 +99,7 @@
 // measures tells whether the service time is a measurement: a failed attempt's
 // is one only when it is longer than expected, as the worker would have taken
 // at least that long; a quick failure must not make the worker look fast.
-func (o *Owner) measures(it *item, f Finish) bool {
+func (o *Owner) measures(it *item, f Completion) bool {
 	switch {
 	case f.NotRun || f.Shed:
 		return false
--- a/internal/owner/report.go
+++ b/internal/owner/report.go
@@ -16,17 +16,17 @@
 
 func (o *Owner) report(t time.Duration) model.LoadReport {
 	r := model.LoadReport{
-		Owner:       o.cfg.Self.ID,
-		Incarnation: o.cfg.Self.Incarnation,
-		Clock:       t,
-		State:       o.state,
-		InFlight:    clamp16(o.inFlight),
-		Queued:      clamp16(o.queue.length),
-		ServiceTime: o.speed.all.mean(),
-		FailureRate: uint16(o.speed.failures*1000 + 0.5),
-		Bundle:      o.version,
-		Delayed:     model.DelayedOf(o.delayed),
-		Pace:        clamp16(int(o.pace.now * 100)),
+		Owner:           o.cfg.Self.ID,
+		Incarnation:     o.cfg.Self.Incarnation,
+		Clock:           t,
+		State:           o.state,
+		InFlight:        clamp16(o.inFlight),
+		Queued:          clamp16(o.queue.length),
+		ServiceTime:     o.speed.all.mean(),
+		FailureRate:     uint16(o.speed.failures*1000 + 0.5),
+		Bundle:          o.version,
+		Delayed:         model.DelayedThousandths(o.delayed),
+		SlowdownPercent: clamp16(int(o.pace.now * 100)),
 	}
 	if o.leaving() {
 		r.State = max(o.state, model.StateLeaving)
@@ -43,9 +43,9 @@
 	return r
 }
 
-// Use returns the part of the worker's slots that is in use, and false while none can be
+// Utilisation returns the part of the worker's slots that is in use, and false while none can be
 // used.
-func (o *Owner) Use(now time.Time) (part float64, known bool) {
+func (o *Owner) Utilisation(now time.Time) (part float64, known bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	limit := o.limit.effective(o.clock(now))
--- a/internal/owner/sim_test.go
+++ b/internal/owner/sim_test.go
@@ -164,7 +164,7 @@
 
 func (s *sim) decide(ds []Decision) {
 	for _, d := range ds {
-		if d.Verdict == Start {
+		if d.Kind == Start {
 			s.start(d.Attempt)
 			continue
 		}
@@ -177,7 +177,7 @@
 	call := s.pending[id]
 	s.rig.o.Confirm(s.rig.now, id)
 	if s.worker.capacity > 0 && s.atWork >= s.worker.capacity {
-		s.after(100*time.Microsecond, func() { s.end(id, Finish{Shed: true, NotRun: true, Status: 503}) })
+		s.after(100*time.Microsecond, func() { s.end(id, Completion{Shed: true, NotRun: true, Status: 503}) })
 		return
 	}
 	s.atWork++
@@ -185,9 +185,9 @@
 	if s.worker.factor != nil {
 		service = time.Duration(float64(service) * s.worker.factor(s.now, s.atWork))
 	}
-	f := Finish{ServiceTime: service, Status: 200}
+	f := Completion{ServiceTime: service, Status: 200}
 	if left := call.deadline - s.now; service > left {
-		f = Finish{ServiceTime: left, Failed: true, Expired: true}
+		f = Completion{ServiceTime: left, Failed: true, Expired: true}
 	}
 	s.after(f.ServiceTime, func() {
 		s.atWork--
@@ -202,7 +202,7 @@
 	return time.Duration(max(0.2, 1+l.spread*s.random.NormFloat64()) * float64(l.service))
 }
 
-func (s *sim) end(id model.AttemptID, f Finish) {
+func (s *sim) end(id model.AttemptID, f Completion) {
 	call := s.pending[id]
 	sc := s.result.byClass[call.load.class]
 	switch {
--- a/internal/owner/warming_test.go
+++ b/internal/owner/warming_test.go
@@ -66,7 +66,7 @@
 			case w.rng.Float64() < 0.004 && w.left(r.now) == 0:
 				w.until = r.now.Add(500*time.Millisecond + time.Duration(w.rng.Int64N(int64(4*time.Second))))
 			case w.rng.Float64() < 0.002:
-				r.o.Restarted(r.now)
+				r.o.WorkerRestarted(r.now)
 			case w.rng.Float64() < 0.003:
 				r = restarted(t, r)
 				running = nil
@@ -82,7 +82,7 @@
 			}
 			r.tick(0)
 			for _, a := range running {
-				r.keep(r.o.Finish(r.now, a.ID, Finish{ServiceTime: 10 * time.Millisecond, Status: 200}))
+				r.keep(r.o.Finish(r.now, a.ID, Completion{ServiceTime: 10 * time.Millisecond, Status: 200}))
 			}
 			running = nil
 			for range w.rng.IntN(perTick + 1) {
@@ -113,7 +113,7 @@
 func begun(r *rig) []*model.Attempt {
 	var out []*model.Attempt
 	for _, d := range r.decided {
-		if d.Verdict == Start {
+		if d.Kind == Start {
 			out = append(out, &model.Attempt{ID: d.Attempt})
 		}
 	}
@@ -152,7 +152,7 @@
 			a.Idempotent, a.MayMove = true, true
 			if v, _ := r.o.Offer(r.now, a, true); v == Start {
 				n++
-				r.keep(r.o.Finish(r.now, a.ID, Finish{ServiceTime: time.Millisecond, Status: 200}))
+				r.keep(r.o.Finish(r.now, a.ID, Completion{ServiceTime: time.Millisecond, Status: 200}))
 			}
 		}
 		return n
@@ -189,7 +189,7 @@
 		t.Errorf("%d started within 100 ms, want the one that waited", n)
 	}
 	report := r.o.Report(r.now)
-	if left := report.Warming(); left <= 2*time.Second || left > 3*time.Second || report.Limit != 1 {
+	if left := report.WarmingLeft(); left <= 2*time.Second || left > 3*time.Second || report.Limit != 1 {
 		t.Errorf("reported as warming for %s with a limit of %d, want about 3 s and 1", left, report.Limit)
 	}
 }
@@ -202,7 +202,7 @@
 	r.want(r.offer(r.attempt()), waits)
 	longest := time.Duration(warmingService().WarmingMs) * time.Millisecond
 	ds, _ := r.o.ObserveWarming(r.now, r.now, longest-250*time.Millisecond)
-	if len(ds) != 1 || ds[0].Verdict != Start {
+	if len(ds) != 1 || ds[0].Kind != Start {
 		t.Errorf("decisions %+v, want the one that waited started", ds)
 	}
 }
--- a/internal/owner/withdraw.go
+++ b/internal/owner/withdraw.go
@@ -22,21 +22,21 @@
 // heldFor tells whether it has held for a time.
 func (b *ban) heldFor(t, atLeast time.Duration) bool { return b.holds && t-b.since >= atLeast }
 
-// Withdraw says whether the platform's list, as the fleet's view holds it, has
+// SetWithdrawn says whether the platform's list, as the fleet's view holds it, has
 // this upstream as leaving: as long as it does, no new attempt is admitted, as
 // others may hold an older view. Unlike the own word (SetState), the list's may be
 // taken back, under a greater incarnation.
 // What waits is turned away after withdrawnQueue, by Tick.
-func (o *Owner) Withdraw(now time.Time, leaving bool) {
+func (o *Owner) SetWithdrawn(now time.Time, leaving bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.withdrawn.set(o.clock(now), leaving)
 }
 
-// Unlist says whether the directory that names all workers lacks this node's own
+// SetUnlisted says whether the directory that names all workers lacks this node's own
 // one: until it is listed, nothing is admitted, and what waits is turned away as
 // after Withdraw.
-func (o *Owner) Unlist(now time.Time, unlisted bool) {
+func (o *Owner) SetUnlisted(now time.Time, unlisted bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.unlisted.set(o.clock(now), unlisted)
@@ -48,9 +48,9 @@
 // has to be in force.
 const evacuatedQueue = time.Second
 
-// Evacuate says whether nothing is to be sent to the workers of the own data centre: as long
+// SetEvacuated says whether nothing is to be sent to the workers of the own data centre: as long
 // as that holds nothing is admitted. What waits is turned away after evacuatedQueue, by Tick.
-func (o *Owner) Evacuate(now time.Time, evacuated bool) {
+func (o *Owner) SetEvacuated(now time.Time, evacuated bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.evacuated.set(o.clock(now), evacuated)
--- a/internal/owner/withdraw_test.go
+++ b/internal/owner/withdraw_test.go
@@ -20,8 +20,8 @@
 // five requests start 5 ms too late.
 func TestNothingThatWaitedStartsTooLateAtAWorkerThatLeaves(t *testing.T) {
 	for name, leave := range map[string]func(*rig){
-		"listed as leaving": func(r *rig) { r.o.Withdraw(r.now, true) },
-		"no longer listed":  func(r *rig) { r.o.Unlist(r.now, true) },
+		"listed as leaving": func(r *rig) { r.o.SetWithdrawn(r.now, true) },
+		"no longer listed":  func(r *rig) { r.o.SetUnlisted(r.now, true) },
 		"says so itself":    func(r *rig) { r.o.SetState(r.now, model.StateLeaving) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -35,9 +35,9 @@
 			for waited := time.Duration(0); waited < newWorkAfterLeave-slowestNews-100*time.Millisecond; waited += 10 * time.Millisecond {
 				r.tick(10 * time.Millisecond)
 			}
-			r.keep(r.o.Finish(r.now, running[0].ID, Finish{ServiceTime: time.Second, Status: 200}))
+			r.keep(r.o.Finish(r.now, running[0].ID, Completion{ServiceTime: time.Second, Status: 200}))
 			for _, d := range r.decided {
-				if d.Verdict == Start {
+				if d.Kind == Start {
 					t.Errorf("%v started %v after the worker left", d.Attempt, newWorkAfterLeave-100*time.Millisecond)
 				}
 			}
@@ -53,16 +53,16 @@
 	running := r.fill(2)
 	queued := r.attempt()
 	r.want(r.offer(queued), waits)
-	r.o.Withdraw(r.now, true)
+	r.o.SetWithdrawn(r.now, true)
 	r.want(r.offer(r.attempt()), refused(model.ReasonLeaving, true))
 	if got := r.o.Report(r.now).State; got != model.StateLeaving {
 		t.Errorf("reported as %v", got)
 	}
 	// What was admitted is finished.
 	r.pass(10 * time.Millisecond)
-	r.wantDecisions(r.finish(running[0], Finish{ServiceTime: 10 * time.Millisecond, Status: 200}), Decision{Attempt: queued.ID, Verdict: Start})
-	r.o.Withdraw(r.now, false)
+	r.wantDecisions(r.finish(running[0], Completion{ServiceTime: 10 * time.Millisecond, Status: 200}), Decision{Attempt: queued.ID, Kind: Start})
+	r.o.SetWithdrawn(r.now, false)
 	r.pass(10 * time.Millisecond)
-	r.finish(running[1], Finish{ServiceTime: 10 * time.Millisecond, Status: 200})
+	r.finish(running[1], Completion{ServiceTime: 10 * time.Millisecond, Status: 200})
 	r.want(r.offer(r.attempt()), started)
 }
--- a/internal/proof/deadly.go
+++ b/internal/proof/deadly.go
@@ -119,9 +119,9 @@
 }
 
 // judge asks the quarantine about a job (Executor.judge).
-func (j *job) judge() quarantine.Verdict {
+func (j *job) judge() quarantine.Decision {
 	q := j.l.core.Quarantine
-	j.verdict = q.Judge(j.l.w.now, j.sending().fingerprint(), quarantine.Sending{Ends: int(j.attempt.Ends), Lent: j.attempt.Lent}, j.sending().route.path)
+	j.verdict = q.Evaluate(j.l.w.now, j.sending().fingerprint(), quarantine.Submission{Crashes: int(j.attempt.Crashes), Granted: j.attempt.Granted}, j.sending().route.path)
 	return j.verdict
 }
 
@@ -131,12 +131,12 @@
 // (node.broke): its port then is closed.
 func (j *job) broke() (ended bool) {
 	l := j.l
-	if l.core.Owner.Departing() || l.w.switches.noEvidence {
+	if l.core.Owner.Draining() || l.w.switches.noEvidence {
 		return false
 	}
-	known := l.core.Quarantine.Broke(l.w.now, j.quarantined())
+	known := l.core.Quarantine.RunFailed(l.w.now, j.quarantined())
 	if !known && l.node.worker.refusesConnections() {
-		l.core.Quarantine.Ended(l.w.now)
+		l.core.Quarantine.WorkerCrashed(l.w.now)
 		known = true
 	}
 	l.suspectsChanged()
@@ -146,14 +146,14 @@
 // quarantined tells of the job's run (content.run).
 func (j *job) quarantined() quarantine.Run {
 	return quarantine.Run{
-		Content: j.sending().fingerprint(), Began: j.started,
-		Doubted: j.attempt.Ends > 0 || j.verdict.Ends > 0, Trial: j.verdict.Trial,
+		Content: j.sending().fingerprint(), Started: j.started,
+		AlreadySuspect: j.attempt.Crashes > 0 || j.verdict.Crashes > 0, Trial: j.verdict.Trial,
 	}
 }
 
 // completed tells the quarantine of a whole answer.
 func (j *job) completed() {
-	j.l.core.Quarantine.Completed(j.l.w.now, j.sending().fingerprint())
+	j.l.core.Quarantine.RunCompleted(j.l.w.now, j.sending().fingerprint())
 	j.l.suspectsChanged()
 }
 
@@ -167,27 +167,27 @@
 }
 
 // tellSuspects stands for Node.tellSuspects.
-func (l *life) tellSuspects(a control.TellSuspects) {
+func (l *life) tellSuspects(a control.SendSuspectUpdate) {
 	answered := false
 	l.after(tellTimeout, func() {
 		if !answered {
-			l.core.Quarantine.Unanswered(l.w.now, a)
+			l.core.Quarantine.SendFailed(l.w.now, a)
 			l.suspectsChanged()
 		}
 	})
-	l.postSuspects(a.To.PeerAddress, a.News, func(reply wire.SuspectNews) {
+	l.postSuspects(a.To.PeerAddress, a.Update, func(reply wire.SuspectUpdate) {
 		answered = true
-		more, differ := l.core.Quarantine.Told(l.w.now, reply)
+		more, differ := l.core.Quarantine.HandleReply(l.w.now, reply)
 		l.suspectsChanged()
 		if differ {
-			l.postSuspects(a.To.PeerAddress, more, func(wire.SuspectNews) {})
+			l.postSuspects(a.To.PeerAddress, more, func(wire.SuspectUpdate) {})
 		}
 	})
 }
 
 // postSuspects carries a message in its wire form to the node at an address, and its answer
 // back; what takes too long, or meets a fault, is lost.
-func (l *life) postSuspects(address string, news wire.SuspectNews, answered func(wire.SuspectNews)) {
+func (l *life) postSuspects(address string, news wire.SuspectUpdate, answered func(wire.SuspectUpdate)) {
 	w := l.w
 	target := w.at(address)
 	if target == nil || w.net.isCut(l.node, target) || w.chance(w.net.broken) {
@@ -200,7 +200,7 @@
 			return
 		}
 		peer.data(func() {
-			reply := peer.core.Quarantine.Answer(w.now, recoded(news))
+			reply := peer.core.Quarantine.HandleUpdate(w.now, recoded(news))
 			peer.suspectsChanged()
 			if w.net.isCut(l.node, target) || w.chance(w.net.broken) {
 				return
@@ -217,7 +217,7 @@
 }
 
 // recoded passes a message through its wire form.
-func recoded(news wire.SuspectNews) wire.SuspectNews {
+func recoded(news wire.SuspectUpdate) wire.SuspectUpdate {
 	data, err := wire.EncodeSuspects(&news)
 	if err != nil {
 		panic(err)
--- a/internal/proof/exchange.go
+++ b/internal/proof/exchange.go
@@ -100,7 +100,7 @@
 	switch step.Kind {
 	case entry.StepSend:
 		x.send(step)
-	case entry.StepSettle:
+	case entry.StepResolve:
 		x.settle(step)
 	case entry.StepWait:
 		x.l.after(step.Until.Sub(x.l.w.now), func() {
@@ -154,7 +154,7 @@
 		x.call.Refused(now, r.refusal)
 	default:
 		x.held = r.answer
-		x.call.Held(r.times)
+		x.call.SetOwnerTime(r.times)
 		x.call.Answered(now, r.answer.failed)
 	}
 	x.drive()
@@ -165,13 +165,13 @@
 		x.call.Refused(x.l.w.now, model.Refusal{Reason: model.ReasonWorkerUnreachable, NotRun: true})
 		return
 	}
-	x.call.Broken(x.l.w.now, false)
+	x.call.Interrupted(x.l.w.now, false)
 	x.noteGone()
 }
 
 func (x *exchange) noteGone() {
 	if x.gone {
-		x.call.CallerGone(x.l.w.now)
+		x.call.CallerCancelled(x.l.w.now)
 	}
 }
 
@@ -200,7 +200,7 @@
 		x.arrived(x.turn, result{broken: true})
 		return
 	}
-	x.call.SettleFailed(x.l.w.now)
+	x.call.ResolveFailed(x.l.w.now)
 	x.noteGone()
 	x.drive()
 }
@@ -210,24 +210,24 @@
 	l, turn := x.l, x.turn
 	l.w.ledger.count("settlements")
 	remaining := x.call.Deadline().Sub(l.w.now)
-	q := wire.Settle{
+	q := wire.Resolve{
 		Attempt:          step.Attempt.ID,
 		OwnerIncarnation: step.Attempt.OwnerIncarnation,
 		Request:          step.Attempt.Request,
 		Remaining:        remaining,
 	}
 	if l.w.switches.skipSettle {
-		x.settled(turn, wire.SettleReply{Attempt: q.Attempt, State: model.AttemptNeverSeen,
+		x.settled(turn, wire.ResolveReply{Attempt: q.Attempt, State: model.AttemptNeverSeen,
 			Report: model.LoadReport{Owner: step.To.ID, Incarnation: q.OwnerIncarnation}})
 		return
 	}
 	if step.To.ID == l.node.id {
-		reply, ds := l.core.Owner.Settle(l.w.now, q)
+		reply, ds := l.core.Owner.Resolve(l.w.now, q)
 		l.deliver(ds)
 		x.settled(turn, reply)
 		return
 	}
-	l.settling[q.Attempt] = &question{answer: func(r wire.SettleReply) { x.settled(turn, r) }}
+	l.settling[q.Attempt] = &question{answer: func(r wire.ResolveReply) { x.settled(turn, r) }}
 	patience := min(settleTimeout, step.Until.Sub(l.w.now), remaining)
 	l.after(patience, func() { x.unsettled(turn) })
 	l.links.sendTo(step.To, q, func(ok bool) {
@@ -237,14 +237,14 @@
 	})
 }
 
-func (x *exchange) settled(turn uint64, r wire.SettleReply) {
+func (x *exchange) settled(turn uint64, r wire.ResolveReply) {
 	if x.over || turn != x.turn {
 		return
 	}
 	x.l.core.Table.Observe(x.l.w.now, r.Report)
 	x.l.w.trace.add(x.l.w, "settled", r.Attempt, r.State)
 	x.l.w.ledger.count("settled " + r.State.String())
-	x.call.Settled(x.l.w.now, r)
+	x.call.Resolved(x.l.w.now, r)
 	x.drive()
 }
 
@@ -252,7 +252,7 @@
 	if x.over || turn != x.turn {
 		return
 	}
-	x.call.SettleFailed(x.l.w.now)
+	x.call.ResolveFailed(x.l.w.now)
 	x.noteGone()
 	x.drive()
 }
@@ -266,7 +266,7 @@
 	}
 	l := x.l
 	if step.To.ID == l.node.id {
-		l.core.Owner.KeyResult(l.w.now, *step.Notify)
+		l.core.Owner.FinishDelegated(l.w.now, *step.Notify)
 		x.tell(step)
 		return
 	}
--- a/internal/proof/executor.go
+++ b/internal/proof/executor.go
@@ -36,7 +36,7 @@
 	forced bool
 	run    *run
 	// verdict is what the quarantine said of it.
-	verdict quarantine.Verdict
+	verdict quarantine.Decision
 	// reply takes the result; nil when nobody waits for one.
 	reply func(result)
 }
@@ -50,7 +50,7 @@
 	// heard: report is the owner's.
 	heard  bool
 	report model.LoadReport
-	times  wire.Times
+	times  wire.AttemptTimes
 }
 
 // offer begins a job.
@@ -63,7 +63,7 @@
 	l.w.trace.add(l.w, "offer", l.node.id, j.attempt.ID, verdict, refusal.Reason)
 	l.w.ledger.offered(j, knew, verdict, refusal)
 	switch verdict {
-	case owner.Wait:
+	case owner.Queue:
 		l.waiting[j.attempt.ID] = j
 	case owner.Refuse:
 		j.refuse(refusal)
@@ -73,14 +73,14 @@
 }
 
 // decide asks the owner, or breaks it.
-func (l *life) decide(j *job) (owner.Verdict, model.Refusal) {
+func (l *life) decide(j *job) (owner.DecisionKind, model.Refusal) {
 	a := j.attempt
 	if l.w.switches.forgetKeys {
 		a.CallerKey = false
 	}
 	v := j.judge()
-	verdict, refusal := l.core.Owner.OfferSuspect(l.w.now, &a, j.sameNode, owner.Caution{
-		Ends: int(a.Ends), Alone: v.RunsAlone(), Refusal: v.Refusal(), Home: v.Home, RetryAfter: v.RetryAfter,
+	verdict, refusal := l.core.Owner.OfferSuspect(l.w.now, &a, j.sameNode, owner.Restrictions{
+		Crashes: int(a.Crashes), Exclusive: v.Exclusive(), Refusal: v.Refusal(), OnlyOwner: v.OnlyOwner, RetryAfter: v.RetryAfter,
 	})
 	if l.w.switches.ignoreLeaving && l.leaving() && refusal.Reason == model.ReasonLeaving {
 		j.forced = true
@@ -97,7 +97,7 @@
 			continue
 		}
 		delete(l.waiting, d.Attempt)
-		if d.Verdict == owner.Refuse {
+		if d.Kind == owner.Refuse {
 			j.refuse(d.Refusal)
 			continue
 		}
@@ -115,14 +115,14 @@
 	l := j.l
 	if !j.verdict.Trial {
 		if refusal := j.judge().Refusal(); refusal.Reason != model.ReasonNone {
-			j.finish(owner.Finish{NotRun: true, Abandoned: true})
+			j.finish(owner.Completion{NotRun: true, Abandoned: true})
 			j.refuse(refusal)
 			return
 		}
 	}
 	j.started = l.w.now
 	if !j.forced && !l.core.Owner.Confirm(l.w.now, j.attempt.ID) {
-		j.finish(owner.Finish{NotRun: true})
+		j.finish(owner.Completion{NotRun: true})
 		j.refuse(model.Refusal{Reason: model.ReasonExpired, NotRun: true})
 		return
 	}
@@ -159,18 +159,18 @@
 	j.l.traffic(false)
 	switch {
 	case a.kind == answerCrossed && !j.l.w.switches.acceptCrossed:
-		j.finish(owner.Finish{ServiceTime: took, Failed: true})
+		j.finish(owner.Completion{ServiceTime: took, Failed: true})
 		j.refuse(model.Refusal{Reason: model.ReasonWorkerBroken})
 	case a.kind == answerShed:
-		j.finish(owner.Finish{ServiceTime: took, NotRun: true, Delegate: true, Shed: true, Status: 503})
+		j.finish(owner.Completion{ServiceTime: took, NotRun: true, Delegate: true, Shed: true, Status: 503})
 		j.refuse(model.Refusal{Reason: delegated(&j.attempt, model.ReasonWorkerShed), NotRun: true, RetryAfter: time.Second})
 	case a.kind == answerCut && !j.l.w.switches.acceptCut:
-		j.finish(owner.Finish{ServiceTime: took, Failed: true})
+		j.finish(owner.Completion{ServiceTime: took, Failed: true})
 		j.end(result{broken: true})
 	default:
-		j.finish(owner.Finish{ServiceTime: took, Failed: a.failed, Status: a.status()})
+		j.finish(owner.Completion{ServiceTime: took, Failed: a.failed, Status: a.status()})
 		j.completed()
-		times := wire.Times{Queued: j.started.Sub(j.offered), Worker: took}
+		times := wire.AttemptTimes{Queued: j.started.Sub(j.offered), Worker: took}
 		j.end(result{answer: &answer{request: a.request, failed: a.failed, cut: a.kind == answerCut}, heard: true, report: j.l.report(), times: times})
 	}
 }
@@ -188,13 +188,13 @@
 	if j.run != nil {
 		j.run.cancel()
 	}
-	j.finish(owner.Finish{
+	j.finish(owner.Completion{
 		ServiceTime: j.l.w.now.Sub(j.started), NotRun: notRun,
 		Delegate: notRun && !j.gaveUp, Failed: !j.gaveUp, Expired: j.expired,
 	})
 	reason := model.ReasonWorkerBroken
 	if !notRun && (j.gaveUp || j.expired) {
-		j.l.core.Quarantine.Left(j.l.w.now, j.quarantined())
+		j.l.core.Quarantine.RunAbandoned(j.l.w.now, j.quarantined())
 	}
 	switch {
 	case notRun:
@@ -204,7 +204,7 @@
 	case j.expired:
 		reason = model.ReasonExpired
 	case j.broke():
-		reason = model.ReasonWorkerEnded
+		reason = model.ReasonWorkerCrashed
 	}
 	j.refuse(model.Refusal{Reason: reason, NotRun: notRun})
 }
@@ -228,7 +228,7 @@
 }
 
 // finish tells the owner; others may start.
-func (j *job) finish(f owner.Finish) {
+func (j *job) finish(f owner.Completion) {
 	ds := j.l.core.Owner.Finish(j.l.w.now, j.attempt.ID, f)
 	j.state = jobOver
 	j.l.deliver(ds)
--- a/internal/proof/ledger.go
+++ b/internal/proof/ledger.go
@@ -213,7 +213,7 @@
 
 // offered notes an owner's verdict; knew tells whether it knew that its upstream
 // leaves.
-func (g *ledger) offered(j *job, knew bool, v owner.Verdict, r model.Refusal) {
+func (g *ledger) offered(j *job, knew bool, v owner.DecisionKind, r model.Refusal) {
 	if v == owner.Refuse {
 		g.count("refused " + r.Reason.String())
 	}
--- a/internal/proof/life.go
+++ b/internal/proof/life.go
@@ -78,7 +78,7 @@
 	inbound   []*forward
 	settling  map[model.AttemptID]*question
 	passedOn  map[model.BundleVersion]bool
-	judge     *health.Judge
+	judge     *health.Tracker
 
 	// callerClosed and peerClosed: the ports take nothing new.
 	callerClosed, peerClosed bool
@@ -97,7 +97,7 @@
 		waiting:  map[model.AttemptID]*job{},
 		settling: map[model.AttemptID]*question{},
 		passedOn: map[model.BundleVersion]bool{},
-		judge:    health.NewJudge(),
+		judge:    health.NewTracker(),
 	}
 	l.self = model.Instance{
 		ID: n.id, Service: n.service, DataCentre: n.dataCentre, PeerAddress: n.address,
@@ -150,7 +150,7 @@
 // waited meanwhile.
 func (l *life) handle(ev control.Event) {
 	now := l.w.now
-	if gap := now.Sub(l.lastLoop); gap > control.TickInterval+control.PauseGap {
+	if gap := now.Sub(l.lastLoop); gap > control.TickInterval+control.PauseThreshold {
 		l.apply(l.core.Handle(now, control.Paused{For: gap}))
 	}
 	l.lastLoop = now
@@ -280,9 +280,9 @@
 		l.w.platform.readIndex(l)
 	case control.ReadValue:
 		l.w.platform.readValue(l, a.Name)
-	case control.SettleAnswered:
+	case control.OutcomeResolved:
 		l.answered(a.Reply)
-	case control.TellSuspects:
+	case control.SendSuspectUpdate:
 		l.tellSuspects(a)
 	case control.Record:
 		l.w.trace.add(l.w, "record", l.node.id, a.Event, a.Subject)
@@ -306,10 +306,10 @@
 func (l *life) leaving() bool { return l.instance().State >= model.StateLeaving }
 
 // question is an entry's question about an attempt that waits for its answer.
-type question struct{ answer func(r wire.SettleReply) }
+type question struct{ answer func(r wire.ResolveReply) }
 
 // answered stands for settler.answered; a late reply is dropped.
-func (l *life) answered(r wire.SettleReply) {
+func (l *life) answered(r wire.ResolveReply) {
 	q := l.settling[r.Attempt]
 	delete(l.settling, r.Attempt)
 	if q != nil {
--- a/internal/proof/stop.go
+++ b/internal/proof/stop.go
@@ -25,7 +25,7 @@
 	l.stop = &plannedStop{begun: l.w.now}
 	l.w.platform.put(l.node, model.StateLeaving)
 	l.w.ledger.leaves(l)
-	l.event(control.SelfChanged{State: model.StateLeaving})
+	l.event(control.SelfStateChanged{State: model.StateLeaving})
 	if l.w.switches.cutOff {
 		l.after(leaveGrace, l.exit)
 		return
--- a/internal/proof/switches.go
+++ b/internal/proof/switches.go
@@ -62,12 +62,12 @@
 
 func (l *life) breaksMessage(e control.Received) bool {
 	switch m := e.Message.(type) {
-	case wire.Settle:
+	case wire.Resolve:
 		if l.w.switches.forgetBar {
-			l.links.send(e.From, wire.SettleReply{Attempt: m.Attempt, State: model.AttemptNeverSeen, Report: l.report()})
+			l.links.send(e.From, wire.ResolveReply{Attempt: m.Attempt, State: model.AttemptNeverSeen, Report: l.report()})
 			return true
 		}
-	case wire.BundleNotice, wire.BundleBody, wire.BundleList, wire.BundleCompareReply:
+	case wire.BundleAnnouncement, wire.BundleBody, wire.BundleList, wire.BundleCompareReply:
 		return l.deaf()
 	}
 	return false
--- a/internal/proof/watch.go
+++ b/internal/proof/watch.go
@@ -29,7 +29,7 @@
 		perSecond *= 10
 	}
 	next := func() { l.after(pollPause(perSecond), l.pollNext) }
-	if !l.w.switches.dropBudget && !l.core.Landing.AllowPoll(l.w.now) {
+	if !l.w.switches.dropBudget && !l.core.OwnerLimiter.AllowPoll(l.w.now) {
 		next()
 		return
 	}
@@ -48,8 +48,8 @@
 	wk := l.node.worker
 	if wk.refusesConnections() {
 		l.polled(health.Poll{Refused: true})
-		if !l.core.Owner.Departing() && !l.w.switches.noEvidence {
-			l.core.Quarantine.Ended(l.w.now)
+		if !l.core.Owner.Draining() && !l.w.switches.noEvidence {
+			l.core.Quarantine.WorkerCrashed(l.w.now)
 			l.suspectsChanged()
 		}
 		done()
@@ -85,13 +85,13 @@
 
 func (l *life) polled(p health.Poll) {
 	before := l.judge.State()
-	l.changed(before, l.judge.Polled(l.w.now, p))
+	l.changed(before, l.judge.ObservePoll(l.w.now, p))
 }
 
 // traffic takes the evidence of real work.
 func (l *life) traffic(refused bool) {
 	before := l.judge.State()
-	l.changed(before, l.judge.Traffic(l.w.now, refused))
+	l.changed(before, l.judge.ObserveTraffic(l.w.now, refused))
 }
 
 func (l *life) changed(before, after model.UpstreamState) {
@@ -101,5 +101,5 @@
 	if after == model.StateLeaving {
 		l.w.ledger.leaves(l)
 	}
-	l.event(control.SelfChanged{State: after})
+	l.event(control.SelfStateChanged{State: after})
 }
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -12,7 +12,7 @@
 	q := New(Config{Self: model.Instance{ID: "n0", Service: "s"}, Started: epoch, Fleet: func() *model.Fleet { return &model.Fleet{} }})
 	for i := range maxRecords {
 		for k := range 3 {
-			q.table.ended(at(i), content(i), end{id: EndID(3*i + k + 1), owner: "n00001", at: at(i), doubted: true})
+			q.table.ended(at(i), content(i), end{id: CrashID(3*i + k + 1), owner: "n00001", at: at(i), doubted: true})
 		}
 	}
 	q.judge(at(maxRecords), "")
@@ -42,7 +42,7 @@
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				q.Judge(epoch, content(maxRecords+1), Sending{}, "GET /")
+				q.Evaluate(epoch, content(maxRecords+1), Submission{}, "GET /")
 			}
 		})
 	}
@@ -55,9 +55,9 @@
 	for b.Loop() {
 		for range 18 {
 			next++
-			q.Broke(epoch, Run{Content: content(next), Began: epoch})
+			q.RunFailed(epoch, Run{Content: content(next), Started: epoch})
 		}
-		q.Ended(epoch)
+		q.WorkerCrashed(epoch)
 	}
 }
 
@@ -66,6 +66,6 @@
 func BenchmarkCompleted(b *testing.B) {
 	q := New(Config{Fleet: func() *model.Fleet { return nil }})
 	for i := 0; b.Loop(); i++ {
-		q.Completed(epoch, content(i))
+		q.RunCompleted(epoch, content(i))
 	}
 }
--- a/internal/quarantine/contacts.go
+++ b/internal/quarantine/contacts.go
@@ -47,14 +47,14 @@
 	budget allowance
 }
 
-// Unanswered takes that a peer did not answer what it was told.
-func (q *Quarantine) Unanswered(now time.Time, a control.TellSuspects) {
+// SendFailed takes that a peer did not answer what it was told.
+func (q *Quarantine) SendFailed(now time.Time, a control.SendSuspectUpdate) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	c := &q.rounds.contacts
 	c.silentAt = now
 	if len(c.unanswered) < searchDepth {
-		c.unanswered = append(c.unanswered, contact{a.To.ID, a.News.Service == ""})
+		c.unanswered = append(c.unanswered, contact{a.To.ID, a.Update.Service == ""})
 	}
 	if i := slices.Index(c.latest, a.To.ID); i >= 0 {
 		c.latest = slices.Delete(c.latest, i, i+1)
@@ -62,9 +62,9 @@
 	q.wake()
 }
 
-// Heard takes that a peer is in touch, as calls show. It takes no lock while nothing is
+// PeerSeen takes that a peer is in touch, as calls show. It takes no lock while nothing is
 // suspect.
-func (q *Quarantine) Heard(peer model.InstanceID) {
+func (q *Quarantine) PeerSeen(peer model.InstanceID) {
 	if q.Empty() {
 		return
 	}
@@ -124,8 +124,8 @@
 }
 
 // send tells a peer something.
-func (q *Quarantine) send(now time.Time, out []control.Action, a control.TellSuspects) []control.Action {
-	q.rounds.contacts.note(now, contact{a.To.ID, a.News.Service == ""})
+func (q *Quarantine) send(now time.Time, out []control.Action, a control.SendSuspectUpdate) []control.Action {
+	q.rounds.contacts.note(now, contact{a.To.ID, a.Update.Service == ""})
 	return append(out, a)
 }
 
@@ -144,7 +144,7 @@
 			if !c.allow(now) {
 				return out
 			}
-			out = q.send(now, out, control.TellSuspects{To: in, News: q.comparison(gone.wide)})
+			out = q.send(now, out, control.SendSuspectUpdate{To: in, Update: q.comparison(gone.wide)})
 		}
 	}
 	return out
@@ -182,7 +182,7 @@
 			continue
 		}
 		left--
-		out = q.send(now, out, control.TellSuspects{To: to, News: q.comparison(wide)})
+		out = q.send(now, out, control.SendSuspectUpdate{To: to, Update: q.comparison(wide)})
 	}
 	return out
 }
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -32,29 +32,29 @@
 	Content model.Fingerprint
 	// Label is for people: what the request asked for.
 	Label string
-	// Began is when it was sent to the worker.
-	Began time.Time
+	// Started is when it was sent to the worker.
+	Started time.Time
 	// Doubted: when it began, a worker had ended under the same request already.
-	Doubted bool
+	AlreadySuspect bool
 	// Trial: it was a trial of a request that is put aside.
 	Trial bool
 }
 
-// EndID names one end of a worker's life, in all nodes' words.
-type EndID uint64
+// CrashID names one end of a worker's life, in all nodes' words.
+type CrashID uint64
 
-// Evidence finds which runs were in hand when the own worker's life ended. A run that
+// CrashCorrelator finds which runs were in hand when the own worker's life ended. A run that
 // breaks shows no end by itself: workers reset connections, garble answers, and links are
 // cut. So breaks wait until the worker is known to have ended. It is safe for concurrent
 // use; the zero value is ready.
-type Evidence struct {
+type CrashCorrelator struct {
 	mu sync.Mutex
 	// unexplained are the breaks of which no end is known, oldest first.
 	unexplained []brokenRun
 	// left are the runs that were given up before they ended, oldest first.
 	left []brokenRun
 	// last is the end that was noticed last, at the time noticed; zero before the first.
-	last    EndID
+	last    CrashID
 	noticed time.Time
 }
 
@@ -64,20 +64,20 @@
 	at  time.Time
 }
 
-// Broke takes a run that broke at time now. It returns the end that it belongs to when
+// RunFailed takes a run that broke at time now. It returns the end that it belongs to when
 // that is known already, else zero.
-func (e *Evidence) Broke(now time.Time, r Run) EndID {
+func (e *CrashCorrelator) RunFailed(now time.Time, r Run) CrashID {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.last != 0 && r.Began.Before(e.noticed) && now.Sub(e.noticed) < lateFor {
+	if e.last != 0 && r.Started.Before(e.noticed) && now.Sub(e.noticed) < lateFor {
 		return e.last
 	}
 	e.unexplained = appendNewest(e.unexplained, brokenRun{r, now}, maxUnexplained)
 	return 0
 }
 
-// Left takes a run that was given up at time now, before it came to its end.
-func (e *Evidence) Left(now time.Time, r Run) {
+// RunAbandoned takes a run that was given up at time now, before it came to its end.
+func (e *CrashCorrelator) RunAbandoned(now time.Time, r Run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.left = appendNewest(e.left, brokenRun{r, now}, maxLeft)
@@ -91,10 +91,10 @@
 	return append(runs, r)
 }
 
-// Ended takes the word, at time now, that the worker's life has ended, and returns the runs
+// WorkerCrashed takes the word, at time now, that the worker's life has ended, and returns the runs
 // that were in hand: those that broke with it, and those that had been given up shortly
 // before. It may be told more than once of one end; next names a new one.
-func (e *Evidence) Ended(now time.Time, next EndID) []Run {
+func (e *CrashCorrelator) WorkerCrashed(now time.Time, next CrashID) []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	broken, left := e.unexplained, e.left
@@ -125,7 +125,7 @@
 const sameMoment = 20 * time.Millisecond
 
 // together tells whether at least two runs broke about that time.
-func (e *Evidence) together(at time.Time) bool {
+func (e *CrashCorrelator) together(at time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	near := 0
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -77,8 +77,8 @@
 
 func (f *fleet) handle(n *node, ev control.Event) {
 	for _, a := range n.q.Handle(f.now, ev) {
-		if tell, ok := a.(control.TellSuspects); ok {
-			f.send(n, tell.To.ID, tell.News, true)
+		if tell, ok := a.(control.SendSuspectUpdate); ok {
+			f.send(n, tell.To.ID, tell.Update, true)
 		}
 	}
 	f.wake(n)
@@ -97,7 +97,7 @@
 const headBytes = 160
 
 // send carries a message; answered tells whether its answer matters.
-func (f *fleet) send(from *node, id model.InstanceID, news wire.SuspectNews, answered bool) {
+func (f *fleet) send(from *node, id model.InstanceID, news wire.SuspectUpdate, answered bool) {
 	to, life := f.byID[id], from.q
 	f.count(from, news)
 	f.after(f.delay(), func() {
@@ -105,14 +105,14 @@
 			f.after(tellTimeout, func() { f.unanswered(from, life, to.instance, news) })
 			return
 		}
-		reply := to.q.Answer(f.now, news)
+		reply := to.q.HandleUpdate(f.now, news)
 		f.count(to, reply)
 		f.wake(to)
 		f.after(f.delay(), func() {
 			if from.cut || to.cut || from.q != life {
 				return
 			}
-			more, differ := from.q.Told(f.now, reply)
+			more, differ := from.q.HandleReply(f.now, reply)
 			f.wake(from)
 			if answered && differ {
 				f.send(from, id, more, false)
@@ -124,11 +124,11 @@
 // tellTimeout is how long an answer is awaited.
 const tellTimeout = 500 * time.Millisecond
 
-func (f *fleet) unanswered(from *node, life *Quarantine, to model.Instance, news wire.SuspectNews) {
+func (f *fleet) unanswered(from *node, life *Quarantine, to model.Instance, news wire.SuspectUpdate) {
 	if from.q != life {
 		return
 	}
-	from.q.Unanswered(f.now, control.TellSuspects{To: to, News: news})
+	from.q.SendFailed(f.now, control.SendSuspectUpdate{To: to, Update: news})
 	f.wake(from)
 }
 
@@ -136,7 +136,7 @@
 	return time.Millisecond + time.Duration(f.rng.Int64N(int64(40*time.Millisecond)))
 }
 
-func (f *fleet) count(n *node, news wire.SuspectNews) {
+func (f *fleet) count(n *node, news wire.SuspectUpdate) {
 	data, err := wire.EncodeSuspects(&news)
 	if err != nil {
 		panic(err)
@@ -161,10 +161,10 @@
 // end ends a node's worker under requests.
 func (f *fleet) end(n *node, contents ...model.Fingerprint) {
 	for _, c := range contents {
-		v := n.q.Judge(f.now, c, Sending{}, "GET /")
-		n.q.Broke(f.now, Run{Content: c, Began: f.now.Add(-30 * time.Millisecond), Doubted: v.Ends > 0, Trial: v.Trial})
+		v := n.q.Evaluate(f.now, c, Submission{}, "GET /")
+		n.q.RunFailed(f.now, Run{Content: c, Started: f.now.Add(-30 * time.Millisecond), AlreadySuspect: v.Crashes > 0, Trial: v.Trial})
 	}
-	n.q.Ended(f.now)
+	n.q.WorkerCrashed(f.now)
 	f.wake(n)
 }
 
@@ -172,7 +172,7 @@
 func (f *fleet) ignorant(c model.Fingerprint) int {
 	count := 0
 	for _, n := range f.nodes {
-		if _, barred := n.q.Barred(f.now, c); !barred && !n.cut {
+		if _, barred := n.q.Blocked(f.now, c); !barred && !n.cut {
 			count++
 		}
 	}
@@ -275,7 +275,7 @@
 		for k := range sendings {
 			f.after(time.Duration(s)*time.Second+time.Duration(k)*every, func() {
 				c, to := content(10_000+s), f.nodes[f.rng.IntN(16)*services]
-				if to.q.Judge(f.now, c, Sending{}, "").PutAside {
+				if to.q.Evaluate(f.now, c, Submission{}, "").Quarantined {
 					return
 				}
 				ends[s] = append(ends[s], f.now)
--- a/internal/quarantine/hold.go
+++ b/internal/quarantine/hold.go
@@ -39,17 +39,17 @@
 // wherever it is sent, it so has no more than one worker at risk at a time. Where it may run
 // is said by the owner whose worker ended last under it, as no two nodes know the same of how
 // a service fares.
-func (q *Quarantine) hold(now time.Time, r *record, s Sending, v *Verdict) {
+func (q *Quarantine) hold(now time.Time, r *record, s Submission, v *Decision) {
 	if !q.held(r) {
 		return
 	}
-	v.Home = q.decider(now, r)
+	v.OnlyOwner = q.decider(now, r)
 	last := r.lastEnd()
 	switch {
-	case s.Lent:
-		v.Home = q.self.ID
-	case v.Home != q.self.ID:
-		v.Held = true
+	case s.Granted:
+		v.OnlyOwner = q.self.ID
+	case v.OnlyOwner != q.self.ID:
+		v.Deferred = true
 	default:
 		last = q.decide(now, r, v)
 	}
@@ -74,7 +74,7 @@
 // decide says where a request may run that this node decides on: here while no other worker
 // of the service is away, and elsewhere while the own one is, or anywhere if the service can
 // spare one more. It returns the end whose worker is waited for.
-func (q *Quarantine) decide(now time.Time, r *record, v *Verdict) (last time.Time) {
+func (q *Quarantine) decide(now time.Time, r *record, v *Decision) (last time.Time) {
 	owners := q.findNeighbours().admitting
 	up, last := q.others(now, owners)
 	own := r.last()
@@ -86,10 +86,10 @@
 	spare := spareWorkers(len(up), len(owners), q.use) > 0
 	switch {
 	case !here && spare:
-		v.Home = trialHome(r.content, up)
-		v.Held, v.Lent = true, true
+		v.OnlyOwner = trialHome(r.content, up)
+		v.Deferred, v.Granted = true, true
 	case here && !spare && !last.IsZero():
-		v.Held = true
+		v.Deferred = true
 	}
 	if !here || own.at.After(last) {
 		last = own.at
@@ -102,19 +102,19 @@
 	return time.Duration(downMargin * float64(q.returns.expected()))
 }
 
-// Elsewhere says where a suspect request goes whose run here found no worker. Others may know
+// EvaluateReroute says where a suspect request goes whose run here found no worker. Others may know
 // less of it than this node and leave it to this one, so that it is lent also where it would go
 // on anywhere.
-func (q *Quarantine) Elsewhere(now time.Time, content model.Fingerprint, s Sending, label string) Verdict {
-	v := q.Judge(now, content, s, label)
-	if v.PutAside || v.Home != "" || v.Ends == 0 {
+func (q *Quarantine) EvaluateReroute(now time.Time, content model.Fingerprint, s Submission, label string) Decision {
+	v := q.Evaluate(now, content, s, label)
+	if v.Quarantined || v.OnlyOwner != "" || v.Crashes == 0 {
 		return v
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	up, _ := q.others(now, q.findNeighbours().admitting)
 	if len(up) > 0 {
-		v.Home, v.Held, v.Lent = trialHome(content, up), true, true
+		v.OnlyOwner, v.Deferred, v.Granted = trialHome(content, up), true, true
 		v.RetryAfter = max(q.returns.left(0), minRetry)
 	}
 	return v
@@ -160,8 +160,8 @@
 	q.use += weight * (use - q.use)
 }
 
-// WorkerBack takes that the own worker answers.
-func (q *Quarantine) WorkerBack(now time.Time) {
+// WorkerRecovered takes that the own worker answers.
+func (q *Quarantine) WorkerRecovered(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.returns.back(now)
--- a/internal/quarantine/hold_test.go
+++ b/internal/quarantine/hold_test.go
@@ -45,22 +45,22 @@
 
 // send brings a sending to a random owner with a worker, and goes on as owners say. It returns the last
 // verdict.
-func (u *upstreams) send(c model.Fingerprint, length time.Duration, deadly func() bool) Verdict {
+func (u *upstreams) send(c model.Fingerprint, length time.Duration, deadly func() bool) Decision {
 	first := u.owners[u.rng.IntN(len(u.owners))]
 	for u.down[first] && len(u.down) < len(u.owners) {
 		first = u.owners[u.rng.IntN(len(u.owners))]
 	}
-	return u.offer(first, c, length, deadly, Sending{}, 0)
+	return u.offer(first, c, length, deadly, Submission{}, 0)
 }
 
-func (u *upstreams) offer(to *node, c model.Fingerprint, length time.Duration, deadly func() bool, s Sending, hops int) Verdict {
-	v := to.q.Judge(u.now, c, s, "GET /")
-	next := u.byID[v.Home]
+func (u *upstreams) offer(to *node, c model.Fingerprint, length time.Duration, deadly func() bool, s Submission, hops int) Decision {
+	v := to.q.Evaluate(u.now, c, s, "GET /")
+	next := u.byID[v.OnlyOwner]
 	switch {
-	case v.PutAside, v.Held && (next == nil || hops == mostHops):
+	case v.Quarantined, v.Deferred && (next == nil || hops == mostHops):
 		u.refusals++
-	case v.Held:
-		return u.offer(next, c, length, deadly, Sending{Lent: v.Lent}, hops+1)
+	case v.Deferred:
+		return u.offer(next, c, length, deadly, Submission{Granted: v.Granted}, hops+1)
 	case u.down[to]:
 		u.refusals++
 	default:
@@ -70,19 +70,19 @@
 	return v
 }
 
-func (u *upstreams) run(at *node, c model.Fingerprint, length time.Duration, v Verdict, deadly bool) {
+func (u *upstreams) run(at *node, c model.Fingerprint, length time.Duration, v Decision, deadly bool) {
 	began := u.now
 	u.after(length, func() {
 		if u.down[at] {
 			return
 		}
 		if !deadly {
-			at.q.Completed(u.now, c)
+			at.q.RunCompleted(u.now, c)
 			u.wake(at)
 			return
 		}
 		u.ends[c]++
-		u.end(at, Run{Content: c, Began: began, Doubted: v.Ends > 0, Trial: v.Trial})
+		u.end(at, Run{Content: c, Started: began, AlreadySuspect: v.Crashes > 0, Trial: v.Trial})
 	})
 }
 
@@ -91,13 +91,13 @@
 	u.down[at] = true
 	u.mostDown = max(u.mostDown, len(u.down))
 	for _, r := range runs {
-		at.q.Broke(u.now, r)
+		at.q.RunFailed(u.now, r)
 	}
-	at.q.Ended(u.now)
+	at.q.WorkerCrashed(u.now)
 	u.wake(at)
 	u.after(awayFor, func() {
 		delete(u.down, at)
-		at.q.WorkerBack(u.now)
+		at.q.WorkerRecovered(u.now)
 	})
 }
 
@@ -106,7 +106,7 @@
 	t.Helper()
 	free := 0
 	for _, nd := range owners {
-		if !nd.q.Judge(u.now, c, Sending{}, "").Held {
+		if !nd.q.Evaluate(u.now, c, Submission{}, "").Deferred {
 			free++
 		}
 	}
@@ -185,14 +185,14 @@
 		u.send(popular, 200*time.Millisecond, never)
 		u.play(50 * time.Millisecond)
 	}
-	u.end(u.owners[0], Run{Content: popular, Began: u.now.Add(-time.Millisecond)})
+	u.end(u.owners[0], Run{Content: popular, Started: u.now.Add(-time.Millisecond)})
 	served, away := u.runs, 0
 	for range 20 {
 		for _, nd := range u.owners {
-			switch v := nd.q.Judge(u.now, popular, Sending{}, ""); {
+			switch v := nd.q.Evaluate(u.now, popular, Submission{}, ""); {
 			case u.down[nd]:
 				away++
-			case v.Held:
+			case v.Deferred:
 				t.Fatalf("%s holds a popular request back after a plain end", nd.instance.ID)
 			}
 		}
@@ -209,7 +209,7 @@
 	u := newUpstreams(20, 0.6)
 	var inHand []Run
 	for i := range 12 {
-		inHand = append(inHand, Run{Content: content(10 + i), Began: u.now})
+		inHand = append(inHand, Run{Content: content(10 + i), Started: u.now})
 	}
 	u.end(u.owners[0], inHand...)
 	u.play(50 * time.Millisecond)
@@ -225,24 +225,24 @@
 func TestWhatWasInHandIsToldWhenTheWorkerIsExpectedBack(t *testing.T) {
 	u := newUpstreams(3, 0.9)
 	for range 3 {
-		u.end(u.owners[0], Run{Content: content(99), Began: u.now})
+		u.end(u.owners[0], Run{Content: content(99), Started: u.now})
 		u.play(awayFor + time.Second)
-		u.owners[0].q.Completed(u.now, content(99))
+		u.owners[0].q.RunCompleted(u.now, content(99))
 	}
-	u.end(u.owners[0], Run{Content: content(7), Began: u.now})
+	u.end(u.owners[0], Run{Content: content(7), Started: u.now})
 	u.play(time.Second)
-	v := u.owners[0].q.Judge(u.now, content(7), Sending{}, "")
-	if v.Held || !v.RunsAlone() || v.Home != u.owners[0].instance.ID || v.RetryAfter != awayFor-time.Second {
+	v := u.owners[0].q.Evaluate(u.now, content(7), Submission{}, "")
+	if v.Deferred || !v.Exclusive() || v.OnlyOwner != u.owners[0].instance.ID || v.RetryAfter != awayFor-time.Second {
 		t.Errorf("%+v; want this owner in %s", v, awayFor-time.Second)
 	}
-	if v := u.owners[1].q.Judge(u.now, content(7), Sending{}, ""); !v.Held || v.Home != u.owners[0].instance.ID {
+	if v := u.owners[1].q.Evaluate(u.now, content(7), Submission{}, ""); !v.Deferred || v.OnlyOwner != u.owners[0].instance.ID {
 		t.Errorf("another owner: %+v; want it held back for %s", v, u.owners[0].instance.ID)
 	}
 	u.play(awayFor)
 	before := u.runs
 	u.send(content(7), time.Millisecond, never)
 	u.play(time.Second)
-	if v := u.owners[1].q.Judge(u.now, content(7), Sending{}, ""); u.runs != before+1 || v.Held {
+	if v := u.owners[1].q.Evaluate(u.now, content(7), Submission{}, ""); u.runs != before+1 || v.Deferred {
 		t.Errorf("after a whole run: %+v; want it free", v)
 	}
 }
@@ -250,10 +250,10 @@
 // An entry tells an owner of an end before the owner whose worker ended does.
 func TestAnOwnerHoldsBackWhatItsEntrySawEndAWorker(t *testing.T) {
 	u := newUpstreams(3, 0.9)
-	if v := u.owners[1].q.Judge(u.now, content(5), Sending{Ends: 1}, ""); !v.Held || v.Home != "" || v.RetryAfter != firstReturn {
+	if v := u.owners[1].q.Evaluate(u.now, content(5), Submission{Crashes: 1}, ""); !v.Deferred || v.OnlyOwner != "" || v.RetryAfter != firstReturn {
 		t.Errorf("%+v; want it held back for %s", v, firstReturn)
 	}
-	if v := u.owners[1].q.Judge(u.now, content(5), Sending{}, ""); v != (Verdict{}) {
+	if v := u.owners[1].q.Evaluate(u.now, content(5), Submission{}, ""); v != (Decision{}) {
 		t.Errorf("the next sending: %+v; nothing is known of it", v)
 	}
 }
@@ -262,8 +262,8 @@
 func TestARequestIsHeldBackForAWorkerThatNeverReturnsForAWhileOnly(t *testing.T) {
 	u := newUpstreams(3, 0.9)
 	at := u.owners[0]
-	at.q.Broke(u.now, Run{Content: content(5), Began: u.now})
-	at.q.Ended(u.now)
+	at.q.RunFailed(u.now, Run{Content: content(5), Started: u.now})
+	at.q.WorkerCrashed(u.now)
 	u.wake(at)
 	u.play(longestHold + time.Second)
 	u.wantOneFree(t, u.owners, content(5))
@@ -273,7 +273,7 @@
 // once that worker should be back.
 func TestARequestIsNotHeldBackForAnOwnerThatLeaves(t *testing.T) {
 	u := newUpstreams(3, 0.9)
-	u.end(u.owners[0], Run{Content: content(5), Began: u.now})
+	u.end(u.owners[0], Run{Content: content(5), Started: u.now})
 	u.play(time.Second)
 	u.view.Revision++
 	u.view.Instances[0].State = model.StateLeaving
@@ -284,9 +284,9 @@
 // Two such requests ended a worker each; both workers were back, and both ended together again.
 func TestRequestsOfTwoOwnersEndTheirWorkersOneAfterTheOther(t *testing.T) {
 	u := newUpstreams(3, 0.8)
-	u.end(u.owners[0], Run{Content: content(1), Began: u.now})
+	u.end(u.owners[0], Run{Content: content(1), Started: u.now})
 	u.play(100 * time.Millisecond)
-	u.end(u.owners[1], Run{Content: content(2), Began: u.now})
+	u.end(u.owners[1], Run{Content: content(2), Started: u.now})
 	u.play(awayFor + 100*time.Millisecond)
 	u.mostDown = 0
 	for i := range 300 {
@@ -311,9 +311,9 @@
 func TestAnOwnerLendsBeforeItsWorkersPortIsAsked(t *testing.T) {
 	u := newUpstreams(4, 0.3)
 	at := u.owners[0]
-	at.q.Broke(u.now, Run{Content: content(5), Began: u.now})
-	at.q.Ended(u.now)
-	if v := at.q.Judge(u.now, content(5), Sending{}, ""); !v.Lent {
+	at.q.RunFailed(u.now, Run{Content: content(5), Started: u.now})
+	at.q.WorkerCrashed(u.now)
+	if v := at.q.Evaluate(u.now, content(5), Submission{}, ""); !v.Granted {
 		t.Errorf("%+v; want it lent", v)
 	}
 }
@@ -322,7 +322,7 @@
 // its own worker beside it.
 func TestARequestWaitsAlsoForAWorkerThatIsNotListedMeanwhile(t *testing.T) {
 	u := newUpstreams(3, 0.8)
-	u.end(u.owners[0], Run{Content: content(5), Began: u.now})
+	u.end(u.owners[0], Run{Content: content(5), Started: u.now})
 	u.play(time.Second)
 	u.view.Revision++
 	u.view.Instances = u.view.Instances[1:]
--- a/internal/quarantine/innocent_test.go
+++ b/internal/quarantine/innocent_test.go
@@ -106,7 +106,7 @@
 		s.ends++
 		w.down = true
 		for r := range w.inHand {
-			s.table.ended(s.now, r.content, end{id: EndID(s.ends), owner: "w", at: s.now, doubted: r.doubted})
+			s.table.ended(s.now, r.content, end{id: CrashID(s.ends), owner: "w", at: s.now, doubted: r.doubted})
 			again = append(again, r)
 		}
 		w.inHand = map[*request]bool{}
--- a/internal/quarantine/news.go
+++ b/internal/quarantine/news.go
@@ -10,29 +10,29 @@
 )
 
 // put puts records into a message.
-func put(now time.Time, records []*record, news *wire.SuspectNews) {
-	index := map[EndID]int{}
+func put(now time.Time, records []*record, news *wire.SuspectUpdate) {
+	index := map[CrashID]int{}
 	for _, r := range records {
-		s := wire.Suspect{Content: r.content, Cleared: r.cleared, Barred: r.barred, AgeMs: age(now, r.changed)}
+		s := wire.Suspect{Content: r.content, Cleared: r.cleared, Quarantined: r.barred, AgeMs: age(now, r.changed)}
 		for _, e := range r.ends {
 			at, known := index[e.id]
 			if !known {
-				at = len(news.Ends)
+				at = len(news.Crashes)
 				index[e.id] = at
-				news.Ends = append(news.Ends, wire.SuspectEnd{ID: uint64(e.id), Owner: e.owner, AgeMs: age(now, e.at)})
+				news.Crashes = append(news.Crashes, wire.SuspectCrash{ID: uint64(e.id), Owner: e.owner, AgeMs: age(now, e.at)})
 			}
-			s.Ends = append(s.Ends, wire.NewEndRef(at, e.doubted, e.trial))
+			s.Crashes = append(s.Crashes, wire.NewCrashRef(at, e.doubted, e.trial))
 		}
 		news.Records = append(news.Records, s)
 	}
 }
 
 // endsOf returns the ends of a record in a message.
-func endsOf(now time.Time, news *wire.SuspectNews, s *wire.Suspect) []end {
-	out := make([]end, len(s.Ends))
-	for i, ref := range s.Ends {
-		e := &news.Ends[ref.Index()]
-		out[i] = end{EndID(e.ID), e.Owner, before(now, e.AgeMs), ref.Doubted(), ref.Trial()}
+func endsOf(now time.Time, news *wire.SuspectUpdate, s *wire.Suspect) []end {
+	out := make([]end, len(s.Crashes))
+	for i, ref := range s.Crashes {
+		e := &news.Crashes[ref.Index()]
+		out[i] = end{CrashID(e.ID), e.Owner, before(now, e.AgeMs), ref.AlreadySuspect(), ref.Trial()}
 	}
 	return out
 }
@@ -70,7 +70,7 @@
 		r.ends, r.barred = nil, false
 		news = true
 	}
-	if s.Barred && !r.barred {
+	if s.Quarantined && !r.barred {
 		r.barred, news = true, true
 	}
 	for _, e := range ends {
@@ -95,15 +95,15 @@
 			continue
 		}
 		if out == nil {
-			out = make([]uint64, wire.SuspectParts)
+			out = make([]uint64, wire.SuspectBuckets)
 		}
-		out[wire.SuspectPart(r.content)] ^= r.digest()
+		out[wire.SuspectBucket(r.content)] ^= r.digest()
 	}
 	return out
 }
 
 // differing returns the parts in which two nodes' digests differ.
-func differing(a, b []uint64) (parts [wire.SuspectParts]bool, any bool) {
+func differing(a, b []uint64) (parts [wire.SuspectBuckets]bool, any bool) {
 	for i := range parts {
 		parts[i] = digestOf(a, i) != digestOf(b, i)
 		any = any || parts[i]
--- a/internal/quarantine/odds.go
+++ b/internal/quarantine/odds.go
@@ -19,7 +19,7 @@
 
 // convict puts a request aside at its second end where chance does not explain it: of all that
 // were in hand at an end before, it alone has run again since, and that run's worker ended too.
-func (q *Quarantine) convict(now time.Time, id EndID, runs []Run) {
+func (q *Quarantine) convict(now time.Time, id CrashID, runs []Run) {
 	suspect, only := onlyDoubted(runs)
 	if !only {
 		return
@@ -28,7 +28,7 @@
 	if r == nil || len(r.ends) < 2 {
 		return
 	}
-	length := max(now.Sub(suspect.Began), shortestRun)
+	length := max(now.Sub(suspect.Started), shortestRun)
 	if q.byChance(now, r, id, length) <= mostByChance {
 		r.barred = true
 		q.table.changed = true
@@ -40,12 +40,12 @@
 func onlyDoubted(runs []Run) (suspect Run, only bool) {
 	for _, run := range runs {
 		switch {
-		case !run.Doubted || run.Trial || run.Content.IsZero():
+		case !run.AlreadySuspect || run.Trial || run.Content.IsZero():
 		case suspect.Content.IsZero():
 			suspect = run
 		case run.Content != suspect.Content:
 			return Run{}, false
-		case run.Began.Before(suspect.Began):
+		case run.Started.Before(suspect.Started):
 			suspect = run
 		}
 	}
@@ -54,7 +54,7 @@
 
 // byChance returns how likely it is that the own worker ended by itself during a run of that
 // length, for any of the requests that were in hand at an end before.
-func (q *Quarantine) byChance(now time.Time, r *record, id EndID, length time.Duration) float64 {
+func (q *Quarantine) byChance(now time.Time, r *record, id CrashID, length time.Duration) float64 {
 	others := int(q.noticed) - r.endsAt(q.self.ID)
 	each := firstPlainEnd + now.Sub(q.started)
 	rate := float64(1+max(others, 0)) / each.Seconds()
@@ -63,7 +63,7 @@
 
 // together counts the requests, this one included, that were in hand at an end of it other
 // than one.
-func (t *table) together(r *record, except EndID) int {
+func (t *table) together(r *record, except CrashID) int {
 	n := 0
 	for _, other := range t.records {
 		if other.shares(r, except) {
@@ -74,7 +74,7 @@
 }
 
 // shares tells whether both were in hand at an end other than one.
-func (r *record) shares(other *record, except EndID) bool {
+func (r *record) shares(other *record, except CrashID) bool {
 	for i := range r.ends {
 		for k := range other.ends {
 			if id := r.ends[i].id; id != except && id == other.ends[k].id {
--- a/internal/quarantine/odds_test.go
+++ b/internal/quarantine/odds_test.go
@@ -11,17 +11,17 @@
 // an end under them was known.
 func inHandAt(q *Quarantine, now time.Time, length time.Duration, contents []int, doubted ...int) {
 	for _, c := range contents {
-		r := Run{Content: content(c), Began: now.Add(-length)}
+		r := Run{Content: content(c), Started: now.Add(-length)}
 		for _, d := range doubted {
-			r.Doubted = r.Doubted || d == c
+			r.AlreadySuspect = r.AlreadySuspect || d == c
 		}
-		q.Broke(now, r)
+		q.RunFailed(now, r)
 	}
-	q.Ended(now)
+	q.WorkerCrashed(now)
 }
 
 func isAside(q *Quarantine, now time.Time, c int) bool {
-	_, barred := q.Barred(now, content(c))
+	_, barred := q.Blocked(now, content(c))
 	return barred
 }
 
@@ -95,8 +95,8 @@
 type job struct {
 	content model.Fingerprint
 	began   time.Time
-	verdict Verdict
-	s       Sending
+	verdict Decision
+	s       Submission
 }
 
 func (p *traffic) come(every time.Duration) {
@@ -112,29 +112,29 @@
 	at := p.owners[p.rng.IntN(len(p.owners))]
 	for hops < mostHops && !p.down[at] {
 		hops++
-		v := at.q.Judge(p.now, j.content, j.s, "")
-		if v.PutAside {
+		v := at.q.Evaluate(p.now, j.content, j.s, "")
+		if v.Quarantined {
 			p.asides++
 			return
 		}
-		if !v.Held {
+		if !v.Deferred {
 			p.start(at, j, v)
 			return
 		}
-		if p.byID[v.Home] == nil {
+		if p.byID[v.OnlyOwner] == nil {
 			return
 		}
-		at, j.s.Lent = p.byID[v.Home], v.Lent
+		at, j.s.Granted = p.byID[v.OnlyOwner], v.Granted
 	}
 }
 
-func (p *traffic) start(at *node, j *job, v Verdict) {
+func (p *traffic) start(at *node, j *job, v Decision) {
 	j.began, j.verdict = p.now, v
 	p.inHand[at][j] = true
 	p.after(time.Duration(p.rng.ExpFloat64()*float64(meanRun)), func() {
 		if p.inHand[at][j] {
 			delete(p.inHand[at], j)
-			at.q.Completed(p.now, j.content)
+			at.q.RunCompleted(p.now, j.content)
 			p.wake(at)
 		}
 	})
@@ -151,11 +151,11 @@
 		lost := p.inHand[at]
 		p.inHand[at] = map[*job]bool{}
 		for j := range lost {
-			runs = append(runs, Run{Content: j.content, Began: j.began, Doubted: j.s.Ends > 0 || j.verdict.Ends > 0})
+			runs = append(runs, Run{Content: j.content, Started: j.began, AlreadySuspect: j.s.Crashes > 0 || j.verdict.Crashes > 0})
 		}
 		p.end(at, runs...)
 		for j := range lost {
-			j.s = Sending{Ends: j.s.Ends + 1}
+			j.s = Submission{Crashes: j.s.Crashes + 1}
 			p.place(j, 0)
 		}
 	})
@@ -174,7 +174,7 @@
 		p.play(3 * time.Minute)
 		ends := 0
 		for _, nd := range p.owners {
-			ends += int(nd.q.Counts().Ends)
+			ends += int(nd.q.Counts().Crashes)
 		}
 		t.Logf("%d workers: %d ends, %d requests, %d refused as put aside", n, ends, p.next, p.asides)
 		if most := 1 + int(mostByChance*float64(ends)); p.asides > most {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -28,9 +28,9 @@
 	Started time.Time
 	// Fleet returns the fleet's present view; it does not block.
 	Fleet func() *model.Fleet
-	// Use returns the part of the own worker's slots that is in use, and false while none
+	// SlotUse returns the part of the own worker's slots that is in use, and false while none
 	// can be used. It does not block. Nil stands for a worker that is always in full use.
-	Use func(now time.Time) (part float64, known bool)
+	SlotUse func(now time.Time) (part float64, known bool)
 }
 
 // Quarantine is one node's part. Its methods are safe for concurrent use.
@@ -40,7 +40,7 @@
 	life     uint64
 	fleet    func() *model.Fleet
 	usage    func(now time.Time) (part float64, known bool)
-	evidence Evidence
+	evidence CrashCorrelator
 	whole    wholeRuns
 	// size is the number of records: with none, nobody need ask for a fingerprint.
 	size    atomic.Int64
@@ -63,11 +63,11 @@
 
 // New returns a quarantine that knows of nothing.
 func New(cfg Config) *Quarantine {
-	if cfg.Use == nil {
-		cfg.Use = func(time.Time) (float64, bool) { return 1, true }
+	if cfg.SlotUse == nil {
+		cfg.SlotUse = func(time.Time) (float64, bool) { return 1, true }
 	}
 	return &Quarantine{
-		self: cfg.Self, started: cfg.Started, life: uint64(cfg.Started.UnixNano()), fleet: cfg.Fleet, usage: cfg.Use, use: 1,
+		self: cfg.Self, started: cfg.Started, life: uint64(cfg.Started.UnixNano()), fleet: cfg.Fleet, usage: cfg.SlotUse, use: 1,
 		changed: make(chan struct{}, 1), table: newTable(), rounds: rounds{fresh: freshRounds},
 	}
 }
@@ -90,47 +90,49 @@
 // Empty tells whether no request is suspect. It takes no lock.
 func (q *Quarantine) Empty() bool { return q.size.Load() == 0 }
 
-// Verdict says how a request is to be treated.
-type Verdict struct {
-	// Ends counts the ends of workers under the request that nothing has explained or
+// Decision says how a request is to be treated.
+type Decision struct {
+	// Crashes counts the ends of workers under the request that nothing has explained or
 	// cleared.
-	Ends int
-	// PutAside: the request does not reach a worker. RetryAfter is when it may.
-	PutAside   bool
-	RetryAfter time.Duration
+	Crashes int
+	// Quarantined: the request does not reach a worker. RetryAfter is when it may.
+	Quarantined bool
+	RetryAfter  time.Duration
 	// Trial: it is put aside, and this once it may run, alone.
 	Trial bool
 	// Home, when set, is the only owner at which it may run, as a worker may end under it
 	// again; RetryAfter then is when a worker that ended is expected back. Held: this node is
 	// not that owner, or nobody knows which one is.
-	Home model.InstanceID
-	Held bool
+	OnlyOwner model.InstanceID
+	Deferred  bool
 	// Lent: this node is the one that says where it may run, and leaves it to Home.
-	Lent bool
+	Granted bool
 }
 
-// Sending is what an attempt says of its sending.
-type Sending struct {
-	// Ends counts the workers that ended under earlier attempts.
-	Ends int
+// Submission is what an attempt says of its sending.
+type Submission struct {
+	// Crashes counts the workers that ended under earlier attempts.
+	Crashes int
 	// Lent: the owner whose worker ended last under the request leaves it to this one.
-	Lent bool
+	Granted bool
 }
 
 // Refusal returns what refuses the request, ReasonNone where it may run here.
-func (v Verdict) Refusal() model.Refusal {
+func (v Decision) Refusal() model.Refusal {
 	switch {
-	case v.PutAside:
-		return model.Refusal{Reason: model.ReasonPutAside, NotRun: true, RetryAfter: v.RetryAfter}
-	case v.Held:
-		return model.Refusal{Reason: model.ReasonHeldBack, NotRun: true, RetryAfter: v.RetryAfter, Home: v.Home, Lent: v.Lent}
+	case v.Quarantined:
+		return model.Refusal{Reason: model.ReasonQuarantined, NotRun: true, RetryAfter: v.RetryAfter}
+	case v.Deferred:
+		return model.Refusal{Reason: model.ReasonDeferred, NotRun: true, RetryAfter: v.RetryAfter, OnlyOwner: v.OnlyOwner, Granted: v.Granted}
 	}
 	return model.Refusal{}
 }
 
-// RunsAlone tells whether the request is to run where no other one as suspect runs, so that
+// Exclusive tells whether the request is to run where no other one as suspect runs, so that
 // the next end tells which of them it was.
-func (v Verdict) RunsAlone() bool { return v.Trial || v.Home != "" || v.Ends >= endsToRunAlone }
+func (v Decision) Exclusive() bool {
+	return v.Trial || v.OnlyOwner != "" || v.Crashes >= endsToRunAlone
+}
 
 // Bounds of the advice to come back.
 const (
@@ -138,11 +140,11 @@
 	maxRetry = time.Hour
 )
 
-// Judge says how an owner treats a request that is offered to it. label is what the request
+// Evaluate says how an owner treats a request that is offered to it. label is what the request
 // asks for.
-func (q *Quarantine) Judge(now time.Time, content model.Fingerprint, s Sending, label string) Verdict {
-	if q.Empty() && s.Ends == 0 {
-		return Verdict{}
+func (q *Quarantine) Evaluate(now time.Time, content model.Fingerprint, s Submission, label string) Decision {
+	if q.Empty() && s.Crashes == 0 {
+		return Decision{}
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -150,12 +152,12 @@
 	switch {
 	case r != nil:
 		r.label = label
-	case s.Ends == 0:
-		return Verdict{}
+	case s.Crashes == 0:
+		return Decision{}
 	default:
-		r = unheard(now, content, s.Ends)
+		r = unheard(now, content, s.Crashes)
 	}
-	v := Verdict{Ends: r.left}
+	v := Decision{Crashes: r.left}
 	if !r.aside {
 		q.hold(now, r, s, &v)
 		return v
@@ -163,17 +165,17 @@
 	if r.trialDue(now) && trialHome(content, q.findNeighbours().admitting) == q.self.ID {
 		r.trialAt = now
 		v.Trial = true
-		q.note(event.PutAsideTried, content, r.label)
+		q.note(event.QuarantineTrial, content, r.label)
 		return v
 	}
-	v.PutAside = true
+	v.Quarantined = true
 	v.RetryAfter = r.retryAfter(now)
 	return v
 }
 
-// Barred tells whether an entry need not offer a request to any owner: it is put aside, and
+// Blocked tells whether an entry need not offer a request to any owner: it is put aside, and
 // no trial is due.
-func (q *Quarantine) Barred(now time.Time, content model.Fingerprint) (retryAfter time.Duration, barred bool) {
+func (q *Quarantine) Blocked(now time.Time, content model.Fingerprint) (retryAfter time.Duration, barred bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	r := q.table.records[content]
@@ -191,10 +193,10 @@
 	return min(max(at.Sub(now), minRetry), maxRetry)
 }
 
-// Broke takes a run that broke at the own worker; known tells that the worker is known to
+// RunFailed takes a run that broke at the own worker; known tells that the worker is known to
 // have ended under it. Otherwise Ended may say so later.
-func (q *Quarantine) Broke(now time.Time, r Run) (known bool) {
-	id := q.evidence.Broke(now, r)
+func (q *Quarantine) RunFailed(now time.Time, r Run) (known bool) {
+	id := q.evidence.RunFailed(now, r)
 	if id == 0 {
 		return false
 	}
@@ -202,22 +204,22 @@
 	return true
 }
 
-// Left takes a run at the own worker that was given up before its end: the worker may still
+// RunAbandoned takes a run at the own worker that was given up before its end: the worker may still
 // have been at work when it ended.
-func (q *Quarantine) Left(now time.Time, r Run) { q.evidence.Left(now, r) }
+func (q *Quarantine) RunAbandoned(now time.Time, r Run) { q.evidence.RunAbandoned(now, r) }
 
-// BrokeTogether tells whether at least two runs broke about that time, as when the worker has
+// FailedTogether tells whether at least two runs broke about that time, as when the worker has
 // ended and nobody has found its port closed yet.
-func (q *Quarantine) BrokeTogether(at time.Time) bool { return q.evidence.together(at) }
+func (q *Quarantine) FailedTogether(at time.Time) bool { return q.evidence.together(at) }
 
-// Ended takes the word that the own worker's life has ended, not as planned. It may come
+// WorkerCrashed takes the word that the own worker's life has ended, not as planned. It may come
 // more than once for one end.
-func (q *Quarantine) Ended(now time.Time) {
+func (q *Quarantine) WorkerCrashed(now time.Time) {
 	q.mu.Lock()
 	next := q.nextEnd()
 	q.returns.end(now)
 	q.mu.Unlock()
-	if runs := q.evidence.Ended(now, next); len(runs) > 0 {
+	if runs := q.evidence.WorkerCrashed(now, next); len(runs) > 0 {
 		q.mu.Lock()
 		q.noticed++
 		q.mu.Unlock()
@@ -226,13 +228,13 @@
 }
 
 // nextEnd names the next end of the own worker; no other node's has the same name.
-func (q *Quarantine) nextEnd() EndID {
+func (q *Quarantine) nextEnd() CrashID {
 	q.named++
-	return EndID(max(xxhash.Sum64String(fmt.Sprintf("%s/%d/%d", q.self.ID, q.life, q.named)), 1))
+	return CrashID(max(xxhash.Sum64String(fmt.Sprintf("%s/%d/%d", q.self.ID, q.life, q.named)), 1))
 }
 
 // inHand takes the runs under which the worker ended.
-func (q *Quarantine) inHand(now time.Time, id EndID, runs []Run) {
+func (q *Quarantine) inHand(now time.Time, id CrashID, runs []Run) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.noteEnd(id, runs)
@@ -240,7 +242,7 @@
 		if run.Content.IsZero() {
 			continue
 		}
-		q.table.ended(now, run.Content, end{id, q.self.ID, now, run.Doubted, run.Trial})
+		q.table.ended(now, run.Content, end{id, q.self.ID, now, run.AlreadySuspect, run.Trial})
 		q.table.records[run.Content].label = run.Label
 	}
 	q.convict(now, id, runs)
@@ -250,8 +252,8 @@
 	q.wake()
 }
 
-// Completed takes a whole answer of the own worker to a request.
-func (q *Quarantine) Completed(now time.Time, content model.Fingerprint) {
+// RunCompleted takes a whole answer of the own worker to a request.
+func (q *Quarantine) RunCompleted(now time.Time, content model.Fingerprint) {
 	if content.IsZero() {
 		return
 	}
@@ -270,12 +272,12 @@
 // maxNamed bounds the runs that one log line names.
 const maxNamed = 32
 
-func (q *Quarantine) noteEnd(id EndID, runs []Run) {
+func (q *Quarantine) noteEnd(id CrashID, runs []Run) {
 	var names []string
 	for _, r := range runs[:min(len(runs), maxNamed)] {
 		names = append(names, r.Content.String()+" "+r.Label)
 	}
-	q.record(event.WorkerEnded, fmt.Sprintf("%016x", uint64(id)), fmt.Sprintf("%d in hand: %s", len(runs), strings.Join(names, ", ")))
+	q.record(event.WorkerCrashed, fmt.Sprintf("%016x", uint64(id)), fmt.Sprintf("%d in hand: %s", len(runs), strings.Join(names, ", ")))
 }
 
 // judge finds who is to be put aside now and returns them; how tells what changed.
@@ -283,10 +285,10 @@
 	for _, j := range q.table.judge(now) {
 		if j.aside {
 			aside = append(aside, j.record)
-			q.note(event.PutAside, j.record.content, fmt.Sprintf("%s; ends of %s; %s", how, owners(j.record), j.record.label))
+			q.note(event.RequestQuarantined, j.record.content, fmt.Sprintf("%s; ends of %s; %s", how, owners(j.record), j.record.label))
 			continue
 		}
-		q.note(event.Released, j.record.content, how)
+		q.note(event.QuarantineReleased, j.record.content, how)
 	}
 	q.count()
 	return aside
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -25,7 +25,7 @@
 
 // end is one end of a worker's life with a request in hand.
 type end struct {
-	id    EndID
+	id    CrashID
 	owner model.InstanceID
 	at    time.Time
 	// doubted: the run began after another end under the same request was known.
@@ -78,7 +78,7 @@
 // of them, of which one came after another: a rack that is lost ends many workers at once
 // under a request that many ask for, and only one whose next run ends its worker again is
 // told apart from that.
-func (r *record) judge(explained map[EndID]bool) {
+func (r *record) judge(explained map[CrashID]bool) {
 	left, doubted := r.unexplained(explained)
 	r.left = left
 	r.barred = r.barred || left >= endsToPutAside && doubted
@@ -91,7 +91,7 @@
 
 // unexplained counts the ends that are not explained, and tells whether one of them is of a
 // run that was doubted.
-func (r *record) unexplained(explained map[EndID]bool) (left int, doubted bool) {
+func (r *record) unexplained(explained map[CrashID]bool) (left int, doubted bool) {
 	for i := range r.ends {
 		if e := &r.ends[i]; !explained[e.id] {
 			left++
@@ -124,7 +124,7 @@
 // add adds an end and reports whether it is new. Of more than maxEnds those are kept that
 // prove most, the same ones on every node.
 func (r *record) add(e end) bool {
-	at, known := slices.BinarySearchFunc(r.ends, e.id, func(x end, id EndID) int { return cmp.Compare(x.id, id) })
+	at, known := slices.BinarySearchFunc(r.ends, e.id, func(x end, id CrashID) int { return cmp.Compare(x.id, id) })
 	if known {
 		return false
 	}
--- a/internal/quarantine/rounds.go
+++ b/internal/quarantine/rounds.go
@@ -132,7 +132,7 @@
 	news := q.news(wide)
 	put(now, records, &news)
 	for _, peer := range to {
-		out = q.send(now, out, control.TellSuspects{To: peer, News: news})
+		out = q.send(now, out, control.SendSuspectUpdate{To: peer, Update: news})
 	}
 	return out
 }
@@ -143,8 +143,8 @@
 }
 
 // news returns a message without records.
-func (q *Quarantine) news(wide bool) wire.SuspectNews {
-	n := wire.SuspectNews{From: q.self.ID}
+func (q *Quarantine) news(wide bool) wire.SuspectUpdate {
+	n := wire.SuspectUpdate{From: q.self.ID}
 	if !wide {
 		n.Service = q.self.Service
 	}
@@ -152,7 +152,7 @@
 }
 
 // comparison returns a message that a peer can compare with what it holds.
-func (q *Quarantine) comparison(wide bool) wire.SuspectNews {
+func (q *Quarantine) comparison(wide bool) wire.SuspectUpdate {
 	n := q.news(wide)
 	n.Compare = true
 	n.Digests = q.table.digests(wide)
@@ -187,7 +187,7 @@
 func (q *Quarantine) compare(now time.Time, out []control.Action, wide bool, peers []model.Instance, turn int) []control.Action {
 	for i := range min(perRound, len(peers)) {
 		to := peers[(turn*perRound+i)%len(peers)]
-		out = q.send(now, out, control.TellSuspects{To: to, News: q.comparison(wide)})
+		out = q.send(now, out, control.SendSuspectUpdate{To: to, Update: q.comparison(wide)})
 	}
 	if q.rounds.contacts.missing(now) {
 		return q.compareLatest(now, out, wide)
@@ -241,9 +241,9 @@
 	return out
 }
 
-// Answer takes a peer's news and returns, where the peer wants to compare, this node's
+// HandleUpdate takes a peer's news and returns, where the peer wants to compare, this node's
 // digests and records of the parts in which the two differ. It is called by any goroutine.
-func (q *Quarantine) Answer(now time.Time, from wire.SuspectNews) wire.SuspectNews {
+func (q *Quarantine) HandleUpdate(now time.Time, from wire.SuspectUpdate) wire.SuspectUpdate {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.heard(from.From)
@@ -262,19 +262,19 @@
 	return reply
 }
 
-// Told takes a peer's answer. When the two still differ it returns what the peer lacks.
-func (q *Quarantine) Told(now time.Time, reply wire.SuspectNews) (more wire.SuspectNews, differ bool) {
+// HandleReply takes a peer's answer. When the two still differ it returns what the peer lacks.
+func (q *Quarantine) HandleReply(now time.Time, reply wire.SuspectUpdate) (more wire.SuspectUpdate, differ bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.heard(reply.From)
 	wide := reply.Service == ""
 	if !reply.Compare || !wide && reply.Service != q.self.Service {
-		return wire.SuspectNews{}, false
+		return wire.SuspectUpdate{}, false
 	}
 	q.merge(now, reply, wide)
 	parts, differ := differing(q.table.digests(wide), reply.Digests)
 	if !differ {
-		return wire.SuspectNews{}, false
+		return wire.SuspectUpdate{}, false
 	}
 	more = q.news(wide)
 	put(now, q.some(now, wide, parts), &more)
@@ -283,8 +283,8 @@
 
 // some returns records of some parts for a peer that holds others there: the severest, and of
 // the rest other ones each time.
-func (q *Quarantine) some(now time.Time, wide bool, parts [wire.SuspectParts]bool) []*record {
-	all := q.table.where(func(r *record) bool { return r.wide == wide && parts[wire.SuspectPart(r.content)] })
+func (q *Quarantine) some(now time.Time, wide bool, parts [wire.SuspectBuckets]bool) []*record {
+	all := q.table.where(func(r *record) bool { return r.wide == wide && parts[wire.SuspectBucket(r.content)] })
 	kept := keptForTelling
 	if wide {
 		kept = 0
@@ -302,7 +302,7 @@
 }
 
 // merge takes a peer's records.
-func (q *Quarantine) merge(now time.Time, news wire.SuspectNews, wide bool) {
+func (q *Quarantine) merge(now time.Time, news wire.SuspectUpdate, wide bool) {
 	passOn := wide || q.findNeighbours().passOn
 	for i := range news.Records {
 		s := &news.Records[i]
--- a/internal/quarantine/silent_test.go
+++ b/internal/quarantine/silent_test.go
@@ -63,8 +63,8 @@
 
 // endAgain ends a node's worker under a request of which the run's entry knew an end.
 func (f *fleet) endAgain(n *node, c model.Fingerprint) {
-	n.q.Broke(f.now, Run{Content: c, Began: f.now.Add(-30 * time.Millisecond), Doubted: true})
-	n.q.Ended(f.now)
+	n.q.RunFailed(f.now, Run{Content: c, Started: f.now.Add(-30 * time.Millisecond), AlreadySuspect: true})
+	n.q.WorkerCrashed(f.now)
 	f.wake(n)
 }
 
@@ -73,8 +73,8 @@
 	f.after(100*time.Millisecond, func() {
 		for i, n := range nodes {
 			if peer := nodes[(i+1)%len(nodes)]; !n.cut && !peer.cut {
-				n.q.Heard(peer.instance.ID)
-				peer.q.Heard(n.instance.ID)
+				n.q.PeerSeen(peer.instance.ID)
+				peer.q.PeerSeen(n.instance.ID)
 			}
 		}
 		f.hearEachOther(nodes)
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -123,7 +123,7 @@
 		return nil
 	}
 	t.changed = false
-	explained := map[EndID]bool{}
+	explained := map[CrashID]bool{}
 	var out []judged
 	for _, r := range t.byEnds() {
 		was := r.aside
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -16,7 +16,7 @@
 // endAt adds an end of its own name under a request.
 func (t *table) endAt(now time.Time, id int, doubted bool, contents ...int) {
 	for _, c := range contents {
-		t.ended(now, content(c), end{id: EndID(id + 1), owner: "w", at: now, doubted: doubted})
+		t.ended(now, content(c), end{id: CrashID(id + 1), owner: "w", at: now, doubted: doubted})
 	}
 	t.judge(now)
 }
@@ -144,7 +144,7 @@
 		}
 		waits = append(waits, next.Sub(now))
 		now = next
-		tb.ended(now, r.content, end{id: EndID(i), owner: "w", at: now, doubted: true, trial: true})
+		tb.ended(now, r.content, end{id: CrashID(i), owner: "w", at: now, doubted: true, trial: true})
 	}
 	if !slices.Equal(waits, trialPauses[:]) || !slices.IsSorted(waits) {
 		t.Errorf("trials after %v; want %v", waits, trialPauses)
@@ -185,7 +185,7 @@
 		}
 		return strings.Compare(content(a).String(), content(b).String())
 	})
-	out, guilty := map[int]bool{}, map[EndID]bool{}
+	out, guilty := map[int]bool{}, map[CrashID]bool{}
 	for _, c := range order {
 		left := slices.DeleteFunc(slices.Clone(p.ends[c]), func(e end) bool { return guilty[e.id] })
 		if len(left) >= 3 && slices.ContainsFunc(left, func(e end) bool { return e.doubted }) {
@@ -217,7 +217,7 @@
 				delete(model.barred, c)
 			} else {
 				for _, c := range rapid.SliceOfNDistinct(rapid.IntRange(0, requests-1), 1, 4, rapid.ID[int]).Draw(t, "in hand") {
-					e := end{id: EndID(i + 1), owner: "w", at: now, doubted: rapid.Bool().Draw(t, "doubted")}
+					e := end{id: CrashID(i + 1), owner: "w", at: now, doubted: rapid.Bool().Draw(t, "doubted")}
 					tb.ended(now, content(c), e)
 					model.ends[c] = append(model.ends[c], e)
 				}
@@ -281,7 +281,7 @@
 
 func tellAll(now time.Time, from, to *table) {
 	for _, r := range from.where(func(*record) bool { return true }) {
-		var news wire.SuspectNews
+		var news wire.SuspectUpdate
 		put(now, []*record{r}, &news)
 		s := &news.Records[0]
 		to.merge(now, s, endsOf(now, &news, s), r.wide, true)
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -44,18 +44,18 @@
 
 // Table is what the controller needs of a route.Table.
 type Table interface {
-	// Unreached leaves an owner out of choices for a short while from now on, and
+	// MarkUnreachable leaves an owner out of choices for a short while from now on, and
 	// tells whether it is known at that address.
-	Unreached(now time.Time, owner model.Instance) bool
-	// Reached takes that back.
-	Reached(id model.InstanceID)
-	// HeardWithin tells whether the owner itself was heard in the last age.
-	HeardWithin(now time.Time, id model.InstanceID, age time.Duration) bool
+	MarkUnreachable(now time.Time, owner model.Instance) bool
+	// MarkReachable takes that back.
+	MarkReachable(id model.InstanceID)
+	// ReportedWithin tells whether the owner itself was heard in the last age.
+	ReportedWithin(now time.Time, id model.InstanceID, age time.Duration) bool
 	// Owner returns an owner that may be chosen; ok is false for others.
 	Owner(id model.InstanceID) (owner model.Instance, ok bool)
-	// Silent returns owners with attempts of this node that nothing was heard of for
+	// SilentOwners returns owners with attempts of this node that nothing was heard of for
 	// age, nor for twice the time that an answer was expected to take.
-	Silent(now time.Time, age time.Duration) []model.Instance
+	SilentOwners(now time.Time, age time.Duration) []model.Instance
 }
 
 // Controller probes doubted owners. It is fed by one goroutine.
@@ -93,11 +93,11 @@
 // Handle implements control.Controller.
 func (c *Controller) Handle(now time.Time, ev control.Event) []control.Action {
 	switch e := ev.(type) {
-	case control.OwnerDoubted:
+	case control.OwnerUnresponsive:
 		return c.unanswered(now, e)
-	case control.OwnersSaidLost:
+	case control.OwnersReportedUnreachable:
 		return c.saidLost(now, e.Owners)
-	case control.ReachProbed:
+	case control.ReachabilityProbed:
 		return c.probed(now, e)
 	case control.Tick:
 		return c.tick(now)
@@ -110,8 +110,8 @@
 }
 
 // unanswered doubts an owner that gave an attempt no answer.
-func (c *Controller) unanswered(now time.Time, e control.OwnerDoubted) []control.Action {
-	if !e.NoConnection && c.table.HeardWithin(now, e.Owner.ID, aliveAge) {
+func (c *Controller) unanswered(now time.Time, e control.OwnerUnresponsive) []control.Action {
+	if !e.NoConnection && c.table.ReportedWithin(now, e.Owner.ID, aliveAge) {
 		return nil
 	}
 	out := c.doubt(e.Owner)
@@ -119,7 +119,7 @@
 	case len(out) == 0:
 	case e.NoConnection:
 		out = append(out, c.lose(now, c.doubted[e.Owner.ID], "a request could not connect")...)
-	case e.NotTakenUp:
+	case e.NotAcknowledged:
 		out = append(out, c.lose(now, c.doubted[e.Owner.ID], "an attempt was not taken up")...)
 	}
 	return out
@@ -138,7 +138,7 @@
 
 // isSound tells whether an owner was heard, or answered a probe, a short while ago.
 func (c *Controller) isSound(now time.Time, id model.InstanceID) bool {
-	return now.Sub(c.sound[id]) < soundAge || c.table.HeardWithin(now, id, soundAge)
+	return now.Sub(c.sound[id]) < soundAge || c.table.ReportedWithin(now, id, soundAge)
 }
 
 // doubt begins to probe an owner, unless it is doubted already.
@@ -159,7 +159,7 @@
 		}
 	}
 	out := c.probeDue(now)
-	for _, owner := range c.table.Silent(now, silentAge) {
+	for _, owner := range c.table.SilentOwners(now, silentAge) {
 		if !c.isSound(now, owner.ID) {
 			out = append(out, c.doubt(owner)...)
 		}
@@ -168,7 +168,7 @@
 }
 
 // probed takes the end of a probe.
-func (c *Controller) probed(now time.Time, e control.ReachProbed) []control.Action {
+func (c *Controller) probed(now time.Time, e control.ReachabilityProbed) []control.Action {
 	d := c.doubted[e.Owner.ID]
 	if d == nil || d.owner.PeerAddress != e.Owner.PeerAddress {
 		return nil
@@ -177,14 +177,14 @@
 	if e.Err == nil {
 		delete(c.doubted, e.Owner.ID)
 		c.sound[e.Owner.ID] = now
-		c.table.Reached(e.Owner.ID)
+		c.table.MarkReachable(e.Owner.ID)
 		c.publish()
 		if d.lost.IsZero() {
 			return nil
 		}
-		return record(event.OwnerReached, d, now.Sub(d.lost).String(), nil)
+		return record(event.OwnerReachable, d, now.Sub(d.lost).String(), nil)
 	}
-	if !c.table.Unreached(now, d.owner) {
+	if !c.table.MarkUnreachable(now, d.owner) {
 		delete(c.doubted, e.Owner.ID)
 		c.publish()
 		return nil
@@ -196,24 +196,24 @@
 	var out []control.Action
 	if !d.told {
 		d.told = true
-		out = append(out, control.OwnerLost{Owner: d.owner.ID})
+		out = append(out, control.OwnerUnreachable{Owner: d.owner.ID})
 	}
 	if !d.lost.IsZero() {
 		return out
 	}
 	d.lost = now
 	c.publish()
-	return append(out, record(event.OwnerUnreached, d, "a probe failed", e.Err)...)
+	return append(out, record(event.OwnerUnreachable, d, "a probe failed", e.Err)...)
 }
 
 // lose leaves the owner out of choices until a probe gets through.
 func (c *Controller) lose(now time.Time, d *doubt, why string) []control.Action {
-	if !c.table.Unreached(now, d.owner) {
+	if !c.table.MarkUnreachable(now, d.owner) {
 		return nil
 	}
 	d.lost = now
 	c.publish()
-	return record(event.OwnerUnreached, d, why, nil)
+	return record(event.OwnerUnreachable, d, why, nil)
 }
 
 // publish names the owners out of reach, for peers.
@@ -225,7 +225,7 @@
 		}
 	}
 	slices.Sort(lost)
-	c.board.OutOfReach.Put(&lost)
+	c.board.Unreachable.Put(&lost)
 }
 
 // probeDue probes the owners whose time has come.
@@ -241,7 +241,7 @@
 
 func (d *doubt) probe() control.Action {
 	d.probing = true
-	return control.ProbeReach{Owner: d.owner}
+	return control.ProbeReachability{Owner: d.owner}
 }
 
 func record(id event.ID, d *doubt, detail string, err error) []control.Action {
--- a/internal/route/cell.go
+++ b/internal/route/cell.go
@@ -265,7 +265,7 @@
 	c.failure.add(now, failed, failureGain, failureMemory)
 	if !r.Failed {
 		u.learnPath(now, r)
-		u.link.sample(now, int64(r.Latency-r.Held))
+		u.link.sample(now, int64(r.Latency-r.OwnerTime))
 	}
 }
 
@@ -284,7 +284,7 @@
 		c.refusedAt.Store(now)
 		c.leavingIn.Store(leavingKey(c.incarnation()))
 	}
-	u.link.sample(now, int64(r.Latency-r.Held))
+	u.link.sample(now, int64(r.Latency-r.OwnerTime))
 }
 
 // aboutUpstream tells whether a refusal speaks of the upstream, not of the
@@ -312,7 +312,7 @@
 // the wait at its last report stand for that.
 func (u *upstream) learnPath(now int64, r *Result) {
 	h := u.cell.heard.Load()
-	held := float64(r.Held)
+	held := float64(r.OwnerTime)
 	if held <= 0 {
 		if h == nil || h == retired {
 			return
--- a/internal/route/estimate.go
+++ b/internal/route/estimate.go
@@ -63,9 +63,9 @@
 // Estimate is what is expected of one candidate, part by part.
 type Estimate struct {
 	Instance model.Instance
-	// Heard tells whether a report was heard, Age how long ago.
-	Heard bool
-	Age   time.Duration
+	// Reported tells whether a report was heard, Age how long ago.
+	Reported bool
+	Age      time.Duration
 	// Load is the expected number of requests at the owner (running and queued,
 	// own ones included), Limit how many it runs at once.
 	Load  float64
@@ -76,7 +76,7 @@
 	FailureRate float64
 	// Link is the time of the way and back, Wait that until the start, Service
 	// the worker's, and Silence the time by which an answer is overdue.
-	Link, Wait, Service, Silence time.Duration
+	Link, Wait, Service, Overdue time.Duration
 	// Expected is the time to the whole answer, the sum of the four.
 	Expected time.Duration
 	// Failure is the expected loss by failure, as a time.
@@ -85,8 +85,8 @@
 	// 3 x (Wait + Failure).
 	Cost time.Duration
 	// Leaving candidates and those out of reach are not chosen.
-	Leaving   bool
-	Unreached bool
+	Leaving     bool
+	Unreachable bool
 	// Evacuated candidates are not chosen either. Warming ones are, in turn; see warming.go.
 	Evacuated bool
 	Warming   time.Duration
@@ -140,7 +140,7 @@
 	p.queue(t, deviate)
 	p.wait += c.coldWait(h, now)
 	p.wait += float64(max(0, c.backOffUntil.Load()-now))
-	if t.tuning.Silence {
+	if t.tuning.Overdue {
 		p.addSilence(c, now)
 	}
 	if c.warming(now) {
@@ -173,7 +173,7 @@
 	}
 	reported := float64(r.InFlight) + float64(r.Queued)
 	mean := meanUse * p.limit
-	p.load = mean + (reported-mean)*math.Exp(-p.age/float64(t.tuning.LoadMemory))
+	p.load = mean + (reported-mean)*math.Exp(-p.age/float64(t.tuning.LoadDecay))
 	if t.tuning.OwnSends {
 		p.load += float64(u.cell.sentSince(h))
 	}
@@ -214,7 +214,7 @@
 	if !p.heard {
 		return 1
 	}
-	return 1 - math.Exp(-2*(p.age+p.link)/float64(t.tuning.LoadMemory))
+	return 1 - math.Exp(-2*(p.age+p.link)/float64(t.tuning.LoadDecay))
 }
 
 // coldWait is the penalty of an upstream that is said to be cold, by its owner
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -15,9 +15,9 @@
 	scanFactor = 8
 )
 
-// Upstreams returns the number of the service's upstreams that may be chosen by
+// UpstreamCount returns the number of the service's upstreams that may be chosen by
 // the fleet's word.
-func (t *Table) Upstreams(service model.ServiceName) int {
+func (t *Table) UpstreamCount(service model.ServiceName) int {
 	svc := t.picker.Load().services[service]
 	if svc == nil {
 		return 0
@@ -52,7 +52,7 @@
 	e := t.estimate(u, now, remaining, 0)
 	out := Estimate{
 		Instance:    u.instance,
-		Heard:       e.heard,
+		Reported:    e.heard,
 		Load:        e.load,
 		Limit:       e.limit,
 		OwnInFlight: int(u.cell.inFlight.Load()),
@@ -60,12 +60,12 @@
 		Link:        time.Duration(e.link),
 		Wait:        time.Duration(e.wait),
 		Service:     time.Duration(e.service),
-		Silence:     time.Duration(e.silence),
+		Overdue:     time.Duration(e.silence),
 		Failure:     time.Duration(e.failure),
 		Expected:    time.Duration(e.latency()),
 		Cost:        time.Duration(e.cost()),
-		Leaving:     u.cell.leaving(now, int64(t.cfg.LeavingMemory)),
-		Unreached:   u.cell.unreached(now),
+		Leaving:     u.cell.leaving(now, int64(t.cfg.LeavingTTL)),
+		Unreachable: u.cell.unreached(now),
 		Evacuated:   u.evacuated,
 		Warming:     time.Duration(max(u.cell.warmingUntil.Load()-now, 0)),
 	}
@@ -75,13 +75,13 @@
 	return out
 }
 
-// Stale returns up to n upstreams whose owners were not heard for longer than
+// StaleUpstreams returns up to n upstreams whose owners were not heard for longer than
 // age, for probes: those of services that this node called recently first, the
 // latest called service first; then some of the others, from a random place.
-func (t *Table) Stale(now time.Time, age time.Duration, n int) []model.Instance {
+func (t *Table) StaleUpstreams(now time.Time, age time.Duration, n int) []model.Instance {
 	p := t.picker.Load()
 	nanos := p.nanos(now)
-	s := staleScan{now: nanos, age: int64(age), memory: int64(t.cfg.LeavingMemory), want: n}
+	s := staleScan{now: nanos, age: int64(age), memory: int64(t.cfg.LeavingTTL), want: n}
 	called, others := p.byLastCall(nanos)
 	for _, svc := range called {
 		s.scan(svc, below(uint32(t.cfg.Random()), len(svc.all)), len(svc.all))
@@ -98,8 +98,8 @@
 	return s.found
 }
 
-// Called tells whether this node called the service within the last recentCall.
-func (t *Table) Called(now time.Time, service model.ServiceName) bool {
+// CalledRecently tells whether this node called the service within the last recentCall.
+func (t *Table) CalledRecently(now time.Time, service model.ServiceName) bool {
 	p := t.picker.Load()
 	svc := p.services[service]
 	if svc == nil {
--- a/internal/route/explain_test.go
+++ b/internal/route/explain_test.go
@@ -20,11 +20,11 @@
 	var ids []model.InstanceID
 	for _, e := range table.Explain(origin, query) {
 		ids = append(ids, e.Instance.ID)
-		sum := e.Link + e.Wait + e.Service + e.Silence
+		sum := e.Link + e.Wait + e.Service + e.Overdue
 		if off := sum - e.Expected; off < -5 || off > 5 {
 			t.Errorf("%v: parts sum up to %v, expected is %v", e.Instance.ID, sum, e.Expected)
 		}
-		cost := e.Link + e.Service + e.Silence + queueWeight*(e.Wait+e.Failure)
+		cost := e.Link + e.Service + e.Overdue + queueWeight*(e.Wait+e.Failure)
 		if off := cost - e.Cost; off < -10 || off > 10 {
 			t.Errorf("%v: cost %v, want %v", e.Instance.ID, e.Cost, cost)
 		}
@@ -49,7 +49,7 @@
 	now := origin.Add(time.Second)
 	table.Observe(now, report("b1", time.Second))
 	for range 20 {
-		got := table.Stale(now, 500*time.Millisecond, 6)
+		got := table.StaleUpstreams(now, 500*time.Millisecond, 6)
 		if len(got) != 6 {
 			t.Fatalf("got %d upstreams, want 6", len(got))
 		}
@@ -70,10 +70,10 @@
 	fleet.Instances[2].State = model.StateGone
 	table := NewTable(Config{})
 	table.Update(origin, fleet, nil)
-	if got := table.Upstreams("s"); got != 2 {
+	if got := table.UpstreamCount("s"); got != 2 {
 		t.Errorf("got %d, want 2", got)
 	}
-	if got := table.Upstreams("other"); got != 0 {
+	if got := table.UpstreamCount("other"); got != 0 {
 		t.Errorf("got %d of an unknown service", got)
 	}
 }
--- a/internal/route/home.go
+++ b/internal/route/home.go
@@ -36,8 +36,8 @@
 	return t.choice(u, p.nanos(now), q), true
 }
 
-// Named returns one instance of a service; ok is false where it takes no requests.
-func (t *Table) Named(now time.Time, q *Query, id model.InstanceID) (c Choice, ok bool) {
+// PickInstance returns one instance of a service; ok is false where it takes no requests.
+func (t *Table) PickInstance(now time.Time, q *Query, id model.InstanceID) (c Choice, ok bool) {
 	p := t.picker.Load()
 	svc := p.services[q.Service]
 	if svc == nil {
--- a/internal/route/home_test.go
+++ b/internal/route/home_test.go
@@ -79,16 +79,16 @@
 	table := seeded(7)
 	fleet := makeFleet(7)
 	for _, in := range fleet.Instances {
-		if c, ok := table.Named(origin, &Query{Service: "s"}, in.ID); !ok || c.Instance.ID != in.ID {
+		if c, ok := table.PickInstance(origin, &Query{Service: "s"}, in.ID); !ok || c.Instance.ID != in.ID {
 			t.Errorf("%s: found %s, %t", in.ID, c.Instance.ID, ok)
 		}
 	}
-	if _, ok := table.Named(origin, &Query{Service: "s"}, "nobody"); ok {
+	if _, ok := table.PickInstance(origin, &Query{Service: "s"}, "nobody"); ok {
 		t.Error("an owner that is not listed is found")
 	}
 	gone := fleet.Instances[2]
-	table.Unreached(origin, gone)
-	if _, ok := table.Named(origin, &Query{Service: "s"}, gone.ID); ok {
+	table.MarkUnreachable(origin, gone)
+	if _, ok := table.PickInstance(origin, &Query{Service: "s"}, gone.ID); ok {
 		t.Error("an owner that is out of reach is found")
 	}
 }
--- a/internal/route/leaving_test.go
+++ b/internal/route/leaving_test.go
@@ -19,7 +19,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
-			table := NewTable(Config{Self: "e", LeavingMemory: tt.memory})
+			table := NewTable(Config{Self: "e", LeavingTTL: tt.memory})
 			in := model.Instance{ID: "w1", Service: "shop", State: model.StateLive}
 			table.Update(now, &model.Fleet{Instances: []model.Instance{in}}, nil)
 			report := model.LoadReport{Owner: "w1", Incarnation: 7, Clock: time.Second, State: model.StateLeaving, Limit: 4}
--- a/internal/route/link_test.go
+++ b/internal/route/link_test.go
@@ -66,7 +66,7 @@
 			atOwner := time.Duration(rng.ExpFloat64() * float64(10*time.Millisecond))
 			r := Result{Latency: roundTrip + atOwner}
 			if held {
-				r.Held = atOwner
+				r.OwnerTime = atOwner
 			}
 			table.Done(now, "s-00001", r)
 		}
@@ -86,7 +86,7 @@
 	table := seeded(2)
 	for i := range 20 {
 		now := origin.Add(time.Duration(i) * time.Millisecond)
-		table.Done(now, "s-00001", Result{Latency: 40 * time.Millisecond, Held: 10 * time.Millisecond})
+		table.Done(now, "s-00001", Result{Latency: 40 * time.Millisecond, OwnerTime: 10 * time.Millisecond})
 	}
 	if got := share(table, origin.Add(20*time.Millisecond), query, 200)["s-00001"]; got > 0.05 {
 		t.Errorf("%v of the picks took the slow way", got)
--- a/internal/route/reach.go
+++ b/internal/route/reach.go
@@ -11,10 +11,10 @@
 // tries the owner again after this time.
 const unreachedMemory = 2 * time.Second
 
-// Unreached leaves an owner out of Pick's choices for unreachedMemory, as this node
+// Unreachable leaves an owner out of Pick's choices for unreachedMemory, as this node
 // cannot connect to it. It tells whether the owner is known at that address. Called
 // by the reach controller only.
-func (t *Table) Unreached(now time.Time, owner model.Instance) bool {
+func (t *Table) MarkUnreachable(now time.Time, owner model.Instance) bool {
 	p := t.picker.Load()
 	u := p.byID[owner.ID]
 	if u == nil || u.instance.PeerAddress != owner.PeerAddress {
@@ -24,15 +24,15 @@
 	return true
 }
 
-// Reached takes Unreached back: a connection could be had.
-func (t *Table) Reached(id model.InstanceID) {
+// MarkReachable takes Unreached back: a connection could be had.
+func (t *Table) MarkReachable(id model.InstanceID) {
 	if u := t.picker.Load().byID[id]; u != nil {
 		u.cell.unreachedUntil.Store(0)
 	}
 }
 
-// HeardWithin tells whether a report of the owner's was heard in the last age.
-func (t *Table) HeardWithin(now time.Time, id model.InstanceID, age time.Duration) bool {
+// ReportedWithin tells whether a report of the owner's was heard in the last age.
+func (t *Table) ReportedWithin(now time.Time, id model.InstanceID, age time.Duration) bool {
 	p := t.picker.Load()
 	u := p.byID[id]
 	if u == nil {
@@ -51,10 +51,10 @@
 	return u.instance, true
 }
 
-// Silent returns the owners with attempts of this node of which nothing was heard for
+// SilentOwners returns the owners with attempts of this node of which nothing was heard for
 // age, nor for twice the time in which an answer was expected. It looks at the
 // services called in the last ten seconds.
-func (t *Table) Silent(now time.Time, age time.Duration) []model.Instance {
+func (t *Table) SilentOwners(now time.Time, age time.Duration) []model.Instance {
 	p := t.picker.Load()
 	nanos := p.nanos(now)
 	var out []model.Instance
--- a/internal/route/reach_test.go
+++ b/internal/route/reach_test.go
@@ -16,12 +16,12 @@
 	lost := model.Instance{ID: "w1", Service: "shop", PeerAddress: "10.0.0.1:1", State: model.StateLive}
 	other := model.Instance{ID: "w2", Service: "shop", PeerAddress: "10.0.0.2:1", State: model.StateLive}
 	table.Update(now, &model.Fleet{Instances: []model.Instance{lost, other}}, nil)
-	if !table.Unreached(now, lost) {
+	if !table.MarkUnreachable(now, lost) {
 		t.Fatal("not known")
 	}
 	moved := lost
 	moved.PeerAddress = "10.0.0.9:1"
-	if table.Unreached(now, moved) {
+	if table.MarkUnreachable(now, moved) {
 		t.Error("known at an address that it does not have")
 	}
 	// Attempts weigh on the one in reach, so that cost alone would choose the other.
@@ -41,8 +41,8 @@
 	if got := chosen(now.Add(unreachedMemory)); got != "w1" {
 		t.Errorf("after the memory: chosen %q, want w1", got)
 	}
-	table.Unreached(now, lost)
-	table.Reached("w1")
+	table.MarkUnreachable(now, lost)
+	table.MarkReachable("w1")
 	if got := chosen(now); got != "w1" {
 		t.Errorf("once reached: chosen %q, want w1", got)
 	}
@@ -56,7 +56,7 @@
 	report := model.LoadReport{Owner: "w1", Incarnation: 1, Clock: time.Second, State: model.StateLive, Limit: 4, ServiceTime: 400 * time.Millisecond}
 	table.Observe(now, report)
 	const age = 500 * time.Millisecond
-	silent := func(after time.Duration) bool { return len(table.Silent(now.Add(after), age)) == 1 }
+	silent := func(after time.Duration) bool { return len(table.SilentOwners(now.Add(after), age)) == 1 }
 	if silent(5 * time.Second) {
 		t.Error("silent although nothing was sent")
 	}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -17,7 +17,7 @@
 	Self       model.InstanceID
 	DataCentre model.DataCentre
 	// Regions names the region of each data centre.
-	Regions model.Places
+	Regions model.DataCentreRegions
 	// LocalDelay and RemoteDelay are the first guesses of one-way link time
 	// within and between data centres; measured times replace them. Zero means
 	// 100 µs and 1 ms.
@@ -29,9 +29,9 @@
 	// RemoteCost is what an attempt to another data centre costs beside its time: the
 	// traffic between them is paid for. Zero means nothing.
 	RemoteCost time.Duration
-	// LeavingMemory is how long an owner's own word that it leaves keeps attempts
+	// LeavingTTL is how long an owner's own word that it leaves keeps attempts
 	// away; zero means for as long as its incarnation is the newest known.
-	LeavingMemory time.Duration
+	LeavingTTL time.Duration
 	// Policy selects how Pick chooses; the zero value is the product's policy.
 	// The others are baselines for benchmarks only.
 	Policy Policy
@@ -61,14 +61,14 @@
 	// OwnerClock is the lower bound of the owner's clock now; see
 	// model.Attempt.OwnerClock.
 	OwnerClock time.Duration
-	Belief     Belief
+	Estimate   EstimateSummary
 }
 
-// Belief is what a choice rested on.
-type Belief struct {
-	// Heard tells whether a report was heard, Age how long ago.
-	Heard bool
-	Age   time.Duration
+// EstimateSummary is what a choice rested on.
+type EstimateSummary struct {
+	// Reported tells whether a report was heard, Age how long ago.
+	Reported bool
+	Age      time.Duration
 	// Load is the expected number of requests at the owner.
 	Load float64
 	// Expected is the estimated time to the whole answer.
@@ -78,10 +78,10 @@
 // Result tells how an attempt at a choice ended.
 type Result struct {
 	Latency time.Duration
-	// Held is the part of Latency that the attempt spent at its owner, from
+	// OwnerTime is the part of Latency that the attempt spent at its owner, from
 	// arrival to answer, as the owner tells it; zero means not known. Latency
 	// less Held is the time that the way took.
-	Held time.Duration
+	OwnerTime time.Duration
 	// Failed: the worker failed it, or the way broke.
 	Failed bool
 	// Refused, when not ReasonNone, is the owner's refusal.
@@ -142,9 +142,9 @@
 	}
 	e := t.estimate(u, now, q.Remaining, 0)
 	c.Expected = time.Duration(e.latency())
-	c.Belief = Belief{Heard: e.heard, Load: e.load, Expected: c.Expected}
+	c.Estimate = EstimateSummary{Reported: e.heard, Load: e.load, Expected: c.Expected}
 	if e.heard {
-		c.Belief.Age = time.Duration(e.age)
+		c.Estimate.Age = time.Duration(e.age)
 	}
 	return c
 }
@@ -199,7 +199,7 @@
 }
 
 func (t *Table) observe(u *upstream, now int64, r *model.LoadReport) {
-	if u.observe(now, r, t.cfg.LeavingMemory == 0) {
+	if u.observe(now, r, t.cfg.LeavingTTL == 0) {
 		t.heardWarming(u, now, r)
 	}
 }
--- a/internal/route/sample.go
+++ b/internal/route/sample.go
@@ -74,7 +74,7 @@
 	// tried lists those that must not be.
 	tried []model.InstanceID
 	now   int64
-	// memory is Config.LeavingMemory in nanoseconds.
+	// memory is Config.LeavingTTL in nanoseconds.
 	memory int64
 	// regions are those in which the request may run.
 	regions model.Regions
@@ -85,7 +85,7 @@
 
 // filter returns the table's filter at time now.
 func (t *Table) filter(now int64, tried []model.InstanceID, regions model.Regions) filter {
-	return filter{tried: tried, now: now, memory: int64(t.cfg.LeavingMemory), regions: regions}
+	return filter{tried: tried, now: now, memory: int64(t.cfg.LeavingTTL), regions: regions}
 }
 
 // eligible tells whether u may be chosen for a request.
@@ -96,7 +96,7 @@
 		}
 	}
 	switch {
-	case u.evacuated && !f.evacuated, !f.regions.Allow(u.region):
+	case u.evacuated && !f.evacuated, !f.regions.Allows(u.region):
 		return false
 	case u.cell.leaving(f.now, f.memory), u.cell.unreached(f.now):
 		return false
--- a/internal/route/state_test.go
+++ b/internal/route/state_test.go
@@ -184,8 +184,8 @@
 				if e.Instance.ID != "s-00000" {
 					continue
 				}
-				if e.Heard != c.heard || (e.FailureRate > 0) != c.heard {
-					t.Errorf("heard %v, failure rate %v; want kept: %v", e.Heard, e.FailureRate, c.heard)
+				if e.Reported != c.heard || (e.FailureRate > 0) != c.heard {
+					t.Errorf("heard %v, failure rate %v; want kept: %v", e.Reported, e.FailureRate, c.heard)
 				}
 			}
 		})
@@ -236,7 +236,7 @@
 				r.InFlight = uint16(rng.IntN(40))
 				table.Observe(now, r)
 				table.Done(now, c.Instance.ID, Result{Latency: time.Millisecond, Failed: rng.IntN(9) == 0})
-				table.Stale(now, time.Millisecond, 4)
+				table.StaleUpstreams(now, time.Millisecond, 4)
 			}
 		})
 	}
--- a/internal/route/tuning.go
+++ b/internal/route/tuning.go
@@ -8,9 +8,9 @@
 	// Local and Remote are the numbers of candidates of the own data centre and
 	// of others.
 	Local, Remote int
-	// LoadMemory is the decay constant of a report's load towards its service's
+	// LoadDecay is the decay constant of a report's load towards its service's
 	// mean.
-	LoadMemory time.Duration
+	LoadDecay time.Duration
 	// DeadZone is the share of its service's mean by which an upstream's service
 	// time must differ to count.
 	DeadZone float64
@@ -21,8 +21,8 @@
 	// Noise is the number of standard deviations of the load that a normal
 	// deviate of one stands for; 0 switches the deviation off.
 	Noise float64
-	// Silence adds the time by which an answer is overdue.
-	Silence bool
+	// Overdue adds the time by which an answer is overdue.
+	Overdue bool
 	// Path adds the time of the way beyond the link's usual one.
 	Path bool
 }
@@ -30,7 +30,7 @@
 // DefaultTuning returns the product's.
 func DefaultTuning() Tuning {
 	return Tuning{
-		Local: 2, Remote: 2, LoadMemory: loadMemory, DeadZone: deadZone,
-		OwnSends: true, Failure: true, Noise: 2, Silence: true, Path: true,
+		Local: 2, Remote: 2, LoadDecay: loadMemory, DeadZone: deadZone,
+		OwnSends: true, Failure: true, Noise: 2, Overdue: true, Path: true,
 	}
 }
--- a/internal/route/warming.go
+++ b/internal/route/warming.go
@@ -64,7 +64,7 @@
 	case r.WarmingMs == 0:
 		u.cell.warmingUntil.Store(0)
 	default:
-		t.setWarming(u, now, now+int64(r.Warming()))
+		t.setWarming(u, now, now+int64(r.WarmingLeft()))
 	}
 }
 
@@ -74,9 +74,9 @@
 // inTurn tells whether a warming worker may be chosen at time now.
 func (c *cell) inTurn(now int64) bool { return !c.warming(now) || now >= c.turnAt.Load() }
 
-// Lack tells why a query finds no upstream to choose: none is known, none is in a region
+// NoUpstreamReason tells why a query finds no upstream to choose: none is known, none is in a region
 // where the request may run, or all that are lie in evacuated data centres.
-func (t *Table) Lack(q *Query) model.Reason {
+func (t *Table) NoUpstreamReason(q *Query) model.Reason {
 	svc := t.picker.Load().services[q.Service]
 	if svc == nil || len(svc.all) == 0 {
 		return model.ReasonNoUpstream
@@ -84,7 +84,7 @@
 	reason := model.ReasonRegion
 	for _, u := range svc.all {
 		switch {
-		case !q.Regions.Allow(u.region):
+		case !q.Regions.Allows(u.region):
 		case u.evacuated:
 			reason = model.ReasonEvacuated
 		default:
--- a/internal/route/warming_test.go
+++ b/internal/route/warming_test.go
@@ -24,7 +24,7 @@
 	counts := map[model.DataCentre]int{}
 	for e := range playedEntries {
 		rng := rand.New(rand.NewPCG(uint64(e), 7))
-		table := NewTable(Config{Self: "e", DataCentre: "a", Random: rng.Uint64, Regions: model.Places{"a": "north", "b": "north"}})
+		table := NewTable(Config{Self: "e", DataCentre: "a", Random: rng.Uint64, Regions: model.DataCentreRegions{"a": "north", "b": "north"}})
 		for _, fleet := range fleets {
 			table.Update(warmingStart, fleet, set)
 		}
@@ -93,10 +93,10 @@
 }
 
 func TestARequestIsPlacedWithinItsRegions(t *testing.T) {
-	table := NewTable(Config{Self: "e", DataCentre: "a", Regions: model.Places{"a": "north", "b": "south"}})
+	table := NewTable(Config{Self: "e", DataCentre: "a", Regions: model.DataCentreRegions{"a": "north", "b": "south"}})
 	fleet := playedFleet(time.Time{})
 	table.Update(warmingStart, fleet, nil)
-	south := model.RegionsOf([]model.RegionName{"south"})
+	south := model.NewRegions([]model.RegionName{"south"})
 	for range 200 {
 		c, ok := table.Pick(warmingStart, &Query{Service: "shop", Regions: south})
 		if !ok || c.Instance.DataCentre != "b" {
@@ -110,7 +110,7 @@
 }
 
 func TestTheLackOfAnUpstreamHasItsReason(t *testing.T) {
-	table := NewTable(Config{Self: "e", DataCentre: "a", Regions: model.Places{"a": "north", "b": "south"}})
+	table := NewTable(Config{Self: "e", DataCentre: "a", Regions: model.DataCentreRegions{"a": "north", "b": "south"}})
 	table.Update(warmingStart, playedFleet(time.Time{}, "b"), nil)
 	for name, tt := range map[string]struct {
 		q    Query
@@ -118,10 +118,10 @@
 	}{
 		"no such service":         {Query{Service: "nobody"}, model.ReasonNoUpstream},
 		"others may be chosen":    {Query{Service: "shop"}, model.ReasonNoUpstream},
-		"its region has none":     {Query{Service: "shop", Regions: model.RegionsOf([]model.RegionName{"east"})}, model.ReasonRegion},
-		"its region is evacuated": {Query{Service: "shop", Regions: model.RegionsOf([]model.RegionName{"south"})}, model.ReasonEvacuated},
+		"its region has none":     {Query{Service: "shop", Regions: model.NewRegions([]model.RegionName{"east"})}, model.ReasonRegion},
+		"its region is evacuated": {Query{Service: "shop", Regions: model.NewRegions([]model.RegionName{"south"})}, model.ReasonEvacuated},
 	} {
-		if got := table.Lack(&tt.q); got != tt.want {
+		if got := table.NoUpstreamReason(&tt.q); got != tt.want {
 			t.Errorf("%s: %s, want %s", name, got, tt.want)
 		}
 	}
--- a/internal/server/caller.go
+++ b/internal/server/caller.go
@@ -48,48 +48,48 @@
 	Queued time.Duration
 }
 
-// Settler asks owners about attempts, over control links.
-type Settler interface {
-	// Settle asks the owner to; it returns an error when there is no answer by
+// Resolver asks owners about attempts, over control links.
+type OutcomeResolver interface {
+	// Resolve asks the owner to; it returns an error when there is no answer by
 	// ctx's end.
-	Settle(ctx context.Context, to model.Instance, s wire.Settle) (wire.SettleReply, error)
+	Resolve(ctx context.Context, to model.Instance, s wire.Resolve) (wire.ResolveReply, error)
 	// Notify tells a request's home how it ended. It waits until the message is
 	// on its way when that says "not run", for a short bounded time.
 	Notify(to model.Instance, r wire.KeyResult)
 }
 
-// Caller serves callers: it carries out the steps of an entry.Call.
-type Caller struct {
+// CallerHandler serves callers: it carries out the steps of an entry.Call.
+type CallerHandler struct {
 	Self      model.InstanceID
 	Board     *blackboard.Board
 	Engine    *entry.Engine
 	Table     *route.Table
 	Executor  *Executor
 	Forwarder *Forwarder
-	Settler   Settler
+	Resolver  OutcomeResolver
 	Recorder  Recorder
-	// Requests takes the log lines about single requests.
-	Requests *zerolog.Logger
-	// Seen is told the bundle versions that owners report; it does not block.
-	Seen func(from model.InstanceID, v model.BundleVersion)
-	// Heard is told the directory marks of owners; it does not block.
-	Heard func(from model.InstanceID, m model.DirectoryMark)
-	// Mark tells what this node knows of the directory.
-	Mark func() model.DirectoryMark
-	// Unanswered is told of each owner that gave an attempt no answer, and why the
+	// RequestLog takes the log lines about single requests.
+	RequestLog *zerolog.Logger
+	// BundleReported is told the bundle versions that owners report; it does not block.
+	BundleReported func(from model.InstanceID, v model.BundleVersion)
+	// FreshnessReported is told the directory marks of owners; it does not block.
+	FreshnessReported func(from model.InstanceID, m model.DirectoryFreshness)
+	// DirectoryFreshness tells what this node knows of the directory.
+	DirectoryFreshness func() model.DirectoryFreshness
+	// AttemptUnanswered is told of each owner that gave an attempt no answer, and why the
 	// attempt is proved not to have run, ReasonNone where it is not; it does not block.
-	Unanswered func(in model.Instance, reason model.Reason)
-	// LostSignal tells attempts that their owner is out of reach.
-	LostSignal *LostSignal
-	// Returns changes advice to come back so that the node can still be reached then, where it
+	AttemptUnanswered func(in model.Instance, reason model.Reason)
+	// UnreachableSignal tells attempts that their owner is out of reach.
+	UnreachableSignal *UnreachableSignal
+	// ExtendRetryAfter changes advice to come back so that the node can still be reached then, where it
 	// is about to stop; nil leaves it as it is.
-	Returns func(after time.Duration) time.Duration
+	ExtendRetryAfter func(after time.Duration) time.Duration
 	// Leaving tells whether callers are to be sent away (Connection: close).
 	Leaving func() bool
 	// Quarantine tells which requests reach no worker.
 	Quarantine *quarantine.Quarantine
-	// Stop bounds calls by a planned stop.
-	Stop *StopBound
+	// StopBound bounds calls by a planned stop.
+	StopBound *StopBound
 	// Dialect is how callers speak.
 	Dialect dialect.Callers
 	// Service is the service beside whose worker this entry runs.
@@ -97,9 +97,9 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (c *Caller) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *CallerHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
-	defer c.Stop.hold()()
+	defer c.StopBound.hold()()
 	if c.Leaving() {
 		w.Header().Set("Connection", "close")
 	}
@@ -152,7 +152,7 @@
 // refuseUnrouted refuses a request that no route of this node matches. A node
 // that is not ready yet knows too little to say that there is none, nor that an
 // earlier sending of the caller's own id was not run.
-func (c *Caller) refuseUnrouted(w http.ResponseWriter, r *http.Request) {
+func (c *CallerHandler) refuseUnrouted(w http.ResponseWriter, r *http.Request) {
 	if ready := c.Board.Readiness.Get(); ready != nil && ready.Ready {
 		c.refuseEarly(w, r, http.StatusNotFound, dialect.End{Outcome: model.OutcomeNotRun, Reason: model.ReasonNoRoute})
 		return
@@ -164,7 +164,7 @@
 	c.refuseEarly(w, r, http.StatusServiceUnavailable, end)
 }
 
-func (c *Caller) refuseBody(w http.ResponseWriter, r *http.Request, err error, end dialect.End) {
+func (c *CallerHandler) refuseBody(w http.ResponseWriter, r *http.Request, err error, end dialect.End) {
 	if errors.Is(err, errBodyTooLarge) {
 		w.Header().Set("Connection", "close")
 		end.Reason = model.ReasonBodyTooLarge
@@ -175,10 +175,10 @@
 }
 
 // entryRequest applies the bundle's bounds to what the caller asked for.
-func (c *Caller) entryRequest(h wire.CallerHeaders, t bundle.Target) entry.Request {
+func (c *CallerHandler) entryRequest(h wire.CallerHeaders, t bundle.Target) entry.Request {
 	req := entry.Request{
 		ID:          h.Request,
-		CallerKey:   h.Request != "" && !h.OneSending,
+		CallerKey:   h.Request != "" && !h.OneSubmission,
 		Caller:      c.Service,
 		Target:      t,
 		Tenant:      model.OtherTenant,
@@ -193,13 +193,13 @@
 	}
 	if tenant := t.Bundle.Tenant(h.Tenant); tenant != nil {
 		req.Tenant = h.Tenant
-		req.Regions = req.Regions.And(model.RegionsOf(tenant.Regions))
+		req.Regions = req.Regions.Intersect(model.NewRegions(tenant.Regions))
 	}
 	if h.Timeout > 0 {
-		req.Asked = h.Timeout
+		req.RequestedTimeout = h.Timeout
 		req.Timeout = min(h.Timeout, t.Class.MaxDeadline())
 	}
-	req.Timeout = c.Stop.within(time.Now(), req.Timeout)
+	req.Timeout = c.StopBound.within(time.Now(), req.Timeout)
 	if h.HasRetryBudget {
 		req.RetryBudget = min(req.RetryBudget, h.RetryBudget)
 	}
@@ -208,7 +208,7 @@
 
 // newRequestID makes an id for a request whose caller named none. Chance alone
 // keeps it unique: 122 bits.
-func (c *Caller) newRequestID() model.RequestID {
+func (c *CallerHandler) newRequestID() model.RequestID {
 	return model.RequestID(string(c.Self) + "." + strconv.FormatUint(rand.Uint64(), 36) + strconv.FormatUint(rand.Uint64(), 36))
 }
 
@@ -237,7 +237,7 @@
 }
 
 // endWith tells the caller an outcome without an answer.
-func (c *Caller) endWith(w http.ResponseWriter, r *http.Request, status int, e dialect.End) {
+func (c *CallerHandler) endWith(w http.ResponseWriter, r *http.Request, status int, e dialect.End) {
 	c.Dialect.Ended(w.Header(), r.Header, e)
 	w.WriteHeader(status)
 }
@@ -248,12 +248,12 @@
 const refusedBodyTime = 500 * time.Millisecond
 
 // refuseEarly ends a request that was never placed.
-func (c *Caller) refuseEarly(w http.ResponseWriter, r *http.Request, status int, e dialect.End) {
+func (c *CallerHandler) refuseEarly(w http.ResponseWriter, r *http.Request, status int, e dialect.End) {
 	limitReading(w, r, time.Now().Add(refusedBodyTime))
 	c.endWith(w, r, status, e)
 	// What cannot be read names no request.
 	asked, _ := c.Dialect.ReadRequest(r.Header)
-	event.Log(c.Requests, event.CallRefusedEarly).
+	event.Log(c.RequestLog, event.CallRefusedEarly).
 		Str("request", string(asked.Request)).Str("host", r.Host).Str("path", r.URL.Path).
 		Str("reason", e.Reason.String()).Int("status", int64(status)).
 		Str("bundle", e.Bundle.String()).Send()
--- a/internal/server/carrier.go
+++ b/internal/server/carrier.go
@@ -31,7 +31,7 @@
 
 // heldAnswer is the last answer's beginning, and the rest when it streams.
 type heldAnswer struct {
-	answer *Answer
+	answer *Response
 	start  []byte
 	whole  bool
 }
@@ -43,7 +43,7 @@
 		switch step.Kind {
 		case entry.StepSend:
 			c.send(ctx, step)
-		case entry.StepSettle:
+		case entry.StepResolve:
 			c.settle(ctx, step)
 		case entry.StepWait:
 			c.wait(ctx, step)
@@ -67,27 +67,27 @@
 // gone, or the call beside it has won.
 func (c *carrier) noteCallerGone(ctx context.Context) {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		c.call.CallerGone(time.Now())
+		c.call.CallerCancelled(time.Now())
 	}
 }
 
 func (c *carrier) settle(ctx context.Context, step entry.Step) {
 	ctx, cancel := context.WithDeadline(ctx, step.Until)
 	defer cancel()
-	s := wire.Settle{
+	s := wire.Resolve{
 		Attempt:          step.Attempt.ID,
 		OwnerIncarnation: step.Attempt.OwnerIncarnation,
 		Request:          step.Attempt.Request,
 		Remaining:        time.Until(c.call.Deadline()),
 	}
-	reply, err := c.caller.Settler.Settle(ctx, step.To, s)
+	reply, err := c.caller.Resolver.Resolve(ctx, step.To, s)
 	if err != nil {
-		c.call.SettleFailed(time.Now())
+		c.call.ResolveFailed(time.Now())
 		c.noteCallerGone(ctx)
 		return
 	}
 	c.caller.Table.Observe(time.Now(), reply.Report)
-	c.call.Settled(time.Now(), reply)
+	c.call.Resolved(time.Now(), reply)
 }
 
 // send carries one attempt out and reports how it ended.
@@ -105,11 +105,11 @@
 	}
 	if heard {
 		c.caller.Table.Observe(now, result.Report)
-		c.caller.Seen(step.To.ID, result.Report.Bundle)
-		c.caller.Heard(step.To.ID, result.Report.Directory.Aged(transit(now.Sub(began), result.Times)))
+		c.caller.BundleReported(step.To.ID, result.Report.Bundle)
+		c.caller.FreshnessReported(step.To.ID, result.Report.Directory.Aged(transit(now.Sub(began), result.Times)))
 		c.call.Report(now, result.Report)
 	}
-	if !heard && result.Answer == nil {
+	if !heard && result.Response == nil {
 		c.unanswered(ctx, step, result.Refusal.Reason)
 	}
 	if c.body.stream != nil {
@@ -118,7 +118,7 @@
 	switch {
 	case err != nil:
 		c.ended(ctx, now, step, err)
-	case result.Answer == nil:
+	case result.Response == nil:
 		c.call.Refused(now, result.Refusal)
 		c.noteCallerGone(ctx)
 	default:
@@ -129,7 +129,7 @@
 // transit bounds the time that an answer was on its way: the attempt's whole time less
 // what the owner and its worker say that they held it. An answer may wait behind a cut
 // link for seconds, with a mark that was fresh when it was sent.
-func transit(whole time.Duration, held wire.Times) time.Duration {
+func transit(whole time.Duration, held wire.AttemptTimes) time.Duration {
 	return max(whole-held.Queued-held.Worker, 0)
 }
 
@@ -137,35 +137,35 @@
 // why. This node's own owner always answers, unless the attempt panicked.
 func (c *carrier) unanswered(ctx context.Context, step entry.Step, reason model.Reason) {
 	if !errors.Is(ctx.Err(), context.Canceled) && step.To.ID != c.caller.Self {
-		c.caller.Unanswered(step.To, reason)
+		c.caller.AttemptUnanswered(step.To, reason)
 	}
 }
 
 // placed logs the choice behind an attempt.
 func (c *carrier) placed(step entry.Step) {
 	age := int64(-1)
-	if step.Believed.Heard {
-		age = step.Believed.Age.Milliseconds()
+	if step.Estimate.Reported {
+		age = step.Estimate.Age.Milliseconds()
 	}
-	event.Log(c.caller.Requests, event.AttemptPlaced).
+	event.Log(c.caller.RequestLog, event.AttemptPlaced).
 		Str("request", string(step.Attempt.Request)).Str("attempt", step.Attempt.ID.String()).
-		Str("upstream", string(step.To.ID)).Int("expected_ms", step.Believed.Expected.Milliseconds()).
-		Int("load", int64(step.Believed.Load)).Int("age_ms", age).Send()
+		Str("upstream", string(step.To.ID)).Int("expected_ms", step.Estimate.Expected.Milliseconds()).
+		Int("load", int64(step.Estimate.Load)).Int("age_ms", age).Send()
 }
 
 // ended reports an attempt that ended without a whole answer. When the caller has
 // gone that says nothing of the upstream.
 func (c *carrier) ended(ctx context.Context, now time.Time, step entry.Step, err error) {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		c.call.CallerGone(now)
+		c.call.CallerCancelled(now)
 		return
 	}
 	c.broke(step, err)
-	c.call.Broken(now, false)
+	c.call.Interrupted(now, false)
 }
 
 func (c *carrier) broke(step entry.Step, err error) {
-	event.Log(c.caller.Requests, event.AttemptBroke).
+	event.Log(c.caller.RequestLog, event.AttemptBroken).
 		Str("request", string(step.Attempt.Request)).Str("attempt", step.Attempt.ID.String()).
 		Str("upstream", string(step.To.ID)).Err(err).Send()
 }
@@ -183,22 +183,22 @@
 
 // panicked logs a panic that the request goes on after.
 func (c *carrier) panicked(err error) {
-	event.Log(c.caller.Requests, event.PartFailed).Str("request", string(c.request.ID)).Err(err).Send()
+	event.Log(c.caller.RequestLog, event.ComponentFailed).Str("request", string(c.request.ID)).Err(err).Send()
 }
 
 // offer offers the attempt to its owner.
 func (c *carrier) offer(ctx context.Context, step entry.Step) (Result, bool, error) {
-	step.Attempt.DirectoryRevision = c.caller.Mark().Revision
-	work := &Work{
+	step.Attempt.DirectoryRevision = c.caller.DirectoryFreshness().Revision
+	work := &AttemptMessage{
 		Attempt:       step.Attempt,
 		Method:        c.r.Method,
 		URL:           c.r.URL,
 		Host:          c.r.Host,
 		Header:        c.outgoingHeader(),
 		Body:          c.body.open(),
-		Held:          c.body.held,
+		BufferedBody:  c.body.held,
 		ContentLength: c.body.length,
-		TakenUpBy:     step.TakenUpBy,
+		AcknowledgeBy: step.AcknowledgeBy,
 	}
 	if step.To.ID == c.caller.Self {
 		work.SameNode = true
@@ -213,7 +213,7 @@
 	c.queued = result.Times.Queued
 	c.worker = result.Times.Worker
 	c.added = now.Sub(c.began) - result.Times.Queued - result.Times.Worker
-	a := result.Answer
+	a := result.Response
 	start, err := io.ReadAll(io.LimitReader(a.Body, holdAnswerBytes))
 	if err != nil {
 		a.Body.Close()
@@ -225,16 +225,16 @@
 		a.Body.Close()
 	}
 	c.held = &heldAnswer{answer: a, start: start, whole: whole}
-	c.call.Held(result.Times)
+	c.call.SetOwnerTime(result.Times)
 	c.call.Answered(time.Now(), a.Status >= http.StatusInternalServerError)
 }
 
 // lose ends a call whose hedge has the answer.
 func (c *carrier) lose(now time.Time, result Result) {
-	if result.Answer != nil {
-		result.Answer.Body.Close()
+	if result.Response != nil {
+		result.Response.Body.Close()
 	}
-	c.call.CallerGone(now)
+	c.call.CallerCancelled(now)
 }
 
 // drop lets go of an answer that is not passed on.
--- a/internal/server/carrier_test.go
+++ b/internal/server/carrier_test.go
@@ -40,7 +40,7 @@
 		call := engine.Begin(now, entry.Request{ID: "r", Target: target, Timeout: time.Second, Idempotent: true, Replayable: true})
 		step := call.Next(now)
 		log := zerolog.Nop()
-		c := &carrier{exchange: &exchange{caller: &Caller{Requests: &log}}, call: call}
+		c := &carrier{exchange: &exchange{caller: &CallerHandler{RequestLog: &log}}, call: call}
 		ctx, leave := cause(context.Background())
 		leave()
 		c.ended(ctx, now, step, errors.New("broken"))
@@ -57,13 +57,13 @@
 	for _, tt := range []struct {
 		name  string
 		whole time.Duration
-		held  wire.Times
+		held  wire.AttemptTimes
 		want  time.Duration
 	}{
-		{"answered at once", 605 * time.Millisecond, wire.Times{Queued: 200 * time.Millisecond, Worker: 400 * time.Millisecond}, 5 * time.Millisecond},
-		{"held up behind a cut link", 3 * time.Second, wire.Times{Worker: 500 * time.Millisecond}, 2500 * time.Millisecond},
-		{"refused after a wait that is not told", 300 * time.Millisecond, wire.Times{}, 300 * time.Millisecond},
-		{"clocks that differ by their rounding", time.Millisecond, wire.Times{Worker: 2 * time.Millisecond}, 0},
+		{"answered at once", 605 * time.Millisecond, wire.AttemptTimes{Queued: 200 * time.Millisecond, Worker: 400 * time.Millisecond}, 5 * time.Millisecond},
+		{"held up behind a cut link", 3 * time.Second, wire.AttemptTimes{Worker: 500 * time.Millisecond}, 2500 * time.Millisecond},
+		{"refused after a wait that is not told", 300 * time.Millisecond, wire.AttemptTimes{}, 300 * time.Millisecond},
+		{"clocks that differ by their rounding", time.Millisecond, wire.AttemptTimes{Worker: 2 * time.Millisecond}, 0},
 	} {
 		if got := transit(tt.whole, tt.held); got != tt.want {
 			t.Errorf("%s: %s, want %s", tt.name, got, tt.want)
@@ -83,7 +83,7 @@
 			step.HedgeAt = hedgeAt
 			result, heard, err := c.attemptHedged(t.Context(), step)
 			var panicked *task.Panicked
-			if result.Answer != nil || heard || !errors.As(err, &panicked) || panicked.Value != "the cause" {
+			if result.Response != nil || heard || !errors.As(err, &panicked) || panicked.Value != "the cause" {
 				t.Errorf("%+v, heard %v, error %v", result, heard, err)
 			}
 			if line := log.String(); !strings.Contains(line, `"event":111,`) || !strings.Contains(line, "the cause") {
@@ -96,7 +96,7 @@
 func TestAPanicOfAHedgeEndsItWithAnUnknownOutcome(t *testing.T) {
 	var log bytes.Buffer
 	c, _ := panickingCarrier(time.Now(), &log)
-	c.caller.Unanswered = func(model.Instance, model.Reason) { panic("another cause") }
+	c.caller.AttemptUnanswered = func(model.Instance, model.Reason) { panic("another cause") }
 	if step := c.carryOut(t.Context()); step.Kind != entry.StepEnd || step.Outcome != model.OutcomeUnknown {
 		t.Errorf("ends with %+v", step)
 	}
@@ -119,9 +119,9 @@
 	engine := entry.NewEngine(entry.Config{Self: model.Instance{ID: "e", Incarnation: 1}}, table)
 	request := entry.Request{ID: "r", Target: target, Timeout: time.Minute, Idempotent: true, Replayable: true}
 	log := zerolog.New(out)
-	caller := &Caller{
-		Self: "e", Requests: &log, Table: table, LostSignal: &LostSignal{},
-		Mark: func() model.DirectoryMark { panic("the cause") },
+	caller := &CallerHandler{
+		Self: "e", RequestLog: &log, Table: table, UnreachableSignal: &UnreachableSignal{},
+		DirectoryFreshness: func() model.DirectoryFreshness { panic("the cause") },
 	}
 	x := &exchange{caller: caller, r: &http.Request{}, request: request, body: &requestBody{}, began: now}
 	call := engine.Begin(now, request)
--- a/internal/server/content.go
+++ b/internal/server/content.go
@@ -13,19 +13,19 @@
 // content finds a request's fingerprint. Nothing is hashed of a body that is here until
 // somebody asks; of a long one that streams, its beginning is hashed as it passes.
 type content struct {
-	work *Work
+	work *AttemptMessage
 	// host is the route's, empty for a route for any host.
 	host func(host, method, path string) string
 	// known is the fingerprint once it was asked for.
 	known model.Fingerprint
 	// verdict is what the quarantine said last.
-	verdict quarantine.Verdict
+	verdict quarantine.Decision
 	// passing is the hash of a body that streams; nil for others.
 	passing *passingBody
 }
 
 // contentOf watches the work's body where it streams. It must come before the body is read.
-func (x *Executor) contentOf(w *Work) *content {
+func (x *Executor) contentOf(w *AttemptMessage) *content {
 	c := &content{work: w, host: x.routeHost}
 	if w.Body != nil && w.ContentLength > replayBytes {
 		hash := model.NewFingerprintHash(w.Method, c.routeHost(), w.URL, w.Attempt.Tenant, w.ContentLength)
@@ -50,7 +50,7 @@
 		return c.known
 	}
 	w := c.work
-	c.known = model.NewFingerprint(w.Method, c.routeHost(), w.URL, w.Attempt.Tenant, w.ContentLength, w.Held)
+	c.known = model.NewFingerprint(w.Method, c.routeHost(), w.URL, w.Attempt.Tenant, w.ContentLength, w.BufferedBody)
 	return c.known
 }
 
@@ -67,13 +67,13 @@
 // run tells of a run that began at that time.
 func (c *content) run(began time.Time) quarantine.Run {
 	return quarantine.Run{
-		Content: c.fingerprint(), Label: c.label(), Began: began,
-		Doubted: c.work.Attempt.Ends > 0 || c.verdict.Ends > 0, Trial: c.verdict.Trial,
+		Content: c.fingerprint(), Label: c.label(), Started: began,
+		AlreadySuspect: c.work.Attempt.Crashes > 0 || c.verdict.Crashes > 0, Trial: c.verdict.Trial,
 	}
 }
 
 // here tells whether all is here that the fingerprint is made of.
-func (c *content) here() bool { return c.work.Claim == nil && c.passing == nil }
+func (c *content) here() bool { return c.work.FetchBody == nil && c.passing == nil }
 
 // readAhead takes in the part of a body that streams which the fingerprint is made of.
 func (c *content) readAhead() error {
--- a/internal/server/content_test.go
+++ b/internal/server/content_test.go
@@ -40,15 +40,15 @@
 	})
 	x.suspects = q
 	x.broke = func(r quarantine.Run) bool {
-		q.Broke(time.Now(), r)
-		q.Ended(time.Now())
+		q.RunFailed(time.Now(), r)
+		q.WorkerCrashed(time.Now())
 		return true
 	}
 	return x, q, runs
 }
 
 // workOf is an attempt with a path and a body, in one of the ways in which it may come.
-func workOf(sequence uint64, path, body string, way func(*Work, string)) *Work {
+func workOf(sequence uint64, path, body string, way func(*AttemptMessage, string)) *AttemptMessage {
 	w := testWork(sequence)
 	w.URL = &url.URL{Path: path}
 	way(w, body)
@@ -56,31 +56,31 @@
 }
 
 // The ways of a body.
-func heldBody(w *Work, body string) {
-	w.Held, w.Body, w.ContentLength = []byte(body), io.NopCloser(strings.NewReader(body)), int64(len(body))
+func heldBody(w *AttemptMessage, body string) {
+	w.BufferedBody, w.Body, w.ContentLength = []byte(body), io.NopCloser(strings.NewReader(body)), int64(len(body))
 }
 
-func claimedBody(w *Work, body string) {
+func claimedBody(w *AttemptMessage, body string) {
 	w.ContentLength = -1
-	w.Claim = func() error {
+	w.FetchBody = func() error {
 		heldBody(w, body)
 		return nil
 	}
 }
 
-func streamedBody(w *Work, body string) {
+func streamedBody(w *AttemptMessage, body string) {
 	w.Body, w.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
 }
 
 // do carries an attempt out and reads its answer.
-func do(t *testing.T, x *Executor, w *Work) Result {
+func do(t *testing.T, x *Executor, w *AttemptMessage) Result {
 	t.Helper()
 	r := x.Do(t.Context(), w)
-	if r.Answer != nil {
-		if _, err := io.ReadAll(r.Answer.Body); err != nil {
+	if r.Response != nil {
+		if _, err := io.ReadAll(r.Response.Body); err != nil {
 			t.Error(err)
 		}
-		r.Answer.Body.Close()
+		r.Response.Body.Close()
 	}
 	return r
 }
@@ -90,7 +90,7 @@
 	for _, tt := range []struct {
 		name string
 		body string
-		way  func(*Work, string)
+		way  func(*AttemptMessage, string)
 	}{
 		{"none", "", heldBody},
 		{"held", "pay", heldBody},
@@ -100,12 +100,12 @@
 		t.Run(tt.name, func(t *testing.T) {
 			x, _, runs := suspects(t)
 			for i := range uint64(2) {
-				if r := do(t, x, workOf(i+1, "/breaks", tt.body, tt.way)); r.Refusal.Reason != model.ReasonWorkerEnded || r.Refusal.NotRun {
+				if r := do(t, x, workOf(i+1, "/breaks", tt.body, tt.way)); r.Refusal.Reason != model.ReasonWorkerCrashed || r.Refusal.NotRun {
 					t.Fatalf("run %d: %+v", i, r.Refusal)
 				}
 			}
 			r := do(t, x, workOf(4, "/breaks", tt.body, tt.way))
-			if r.Refusal.Reason != model.ReasonPutAside || !r.Refusal.NotRun || r.Refusal.RetryAfter <= 0 {
+			if r.Refusal.Reason != model.ReasonQuarantined || !r.Refusal.NotRun || r.Refusal.RetryAfter <= 0 {
 				t.Errorf("after two ends with nothing else in hand: %+v; want put aside", r.Refusal)
 			}
 			if got := runs.Load(); got != 2 {
@@ -115,7 +115,7 @@
 			if tt.body == "" {
 				return
 			}
-			if r := do(t, x, workOf(5, "/breaks", "X"+tt.body[1:], tt.way)); r.Refusal.Reason != model.ReasonWorkerEnded {
+			if r := do(t, x, workOf(5, "/breaks", "X"+tt.body[1:], tt.way)); r.Refusal.Reason != model.ReasonWorkerCrashed {
 				t.Errorf("another body: %+v; want it to run", r.Refusal)
 			}
 		})
@@ -125,10 +125,10 @@
 // The same payout is known again by whichever way it comes.
 func TestTheWayOfABodyIsNoPartOfTheRequest(t *testing.T) {
 	x, _, _ := suspects(t)
-	for i, way := range []func(*Work, string){heldBody, claimedBody, heldBody} {
+	for i, way := range []func(*AttemptMessage, string){heldBody, claimedBody, heldBody} {
 		do(t, x, workOf(uint64(i+1), "/breaks", "pay", way))
 	}
-	if r := do(t, x, workOf(4, "/breaks", "pay", claimedBody)); r.Refusal.Reason != model.ReasonPutAside {
+	if r := do(t, x, workOf(4, "/breaks", "pay", claimedBody)); r.Refusal.Reason != model.ReasonQuarantined {
 		t.Errorf("%+v; want put aside", r.Refusal)
 	}
 }
@@ -137,13 +137,13 @@
 	x, q, _ := suspects(t)
 	w := workOf(1, "/sound", "pay", heldBody)
 	content := x.contentOf(w).fingerprint()
-	q.Broke(time.Now(), quarantine.Run{Content: content, Began: time.Now()})
-	q.Ended(time.Now())
-	if v := q.Judge(time.Now(), content, quarantine.Sending{}, ""); v.Ends != 1 {
+	q.RunFailed(time.Now(), quarantine.Run{Content: content, Started: time.Now()})
+	q.WorkerCrashed(time.Now())
+	if v := q.Evaluate(time.Now(), content, quarantine.Submission{}, ""); v.Crashes != 1 {
 		t.Fatalf("%+v before", v)
 	}
 	do(t, x, w)
-	if v := q.Judge(time.Now(), content, quarantine.Sending{}, ""); v.Ends != 0 {
+	if v := q.Evaluate(time.Now(), content, quarantine.Submission{}, ""); v.Crashes != 0 {
 		t.Errorf("%+v after a whole answer", v)
 	}
 }
@@ -154,13 +154,13 @@
 	w := workOf(1, "/sound", "pay", heldBody)
 	content := x.contentOf(w).fingerprint()
 	r := x.Do(t.Context(), w)
-	q.Broke(time.Now(), quarantine.Run{Content: content, Began: time.Now()})
-	q.Ended(time.Now())
-	if _, err := io.ReadAll(r.Answer.Body); err != nil {
+	q.RunFailed(time.Now(), quarantine.Run{Content: content, Started: time.Now()})
+	q.WorkerCrashed(time.Now())
+	if _, err := io.ReadAll(r.Response.Body); err != nil {
 		t.Fatal(err)
 	}
-	r.Answer.Body.Close()
-	if v := q.Judge(time.Now(), content, quarantine.Sending{}, ""); v.Ends != 0 {
+	r.Response.Body.Close()
+	if v := q.Evaluate(time.Now(), content, quarantine.Submission{}, ""); v.Crashes != 0 {
 		t.Errorf("%+v after a whole answer", v)
 	}
 }
@@ -176,8 +176,8 @@
 	x, q, _ := suspects(t)
 	x.address = strings.TrimPrefix(worker.URL, "http://")
 	// Something is suspect already, so that the sending is judged as it comes.
-	q.Broke(time.Now(), quarantine.Run{Content: model.Fingerprint{1}, Began: time.Now()})
-	q.Ended(time.Now())
+	q.RunFailed(time.Now(), quarantine.Run{Content: model.Fingerprint{1}, Started: time.Now()})
+	q.WorkerCrashed(time.Now())
 	results := make(chan Result, 2)
 	go func() { results <- do(t, x, workOf(1, "/sound", "", heldBody)) }()
 	await(t, x.owner, func(r model.LoadReport) bool { return r.InFlight == 1 })
@@ -186,13 +186,13 @@
 	go func() { results <- do(t, x, waiting) }()
 	await(t, x.owner, func(r model.LoadReport) bool { return r.Queued == 1 })
 	for range 3 {
-		q.Broke(time.Now(), quarantine.Run{Content: content, Began: time.Now(), Doubted: true})
-		q.Ended(time.Now())
+		q.RunFailed(time.Now(), quarantine.Run{Content: content, Started: time.Now(), AlreadySuspect: true})
+		q.WorkerCrashed(time.Now())
 	}
 	close(release)
 	<-results
-	if r := <-results; r.Refusal.Reason != model.ReasonPutAside || !r.Refusal.NotRun {
-		t.Errorf("%+v, %+v; want put aside", r.Answer, r.Refusal)
+	if r := <-results; r.Refusal.Reason != model.ReasonQuarantined || !r.Refusal.NotRun {
+		t.Errorf("%+v, %+v; want put aside", r.Response, r.Refusal)
 	}
 }
 
@@ -208,19 +208,19 @@
 		b.Run(map[bool]string{false: "none suspect", true: "one suspect"}[suspect], func(b *testing.B) {
 			_, x := oneSlot(strings.TrimPrefix(worker.URL, "http://"))
 			if suspect {
-				x.suspects.Broke(time.Now(), quarantine.Run{Content: model.Fingerprint{1}, Began: time.Now()})
-				x.suspects.Ended(time.Now())
+				x.suspects.RunFailed(time.Now(), quarantine.Run{Content: model.Fingerprint{1}, Started: time.Now()})
+				x.suspects.WorkerCrashed(time.Now())
 			}
 			log := zerolog.Nop()
 			x.requests = &log
 			b.ReportAllocs()
 			for i := uint64(1); b.Loop(); i++ {
 				r := x.Do(b.Context(), workOf(i, "/payouts", "pay", heldBody))
-				if r.Answer == nil {
+				if r.Response == nil {
 					b.Fatalf("refused: %+v", r.Refusal)
 				}
-				_, _ = io.Copy(io.Discard, r.Answer.Body)
-				r.Answer.Body.Close()
+				_, _ = io.Copy(io.Discard, r.Response.Body)
+				r.Response.Body.Close()
 			}
 		})
 	}
@@ -243,17 +243,17 @@
 	x.suspects = q
 	first, second := workOf(1, "/payouts", "pay", claimedBody), workOf(2, "/payouts", "pay", claimedBody)
 	asked := x.contentOf(workOf(3, "/payouts", "pay", heldBody))
-	q.Broke(time.Now(), asked.run(time.Now()))
-	q.Ended(time.Now())
+	q.RunFailed(time.Now(), asked.run(time.Now()))
+	q.WorkerCrashed(time.Now())
 	done := make(chan Result, 1)
 	go func() { done <- x.Do(context.Background(), first) }()
 	<-began
 	r := x.Do(t.Context(), second)
-	if r.Refusal.Reason != model.ReasonHeldBack || !r.Refusal.NotRun || r.Refusal.RetryAfter <= 0 {
+	if r.Refusal.Reason != model.ReasonDeferred || !r.Refusal.NotRun || r.Refusal.RetryAfter <= 0 {
 		t.Errorf("%+v; want it held back while the first runs", r.Refusal)
 	}
 	close(release)
-	(<-done).Answer.Body.Close()
+	(<-done).Response.Body.Close()
 }
 
 // A request's only owner had not noticed yet that its worker was away: it said that the worker
@@ -277,22 +277,22 @@
 	}
 	q := quarantine.New(quarantine.Config{
 		Self: fleet.Instances[0], Started: time.Now(),
-		Fleet: func() *model.Fleet { return fleet },
-		Use:   func(time.Time) (float64, bool) { return 0, true },
+		Fleet:   func() *model.Fleet { return fleet },
+		SlotUse: func(time.Time) (float64, bool) { return 0, true },
 	})
-	x.suspects, x.portClosed = q, func() { q.Ended(time.Now()) }
+	x.suspects, x.portClosed = q, func() { q.WorkerCrashed(time.Now()) }
 	asked := x.contentOf(workOf(3, "/popular", "", heldBody))
 	now := time.Now()
 	if ranWhole {
-		q.Completed(now, asked.fingerprint())
+		q.RunCompleted(now, asked.fingerprint())
 	}
-	q.Broke(now.Add(-2*time.Second), asked.run(now.Add(-2*time.Second)))
-	q.Ended(now.Add(-2 * time.Second))
+	q.RunFailed(now.Add(-2*time.Second), asked.run(now.Add(-2*time.Second)))
+	q.WorkerCrashed(now.Add(-2 * time.Second))
 	for i := range 100 {
 		q.Handle(now.Add(time.Duration(i-100)*control.TickInterval/10), control.Tick{})
 	}
 	r := x.Do(t.Context(), workOf(1, "/popular", "", heldBody))
-	if r.Refusal.Reason != model.ReasonHeldBack || !r.Refusal.NotRun || !r.Refusal.Lent || r.Refusal.Home == "n0" {
+	if r.Refusal.Reason != model.ReasonDeferred || !r.Refusal.NotRun || !r.Refusal.Granted || r.Refusal.OnlyOwner == "n0" {
 		t.Errorf("%+v; want it lent to another owner", r.Refusal)
 	}
 }
--- a/internal/server/exchange.go
+++ b/internal/server/exchange.go
@@ -16,7 +16,7 @@
 
 // exchange is one caller's request in hand.
 type exchange struct {
-	caller  *Caller
+	caller  *CallerHandler
 	w       http.ResponseWriter
 	r       *http.Request
 	target  bundle.Target
@@ -31,7 +31,7 @@
 		return
 	}
 	call := x.caller.Engine.Begin(x.began, x.request)
-	ctx, release := x.caller.Stop.bound(x.r.Context())
+	ctx, release := x.caller.StopBound.bound(x.r.Context())
 	defer release()
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline())
 	defer cancel()
@@ -52,13 +52,13 @@
 	}
 	host := x.caller.Board.Bundles.Get().RouteHost(x.r.Host, x.r.Method, x.r.URL.Path)
 	content := model.NewFingerprint(x.r.Method, host, x.r.URL, x.request.Tenant, x.body.length, x.body.held)
-	after, barred := q.Barred(x.began, content)
+	after, barred := q.Blocked(x.began, content)
 	if !barred {
 		return false
 	}
-	notePutAside(x.caller.Requests, x.request.ID, content, after)
+	notePutAside(x.caller.RequestLog, x.request.ID, content, after)
 	x.end(&carrier{exchange: x}, entry.Step{
-		Kind: entry.StepEnd, Outcome: model.OutcomeNotRun, Reason: model.ReasonPutAside, RetryAfter: after,
+		Kind: entry.StepEnd, Outcome: model.OutcomeNotRun, Reason: model.ReasonQuarantined, RetryAfter: after,
 	}, 0)
 	return true
 }
@@ -67,14 +67,14 @@
 // caller who comes back at once finds the id free.
 func (x *exchange) end(c *carrier, step entry.Step, attempts int) {
 	if step.Notify != nil {
-		x.caller.Settler.Notify(step.To, *step.Notify)
+		x.caller.Resolver.Notify(step.To, *step.Notify)
 	}
 	if c.cutBeforeBegun(step) {
 		c.drop()
 		step.Outcome, step.Reason = model.OutcomeUnknown, model.ReasonExpired
 	}
-	if x.caller.Returns != nil {
-		step.RetryAfter = x.caller.Returns(step.RetryAfter)
+	if x.caller.ExtendRetryAfter != nil {
+		step.RetryAfter = x.caller.ExtendRetryAfter(step.RetryAfter)
 	}
 	outcome := step.Outcome
 	status := statusOf(step)
@@ -89,7 +89,7 @@
 	}
 	status = c.held.answer.Status
 	if err := x.answer(c.held, end); err != nil {
-		c.call.Broken(time.Now(), true)
+		c.call.Interrupted(time.Now(), true)
 		outcome = model.OutcomeUnknown
 		panic(http.ErrAbortHandler)
 	}
@@ -162,7 +162,7 @@
 		Added:    c.added,
 		Queued:   c.queued,
 	})
-	event.Log(x.caller.Requests, event.CallEnded).
+	event.Log(x.caller.RequestLog, event.CallEnded).
 		Str("request", string(x.request.ID)).Str("class", string(x.target.Class.Name)).
 		Str("service", string(x.target.Service.Name)).Str("caller", string(x.request.Caller)).Str("from", x.r.RemoteAddr).
 		Str("outcome", o.String()).Str("reason", reason.String()).Int("status", int64(status)).
--- a/internal/server/exchange_test.go
+++ b/internal/server/exchange_test.go
@@ -35,14 +35,14 @@
 	}
 	target := bundle.Target{Bundle: b, Service: &b.Services[0], Class: &b.Classes[0], Idempotent: true}
 	log := zerolog.Nop()
-	caller := &Caller{Requests: &log, Recorder: noRecords{}, Dialect: dialect.Product{}}
+	caller := &CallerHandler{RequestLog: &log, Recorder: noRecords{}, Dialect: dialect.Product{}}
 	engine := entry.NewEngine(entry.Config{Self: model.Instance{ID: "e", Incarnation: 1}}, route.NewTable(route.Config{Self: "e"}))
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		began := time.Now().Add(-after)
 		request := entry.Request{ID: "r", Target: target, Timeout: time.Second, Idempotent: true, Replayable: true}
 		x := &exchange{caller: caller, w: w, r: r, target: target, request: request, began: began}
 		c := &carrier{exchange: x, call: engine.Begin(began, request)}
-		c.held = &heldAnswer{start: []byte(start), answer: &Answer{
+		c.held = &heldAnswer{start: []byte(start), answer: &Response{
 			Status: http.StatusOK, Header: http.Header{}, ContentLength: int64(2 * len(start)),
 			Body: io.NopCloser(strings.NewReader(start)),
 		}}
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -21,8 +21,8 @@
 	"gypsumstand/internal/wire"
 )
 
-// Work is one attempt with its message, as it goes to the worker.
-type Work struct {
+// AttemptMessage is one attempt with its message, as it goes to the worker.
+type AttemptMessage struct {
 	Attempt model.Attempt
 	Method  string
 	// URL holds the path and the query.
@@ -32,21 +32,21 @@
 	// Body is read only once the worker's slot is had; nil means none.
 	Body          io.ReadCloser
 	ContentLength int64
-	// Held is the whole body where it is here; a long one streams.
-	Held []byte
+	// BufferedBody is the whole body where it is here; a long one streams.
+	BufferedBody []byte
 	// SameNode tells that the entry is this node.
 	SameNode bool
-	// TakenUpBy is when the entry withdraws an attempt that its owner has not begun to
+	// AcknowledgeBy is when the entry withdraws an attempt that its owner has not begun to
 	// answer; zero lets the body leave at once.
-	TakenUpBy time.Time
-	// Claim gets the body that the entry withholds, once the attempt is admitted; an error
+	AcknowledgeBy time.Time
+	// FetchBody gets the body that the entry withholds, once the attempt is admitted; an error
 	// means that there is none and that nothing may run. Nil where the body is here.
-	Claim func() error
+	FetchBody func() error
 }
 
 // request makes the message of an attempt to its next hop at u. It is HTTP/1.1
 // and has a header of its own.
-func (w *Work) request(ctx context.Context, u *url.URL) *http.Request {
+func (w *AttemptMessage) request(ctx context.Context, u *url.URL) *http.Request {
 	return (&http.Request{
 		Method:        w.Method,
 		URL:           u,
@@ -62,7 +62,7 @@
 
 // hold takes the body in unless it is a long one, so that what the request asks for is known
 // after its run.
-func (w *Work) hold(r *http.Request) error {
+func (w *AttemptMessage) hold(r *http.Request) error {
 	if r.ContentLength == 0 {
 		return nil
 	}
@@ -70,12 +70,12 @@
 	if err != nil || body.stream != nil {
 		return err
 	}
-	w.Body, w.Held = body.open(), body.held
+	w.Body, w.BufferedBody = body.open(), body.held
 	return nil
 }
 
-// Answer is a worker's answer; Body must be closed.
-type Answer struct {
+// Response is a worker's answer; Body must be closed.
+type Response struct {
 	Status int
 	// Header is end-to-end only.
 	Header http.Header
@@ -86,11 +86,11 @@
 
 // Result is an answer, or the refusal in its place.
 type Result struct {
-	Answer  *Answer
-	Refusal model.Refusal
-	Report  model.LoadReport
+	Response *Response
+	Refusal  model.Refusal
+	Report   model.LoadReport
 	// Times is where an answered attempt's time went at the owner.
-	Times wire.Times
+	Times wire.AttemptTimes
 }
 
 // Executor runs admitted attempts on this node's worker. Safe for concurrent use.
@@ -103,7 +103,7 @@
 	worker   func() model.WorkerID
 	requests *zerolog.Logger
 	refresh  func(ctx context.Context)
-	mark     func() model.DirectoryMark
+	mark     func() model.DirectoryFreshness
 	said     func(model.WorkerID)
 	broke    func(quarantine.Run) (ended bool)
 	suspects *quarantine.Quarantine
@@ -132,19 +132,19 @@
 	Dialect dialect.Workers
 	// Worker tells the worker's present life, empty when none is known.
 	Worker func() model.WorkerID
-	// Traffic is told whether the worker refused a connection or answered.
-	Traffic func(refused bool)
-	// Requests takes the log lines about single requests.
-	Requests *zerolog.Logger
-	// Refresh makes the owner's knowledge of the worker's pace fresh enough to
+	// ConnectionObserved is told whether the worker refused a connection or answered.
+	ConnectionObserved func(refused bool)
+	// RequestLog takes the log lines about single requests.
+	RequestLog *zerolog.Logger
+	// RefreshLoad makes the owner's knowledge of the worker's pace fresh enough to
 	// decide on an attempt; nil where the worker tells none. It may block for a few
 	// milliseconds.
-	Refresh func(ctx context.Context)
-	// Mark tells what this node knows of the directory.
-	Mark func() model.DirectoryMark
-	// Said is told the worker that refused an attempt, where it says which it is; nil
+	RefreshLoad func(ctx context.Context)
+	// DirectoryFreshness tells what this node knows of the directory.
+	DirectoryFreshness func() model.DirectoryFreshness
+	// WorkerIdentified is told the worker that refused an attempt, where it says which it is; nil
 	// where workers are not told apart.
-	Said func(model.WorkerID)
+	WorkerIdentified func(model.WorkerID)
 	// RouteHost returns a request's host where its route is for that host only, else empty.
 	// Nil stands for routes for any host.
 	RouteHost func(host, method, path string) string
@@ -153,9 +153,9 @@
 	Quarantine *quarantine.Quarantine
 	// PortClosed is told that nobody listens on the worker's port; nil means nobody.
 	PortClosed func()
-	// Broke is told each run that broke at the worker, and tells whether the worker seems to
+	// DetectCrash is told each run that broke at the worker, and tells whether the worker seems to
 	// have ended. It may block for a tenth of a second. Nil means that nobody wants to know.
-	Broke func(quarantine.Run) (ended bool)
+	DetectCrash func(quarantine.Run) (ended bool)
 }
 
 // NewExecutor returns an executor for one worker.
@@ -169,20 +169,20 @@
 	if cfg.PortClosed == nil {
 		cfg.PortClosed = func() {}
 	}
-	if cfg.Broke == nil {
-		cfg.Broke = func(quarantine.Run) bool { return false }
+	if cfg.DetectCrash == nil {
+		cfg.DetectCrash = func(quarantine.Run) bool { return false }
 	}
 	x := &Executor{
 		owner:    cfg.Owner,
 		address:  cfg.Address,
 		dialect:  cfg.Dialect,
 		worker:   cfg.Worker,
-		traffic:  cfg.Traffic,
-		requests: cfg.Requests,
-		refresh:  cfg.Refresh,
-		mark:     cfg.Mark,
-		said:     cfg.Said,
-		broke:    cfg.Broke,
+		traffic:  cfg.ConnectionObserved,
+		requests: cfg.RequestLog,
+		refresh:  cfg.RefreshLoad,
+		mark:     cfg.DirectoryFreshness,
+		said:     cfg.WorkerIdentified,
+		broke:    cfg.DetectCrash,
 		suspects: cfg.Quarantine,
 		waiters:  map[model.AttemptID]chan owner.Decision{},
 
@@ -193,8 +193,8 @@
 	return x
 }
 
-// InHand returns the number of other entries' attempts that have come and not ended.
-func (x *Executor) InHand() int64 { return x.peers.Load() }
+// InFlight returns the number of other entries' attempts that have come and not ended.
+func (x *Executor) InFlight() int64 { return x.peers.Load() }
 
 // hold counts an attempt of another entry until its end; a nil executor counts none.
 func (x *Executor) hold() (end func()) {
@@ -239,7 +239,7 @@
 
 // Do offers the attempt, waits for its start and sends it to the worker. ctx
 // ends when the entry gives up.
-func (x *Executor) Do(ctx context.Context, w *Work) Result {
+func (x *Executor) Do(ctx context.Context, w *AttemptMessage) Result {
 	ended := false
 	defer func() {
 		if !ended {
@@ -255,10 +255,10 @@
 // have run.
 func (x *Executor) abandon(id model.AttemptID) {
 	x.unawait(id)
-	x.finish(id, owner.Finish{Failed: true})
+	x.finish(id, owner.Completion{Failed: true})
 }
 
-func (x *Executor) do(ctx context.Context, w *Work) Result {
+func (x *Executor) do(ctx context.Context, w *AttemptMessage) Result {
 	if x.refresh != nil {
 		x.refresh(ctx)
 	}
@@ -270,12 +270,12 @@
 	}
 	started := time.Now()
 	if !x.owner.Confirm(started, w.Attempt.ID) {
-		x.finish(w.Attempt.ID, owner.Finish{NotRun: true})
+		x.finish(w.Attempt.ID, owner.Completion{NotRun: true})
 		return x.refused(w, model.Refusal{Reason: model.ReasonExpired, NotRun: true}, offered)
 	}
 	w.Attempt.Remaining -= started.Sub(offered)
 	r := x.run(ctx, asked, started)
-	r.Times = wire.Times{Queued: started.Sub(offered), Worker: time.Since(started)}
+	r.Times = wire.AttemptTimes{Queued: started.Sub(offered), Worker: time.Since(started)}
 	r.Report = x.report(time.Now())
 	x.logEnd(w, &r)
 	return r
@@ -294,10 +294,10 @@
 		x.unawait(id)
 		return &refusal
 	}
-	if w.Claim != nil && w.Claim() != nil {
+	if w.FetchBody != nil && w.FetchBody() != nil {
 		return x.withdrawn(id, ch, verdict)
 	}
-	if verdict == owner.Wait {
+	if verdict == owner.Queue {
 		refusal := x.wait(ctx, id, ch)
 		if refusal != nil {
 			return refusal
@@ -308,14 +308,14 @@
 }
 
 // withdrawn ends an admitted attempt whose body the entry did not let go.
-func (x *Executor) withdrawn(id model.AttemptID, ch chan owner.Decision, verdict owner.Verdict) *model.Refusal {
-	if verdict == owner.Wait {
+func (x *Executor) withdrawn(id model.AttemptID, ch chan owner.Decision, verdict owner.DecisionKind) *model.Refusal {
+	if verdict == owner.Queue {
 		if refusal := x.cancel(id, ch); refusal != nil {
 			return refusal
 		}
 	}
 	x.unawait(id)
-	x.finish(id, owner.Finish{NotRun: true, Abandoned: true})
+	x.finish(id, owner.Completion{NotRun: true, Abandoned: true})
 	return &model.Refusal{Reason: model.ReasonCancelled, NotRun: true}
 }
 
@@ -342,12 +342,12 @@
 }
 
 func decided(d owner.Decision) *model.Refusal {
-	if d.Verdict == owner.Refuse {
+	if d.Kind == owner.Refuse {
 		return &d.Refusal
 	}
 	return nil
 }
 
-func (x *Executor) finish(id model.AttemptID, f owner.Finish) {
+func (x *Executor) finish(id model.AttemptID, f owner.Completion) {
 	x.Deliver(x.owner.Finish(time.Now(), id, f))
 }
--- a/internal/server/executor_test.go
+++ b/internal/server/executor_test.go
@@ -56,13 +56,13 @@
 	close(release)
 	for range 2 {
 		r := <-results
-		if r.Answer == nil {
+		if r.Response == nil {
 			t.Fatalf("refused: %+v", r.Refusal)
 		}
-		if _, err := io.ReadAll(r.Answer.Body); err != nil {
+		if _, err := io.ReadAll(r.Response.Body); err != nil {
 			t.Error(err)
 		}
-		r.Answer.Body.Close()
+		r.Response.Body.Close()
 	}
 	if n := o.Report(time.Now()).InFlight; n != 0 {
 		t.Errorf("%d attempts hold slots", n)
@@ -85,15 +85,15 @@
 	log := zerolog.Nop()
 	x := NewExecutor(ExecutorConfig{
 		Owner: o, Address: address, Dialect: dialect.Product{},
-		Worker: func() model.WorkerID { return "" }, Traffic: func(bool) {}, Requests: &log,
-		Mark: func() model.DirectoryMark { return model.DirectoryMark{} },
+		Worker: func() model.WorkerID { return "" }, ConnectionObserved: func(bool) {}, RequestLog: &log,
+		DirectoryFreshness: func() model.DirectoryFreshness { return model.DirectoryFreshness{} },
 	})
 	x.Configure(svc, "n0")
 	return o, x
 }
 
-func testWork(sequence uint64) *Work {
-	return &Work{
+func testWork(sequence uint64) *AttemptMessage {
+	return &AttemptMessage{
 		Attempt: model.Attempt{
 			ID:    model.AttemptID{Entry: "n0", Incarnation: 1, Sequence: sequence},
 			Owner: "n0", OwnerIncarnation: 1, Service: "ledger", Class: "payout", Worth: 1,
--- a/internal/server/executorlog.go
+++ b/internal/server/executorlog.go
@@ -7,7 +7,7 @@
 	"gypsumstand/internal/model"
 )
 
-func (x *Executor) refused(w *Work, r model.Refusal, offered time.Time) Result {
+func (x *Executor) refused(w *AttemptMessage, r model.Refusal, offered time.Time) Result {
 	now := time.Now()
 	result := Result{Refusal: r, Report: x.report(now)}
 	event.Log(x.requests, event.AttemptRefused).
@@ -16,7 +16,7 @@
 		Int("waited_ms", now.Sub(offered).Milliseconds()).Int("left_ms", w.Attempt.Remaining.Milliseconds()).
 		Int("retry_after_ms", r.RetryAfter.Milliseconds()).
 		Int("running", int64(result.Report.InFlight)).Int("queued", int64(result.Report.Queued)).
-		Int("limit", int64(result.Report.Limit)).Int("pace_percent", int64(result.Report.Pace)).Send()
+		Int("limit", int64(result.Report.Limit)).Int("pace_percent", int64(result.Report.SlowdownPercent)).Send()
 	return result
 }
 
@@ -28,10 +28,10 @@
 }
 
 // logEnd logs how an attempt ended at the worker; of an answer the head has come.
-func (x *Executor) logEnd(w *Work, r *Result) {
+func (x *Executor) logEnd(w *AttemptMessage, r *Result) {
 	status := 0
-	if r.Answer != nil {
-		status = r.Answer.Status
+	if r.Response != nil {
+		status = r.Response.Status
 	}
 	event.Log(x.requests, event.AttemptEnded).
 		Str("request", string(w.Attempt.Request)).Str("attempt", w.Attempt.ID.String()).
@@ -39,5 +39,5 @@
 		Int("status", int64(status)).Int("queued_ms", r.Times.Queued.Milliseconds()).
 		Int("worker_ms", r.Times.Worker.Milliseconds()).Str("worker", string(x.worker())).
 		Int("running", int64(r.Report.InFlight)).Int("queued", int64(r.Report.Queued)).
-		Int("limit", int64(r.Report.Limit)).Int("pace_percent", int64(r.Report.Pace)).Send()
+		Int("limit", int64(r.Report.Limit)).Int("pace_percent", int64(r.Report.SlowdownPercent)).Send()
 }
