--- a/internal/server/executorrun.go
+++ b/internal/server/executorrun.go
@@ -23,9 +23,9 @@
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	// A process that is stopped here wakes late: what it then writes would run after
 	// its caller was told that the call has ended.
-	proof := upstream.Proof{Expires: deadline}
+	proof := upstream.RequestTrace{SendDeadline: deadline}
 	req := proof.Attach(x.request(ctx, w))
-	upstream.Seal(req)
+	upstream.PreventReplay(req)
 	resp, err := x.transportFor(&w.Attempt).RoundTrip(req)
 	if err != nil {
 		defer cancel()
@@ -41,7 +41,7 @@
 		proof.CloseConn()
 		resp.Body.Close()
 		cancel()
-		x.finish(w.Attempt.ID, owner.Finish{ServiceTime: time.Since(started), Failed: true})
+		x.finish(w.Attempt.ID, owner.Completion{ServiceTime: time.Since(started), Failed: true})
 		return Result{Refusal: refusal}
 	}
 	if head.Life != "" && x.said != nil {
@@ -52,9 +52,9 @@
 		defer resp.Body.Close()
 		shed := head.Refusal == model.ReasonWorkerShed
 		whim := shed && head.Load.HasRoom()
-		x.finish(w.Attempt.ID, owner.Finish{
+		x.finish(w.Attempt.ID, owner.Completion{
 			ServiceTime: time.Since(started), NotRun: true, Delegate: true,
-			Shed: shed && !whim, Whim: whim, Abandoned: !shed, Status: resp.StatusCode,
+			Shed: shed && !whim, SpuriousRefusal: whim, Abandoned: !shed, Status: resp.StatusCode,
 		})
 		after := head.RetryAfter
 		if whim && after == 0 {
@@ -72,13 +72,13 @@
 		case whole:
 			x.completed(asked)
 		case f.Abandoned || f.Expired:
-			x.suspects.Left(time.Now(), asked.run(started))
+			x.suspects.RunAbandoned(time.Now(), asked.run(started))
 		default:
 			x.broke(asked.run(started))
 		}
 	}}
-	answer := &Answer{Status: resp.StatusCode, Header: endToEnd(resp.Header), ContentLength: resp.ContentLength, Body: body}
-	return Result{Answer: answer}
+	answer := &Response{Status: resp.StatusCode, Header: endToEnd(resp.Header), ContentLength: resp.ContentLength, Body: body}
+	return Result{Response: answer}
 }
 
 // delegated gives the reason of a refusal after which the owner, as the home of
@@ -90,8 +90,8 @@
 	return otherwise
 }
 
-func finishOf(status int, whole bool, took time.Duration) owner.Finish {
-	f := owner.Finish{ServiceTime: took, Failed: !whole || status >= http.StatusInternalServerError}
+func finishOf(status int, whole bool, took time.Duration) owner.Completion {
+	f := owner.Completion{ServiceTime: took, Failed: !whole || status >= http.StatusInternalServerError}
 	if whole {
 		f.Status = status
 	}
@@ -102,7 +102,7 @@
 func (x *Executor) failed(ctx context.Context, asked *content, started time.Time, notRun bool) Result {
 	w := asked.work
 	gaveUp := givenUp(ctx)
-	x.finish(w.Attempt.ID, owner.Finish{
+	x.finish(w.Attempt.ID, owner.Completion{
 		ServiceTime: time.Since(started),
 		NotRun:      notRun,
 		Delegate:    notRun && !gaveUp,
@@ -115,19 +115,19 @@
 	}
 	reason := model.ReasonWorkerBroken
 	if !notRun && ctx.Err() != nil {
-		x.suspects.Left(time.Now(), asked.run(started))
+		x.suspects.RunAbandoned(time.Now(), asked.run(started))
 	}
 	switch {
 	case gaveUp:
 		reason = model.ReasonCancelled
-	case notRun && asked.verdict.Ends > 0:
+	case notRun && asked.verdict.Crashes > 0:
 		return Result{Refusal: x.stillAway(asked)}
 	case notRun:
 		reason = delegated(&w.Attempt, model.ReasonWorkerUnreachable)
 	case ctx.Err() != nil:
 		reason = model.ReasonExpired
 	case x.broke(asked.run(started)):
-		reason = model.ReasonWorkerEnded
+		reason = model.ReasonWorkerCrashed
 	}
 	return Result{Refusal: model.Refusal{Reason: reason, NotRun: notRun}}
 }
@@ -147,7 +147,7 @@
 // checkHead refuses crossed answers, those whose wholeness cannot be known, and a
 // switch of protocols, which no request asked for (RFC 9110, section 15.2.2) and
 // whose body would end with the connection only.
-func (x *Executor) checkHead(w *Work, resp *http.Response, head dialect.WorkerHead) (model.Refusal, bool) {
+func (x *Executor) checkHead(w *AttemptMessage, resp *http.Response, head dialect.WorkerHead) (model.Refusal, bool) {
 	broken := model.Refusal{Reason: model.ReasonWorkerBroken}
 	if head.Echo == dialect.EchoWrong || head.Echo == dialect.EchoAbsent && x.echo.Load() {
 		return broken, false
@@ -155,7 +155,7 @@
 	if resp.StatusCode < http.StatusOK {
 		return broken, false
 	}
-	if !x.dialect.EndsWithConnection() && upstream.Whole(resp, w.Method) != nil {
+	if !x.dialect.EndsWithConnection() && upstream.CheckFraming(resp, w.Method) != nil {
 		return broken, false
 	}
 	return model.Refusal{}, true
@@ -167,7 +167,7 @@
 const whimRetry = 50 * time.Millisecond
 
 // request makes the message to the worker.
-func (x *Executor) request(ctx context.Context, w *Work) *http.Request {
+func (x *Executor) request(ctx context.Context, w *AttemptMessage) *http.Request {
 	u := *w.URL
 	u.Scheme, u.Host = "http", x.address
 	req := w.request(ctx, &u)
--- a/internal/server/forwarder.go
+++ b/internal/server/forwarder.go
@@ -24,9 +24,9 @@
 	// good while new ones work, or the other way round.
 	probes *http.Transport
 	scheme string
-	// Lost carries which owners are out of reach; nil means that nothing is told. It is
+	// Unreachable carries which owners are out of reach; nil means that nothing is told. It is
 	// set before the first use.
-	Lost *LostOwners
+	Unreachable *UnreachableOwners
 }
 
 // PeerHeaderBytes bounds the headers that nodes add to a message between them,
@@ -56,19 +56,19 @@
 // NewForwarder returns a forwarder; secured, when not nil, is the mutual TLS of
 // the peers, and a nil dial means TCP. idle bounds the idle connections to all
 // nodes together; zero means the default.
-func NewForwarder(dial upstream.Dial, secured *tls.Config, idle int) *Forwarder {
+func NewForwarder(dial upstream.DialFunc, secured *tls.Config, idle int) *Forwarder {
 	if idle == 0 {
 		idle = peerIdle
 	}
 	t := upstream.NewTransport(upstream.Options{
-		Dial: dial, Idle: peerIdlePerHost,
-		DialTimeout: peerDialTimeout, IdleTimeout: peerIdleTimeout, Silence: peerSilence,
+		Dial: dial, MaxIdleConns: peerIdlePerHost,
+		DialTimeout: peerDialTimeout, IdleTimeout: peerIdleTimeout, AckTimeout: peerSilence,
 	})
 	t.MaxIdleConns = idle
 	t.MaxResponseHeaderBytes = peerMaxHeaderBytes
 	t.ExpectContinueTimeout = peerContinueTimeout
 	t.TLSClientConfig = secured
-	probes := upstream.NewTransport(upstream.Options{Dial: dial, DialTimeout: peerDialTimeout, Silence: peerSilence})
+	probes := upstream.NewTransport(upstream.Options{Dial: dial, DialTimeout: peerDialTimeout, AckTimeout: peerSilence})
 	probes.DisableKeepAlives = true
 	probes.TLSClientConfig = secured
 	scheme := "http"
@@ -81,37 +81,37 @@
 // Close closes idle connections.
 func (f *Forwarder) Close() { f.transport.CloseIdleConnections() }
 
-// ErrBroken says that the way to the owner broke after bytes had left.
-var ErrBroken = errors.New("the way to the owner broke")
+// ErrConnectionBroken says that the way to the owner broke after bytes had left.
+var ErrConnectionBroken = errors.New("the way to the owner broke")
 
-// Do sends the attempt to the owner at address. An error means ErrBroken; no
+// Do sends the attempt to the owner at address. An error means ErrConnectionBroken; no
 // connection, and an attempt that was withdrawn, are refusals that prove "not run".
 // heard tells whether Report is the owner's.
-func (f *Forwarder) Do(ctx context.Context, address string, w *Work) (result Result, heard bool, err error) {
+func (f *Forwarder) Do(ctx context.Context, address string, w *AttemptMessage) (result Result, heard bool, err error) {
 	offer, err := wire.EncodeOffer(&w.Attempt)
 	if err != nil {
 		return Result{Refusal: model.Refusal{Reason: model.ReasonBadRequest, NotRun: true}}, false, nil
 	}
-	if w.ContentLength > replayBytes || w.TakenUpBy.IsZero() {
+	if w.ContentLength > replayBytes || w.AcknowledgeBy.IsZero() {
 		return f.do(f.streamed(ctx, address, w, offer), w, nil)
 	}
 	body := withhold(w.Body)
-	ctx, end := withheldContext(ctx, body, w.TakenUpBy)
+	ctx, end := withheldContext(ctx, body, w.AcknowledgeBy)
 	result, heard, err = f.do(f.withheld(ctx, address, w, offer, body), w, body)
-	if result.Answer == nil {
+	if result.Response == nil {
 		end()
 		return result, heard, err
 	}
 	// The answer's body is read under the attempt's context.
-	result.Answer.Body = closing{result.Answer.Body, end}
+	result.Response.Body = closing{result.Response.Body, end}
 	return result, heard, err
 }
 
 // do carries out an attempt whose body is withheld; nil means that it leaves at once.
-func (f *Forwarder) do(req *http.Request, w *Work, body *withheldBody) (result Result, heard bool, err error) {
-	var proof upstream.Proof
+func (f *Forwarder) do(req *http.Request, w *AttemptMessage, body *withheldBody) (result Result, heard bool, err error) {
+	var proof upstream.RequestTrace
 	req = proof.Attach(req)
-	upstream.Seal(req)
+	upstream.PreventReplay(req)
 	resp, err := f.transport.RoundTrip(req)
 	switch {
 	case err == nil:
@@ -119,9 +119,9 @@
 	case proof.NotRun():
 		return Result{Refusal: model.Refusal{Reason: unreached(err), NotRun: true}}, false, nil
 	case body != nil && body.bar():
-		return Result{Refusal: model.Refusal{Reason: model.ReasonNotTakenUp, NotRun: true}}, false, nil
+		return Result{Refusal: model.Refusal{Reason: model.ReasonNotAcknowledged, NotRun: true}}, false, nil
 	}
-	return Result{}, false, errors.Join(ErrBroken, err)
+	return Result{}, false, errors.Join(ErrConnectionBroken, err)
 }
 
 // ReachPath is where a node answers probes on its peer port.
@@ -183,7 +183,7 @@
 
 // streamed makes the message of an attempt whose body is not withheld. A long one goes on
 // from the caller to the worker as it comes, from the owner's start on.
-func (f *Forwarder) streamed(ctx context.Context, address string, w *Work, offer string) *http.Request {
+func (f *Forwarder) streamed(ctx context.Context, address string, w *AttemptMessage, offer string) *http.Request {
 	req := f.request(ctx, address, streamedPath, w, offer)
 	if w.ContentLength > replayBytes {
 		req.Header.Set("Expect", "100-continue")
@@ -193,7 +193,7 @@
 
 // withheld makes the message of an attempt whose body leaves when the owner asks for it.
 // One without a body ends with an empty chunk, which is withheld in its place.
-func (f *Forwarder) withheld(ctx context.Context, address string, w *Work, offer string, body *withheldBody) *http.Request {
+func (f *Forwarder) withheld(ctx context.Context, address string, w *AttemptMessage, offer string, body *withheldBody) *http.Request {
 	req := f.request(ctx, address, withheldPath, w, offer)
 	req.Body = body
 	if req.ContentLength <= 0 {
@@ -203,25 +203,25 @@
 	return body.attach(req)
 }
 
-func (f *Forwarder) request(ctx context.Context, address, prefix string, w *Work, offer string) *http.Request {
+func (f *Forwarder) request(ctx context.Context, address, prefix string, w *AttemptMessage, offer string) *http.Request {
 	u := &url.URL{Scheme: f.scheme, Host: address, Path: prefix + w.URL.Path, RawQuery: w.URL.RawQuery}
 	if w.URL.RawPath != "" {
 		u.RawPath = prefix + w.URL.RawPath
 	}
 	req := w.request(ctx, u)
 	req.Header.Set(wire.HeaderOffer, offer)
-	f.Lost.write(req.Header)
+	f.Unreachable.write(req.Header)
 	return req
 }
 
 // read takes the owner's word from the answer's head.
-func (f *Forwarder) read(w *Work, resp *http.Response, proof *upstream.Proof) (Result, bool, error) {
-	if resp.Header.Get(wire.HeaderAttempt) != w.Attempt.ID.String() || upstream.Whole(resp, w.Method) != nil {
+func (f *Forwarder) read(w *AttemptMessage, resp *http.Response, proof *upstream.RequestTrace) (Result, bool, error) {
+	if resp.Header.Get(wire.HeaderAttempt) != w.Attempt.ID.String() || upstream.CheckFraming(resp, w.Method) != nil {
 		proof.CloseConn()
 		resp.Body.Close()
-		return Result{}, false, ErrBroken
+		return Result{}, false, ErrConnectionBroken
 	}
-	f.Lost.read(resp.Header)
+	f.Unreachable.read(resp.Header)
 	var result Result
 	report, err := wire.DecodeReport(resp.Header.Get(wire.HeaderReport))
 	heard := err == nil
@@ -229,7 +229,7 @@
 	refusal, refused, err := wire.ReadRefusal(resp.Header)
 	if err != nil {
 		resp.Body.Close()
-		return result, heard, errors.Join(ErrBroken, err)
+		return result, heard, errors.Join(ErrConnectionBroken, err)
 	}
 	if refused {
 		resp.Body.Close()
@@ -237,6 +237,6 @@
 		return result, heard, nil
 	}
 	result.Times = wire.ReadTimes(resp.Header)
-	result.Answer = &Answer{Status: resp.StatusCode, Header: endToEnd(resp.Header), ContentLength: resp.ContentLength, Body: resp.Body}
+	result.Response = &Response{Status: resp.StatusCode, Header: endToEnd(resp.Header), ContentLength: resp.ContentLength, Body: resp.Body}
 	return result, heard, nil
 }
--- a/internal/server/hedge.go
+++ b/internal/server/hedge.go
@@ -55,12 +55,12 @@
 		done <- a
 	}()
 	a := c.raceHedge(ctx, step, done, giveUp)
-	if a.result.Answer == nil {
+	if a.result.Response == nil {
 		giveUp()
 		return a.result, a.heard, a.err
 	}
 	// The answer's body is read under the attempt's context.
-	a.result.Answer.Body = closing{a.result.Answer.Body, giveUp}
+	a.result.Response.Body = closing{a.result.Response.Body, giveUp}
 	return a.result, a.heard, a.err
 }
 
@@ -70,7 +70,7 @@
 }
 
 func (c *carrier) raceHedge(ctx context.Context, step entry.Step, done <-chan attempted, giveUp context.CancelFunc) attempted {
-	lost, end := c.caller.LostSignal.wait(step.To.ID)
+	lost, end := c.caller.UnreachableSignal.wait(step.To.ID)
 	defer end()
 	var late <-chan time.Time
 	if !step.HedgeAt.IsZero() {
@@ -84,7 +84,7 @@
 		return a
 	case <-late:
 	case <-lost:
-		begin = c.call.HedgeLost
+		begin = c.call.HedgeUnreachable
 	}
 	if !c.startHedge(ctx, begin) {
 		return <-done
@@ -142,7 +142,7 @@
 		c.drop()
 		return h.carrier, other
 	}
-	return c, entry.EndOfBoth(step, other)
+	return c, entry.CombineOutcomes(step, other)
 }
 
 // releaseUnlessHeld ends the hedge's context, but not under an answer that is
--- a/internal/server/judge.go
+++ b/internal/server/judge.go
@@ -12,19 +12,19 @@
 )
 
 // sending says what the attempt tells of its sending.
-func (c *content) sending() quarantine.Sending {
-	return quarantine.Sending{Ends: int(c.work.Attempt.Ends), Lent: c.work.Attempt.Lent}
+func (c *content) sending() quarantine.Submission {
+	return quarantine.Submission{Crashes: int(c.work.Attempt.Crashes), Granted: c.work.Attempt.Granted}
 }
 
 // judge asks the quarantine about the request.
-func (x *Executor) judge(now time.Time, c *content) quarantine.Verdict {
-	c.verdict = x.suspects.Judge(now, c.fingerprint(), c.sending(), c.label())
+func (x *Executor) judge(now time.Time, c *content) quarantine.Decision {
+	c.verdict = x.suspects.Evaluate(now, c.fingerprint(), c.sending(), c.label())
 	switch v := &c.verdict; {
-	case v.PutAside:
+	case v.Quarantined:
 		notePutAside(x.requests, c.work.Attempt.Request, c.known, v.RetryAfter)
-	case v.Held:
-		event.Log(x.requests, event.HeldBack).Str("request", string(c.work.Attempt.Request)).
-			Str("fingerprint", c.known.String()).Int("ends", int64(v.Ends)).Str("home", string(v.Home)).Bool("lent", v.Lent).
+	case v.Deferred:
+		event.Log(x.requests, event.RequestDeferred).Str("request", string(c.work.Attempt.Request)).
+			Str("fingerprint", c.known.String()).Int("ends", int64(v.Crashes)).Str("home", string(v.OnlyOwner)).Bool("lent", v.Granted).
 			Int("retry_after_ms", v.RetryAfter.Milliseconds()).Send()
 	}
 	return c.verdict
@@ -32,31 +32,31 @@
 
 // notePutAside logs that a sending of a request that is put aside is refused.
 func notePutAside(log *zerolog.Logger, id model.RequestID, content model.Fingerprint, retryAfter time.Duration) {
-	event.Log(log, event.PutAsideRefused).Str("request", string(id)).Str("fingerprint", content.String()).
+	event.Log(log, event.QuarantinedRefused).Str("request", string(id)).Str("fingerprint", content.String()).
 		Int("retry_after_ms", retryAfter.Milliseconds()).Send()
 }
 
 // caution tells the owner how to treat an attempt that is offered. A request of which not
 // all is here yet is judged by lateRefusal only.
-func (x *Executor) caution(now time.Time, c *content) owner.Caution {
-	caution := owner.Caution{Ends: int(c.work.Attempt.Ends)}
+func (x *Executor) caution(now time.Time, c *content) owner.Restrictions {
+	caution := owner.Restrictions{Crashes: int(c.work.Attempt.Crashes)}
 	if !x.suspect(c) || !c.here() {
 		return caution
 	}
 	v := x.judge(now, c)
-	caution.Alone = v.RunsAlone()
-	caution.Refusal, caution.Home, caution.RetryAfter = v.Refusal(), v.Home, v.RetryAfter
+	caution.Exclusive = v.Exclusive()
+	caution.Refusal, caution.OnlyOwner, caution.RetryAfter = v.Refusal(), v.OnlyOwner, v.RetryAfter
 	return caution
 }
 
 // suspect tells whether a request may be one under which workers end.
-func (x *Executor) suspect(c *content) bool { return !x.suspects.Empty() || c.work.Attempt.Ends > 0 }
+func (x *Executor) suspect(c *content) bool { return !x.suspects.Empty() || c.work.Attempt.Crashes > 0 }
 
 // stillAway refuses an attempt of a suspect request whose worker could not be reached: it is
 // left to another owner, or waits for the worker.
 func (x *Executor) stillAway(c *content) model.Refusal {
-	v := x.suspects.Elsewhere(time.Now(), c.fingerprint(), c.sending(), c.label())
-	v.Held = true
+	v := x.suspects.EvaluateReroute(time.Now(), c.fingerprint(), c.sending(), c.label())
+	v.Deferred = true
 	refusal := v.Refusal()
 	refusal.Reason = delegated(&c.work.Attempt, refusal.Reason)
 	return refusal
@@ -73,18 +73,18 @@
 	}
 	id := c.work.Attempt.ID
 	if c.readAhead() != nil {
-		x.finish(id, owner.Finish{NotRun: true, Abandoned: true})
+		x.finish(id, owner.Completion{NotRun: true, Abandoned: true})
 		return &model.Refusal{Reason: model.ReasonCancelled, NotRun: true}
 	}
 	v := x.judge(time.Now(), c)
 	refusal := v.Refusal()
 	if refusal.Reason == model.ReasonNone {
-		if !v.RunsAlone() || x.owner.RunAlone(id) {
+		if !v.Exclusive() || x.owner.MarkExclusive(id) {
 			return nil
 		}
-		refusal = model.Refusal{Reason: model.ReasonHeldBack, NotRun: true, RetryAfter: aloneRetry}
+		refusal = model.Refusal{Reason: model.ReasonDeferred, NotRun: true, RetryAfter: aloneRetry}
 	}
-	x.finish(id, owner.Finish{NotRun: true, Abandoned: true})
+	x.finish(id, owner.Completion{NotRun: true, Abandoned: true})
 	return &refusal
 }
 
@@ -94,8 +94,8 @@
 
 // completed takes a whole answer: the request ends no workers.
 func (x *Executor) completed(c *content) {
-	if x.suspects.Empty() && len(c.work.Held) > wholeBytes {
+	if x.suspects.Empty() && len(c.work.BufferedBody) > wholeBytes {
 		return
 	}
-	x.suspects.Completed(time.Now(), c.fingerprint())
+	x.suspects.RunCompleted(time.Now(), c.fingerprint())
 }
--- a/internal/server/lostowners_test.go
+++ b/internal/server/lostowners_test.go
@@ -13,27 +13,27 @@
 
 func TestWhatOneNodeHasLostItsPeersHear(t *testing.T) {
 	var heard [][]model.InstanceID
-	tells := func(ids ...model.InstanceID) *LostOwners {
-		return &LostOwners{
-			Tell:  func() []model.InstanceID { return ids },
-			Heard: func(ids []model.InstanceID) { heard = append(heard, ids) },
+	tells := func(ids ...model.InstanceID) *UnreachableOwners {
+		return &UnreachableOwners{
+			List:     func() []model.InstanceID { return ids },
+			Reported: func(ids []model.InstanceID) { heard = append(heard, ids) },
 		}
 	}
-	var silent *LostOwners
-	for _, l := range []*LostOwners{silent, tells(), tells("w1", "w2")} {
+	var silent *UnreachableOwners
+	for _, l := range []*UnreachableOwners{silent, tells(), tells("w1", "w2")} {
 		h := http.Header{}
 		l.write(h)
 		tells().read(h)
 		silent.read(h)
 	}
-	tells().read(http.Header{wire.HeaderLost: {"not base64 %"}})
+	tells().read(http.Header{wire.HeaderUnreachable: {"not base64 %"}})
 	if diff := cmp.Diff([][]model.InstanceID{{"w1", "w2"}}, heard); diff != "" {
 		t.Error(diff)
 	}
 }
 
 func TestAnswersBetweenNodesCarryNoDate(t *testing.T) {
-	s := httptest.NewServer(&Peer{})
+	s := httptest.NewServer(&PeerHandler{})
 	defer s.Close()
 	resp, err := http.Get(s.URL)
 	if err != nil {
--- a/internal/server/lostsignal.go
+++ b/internal/server/lostsignal.go
@@ -6,11 +6,11 @@
 	"gypsumstand/internal/model"
 )
 
-// LostSignal tells attempts that their owner was found out of reach, so that those
+// UnreachableSignal tells attempts that their owner was found out of reach, so that those
 // whose requests may be repeated are also made elsewhere. The attempt itself goes on:
 // an owner that answers no probe may be a slow machine whose worker is at work. The
 // zero value is ready; it is safe for concurrent use.
-type LostSignal struct {
+type UnreachableSignal struct {
 	mu sync.Mutex
 	// waiting has an entry for each owner with attempts.
 	waiting map[model.InstanceID]*lostWait
@@ -24,7 +24,7 @@
 }
 
 // wait returns a channel that is closed when the owner is lost, and what ends the wait.
-func (s *LostSignal) wait(owner model.InstanceID) (lost <-chan struct{}, end func()) {
+func (s *UnreachableSignal) wait(owner model.InstanceID) (lost <-chan struct{}, end func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w := s.waiting[owner]
@@ -39,7 +39,7 @@
 	return w.lost, func() { s.end(owner, w) }
 }
 
-func (s *LostSignal) end(owner model.InstanceID, w *lostWait) {
+func (s *UnreachableSignal) end(owner model.InstanceID, w *lostWait) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w.attempts--
@@ -48,8 +48,8 @@
 	}
 }
 
-// Lost tells the attempts at an owner. It does not block.
-func (s *LostSignal) Lost(owner model.InstanceID) {
+// Unreachable tells the attempts at an owner. It does not block.
+func (s *UnreachableSignal) Raise(owner model.InstanceID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if w := s.waiting[owner]; w != nil {
--- a/internal/server/lostsignal_test.go
+++ b/internal/server/lostsignal_test.go
@@ -3,13 +3,13 @@
 import "testing"
 
 func TestAttemptsAtALostOwnerHearOfItAndNoOthers(t *testing.T) {
-	var s LostSignal
+	var s UnreachableSignal
 	first, endFirst := s.wait("lost")
 	second, endSecond := s.wait("lost")
 	other, endOther := s.wait("other")
 	endSecond()
-	s.Lost("lost")
-	s.Lost("unknown")
+	s.Raise("lost")
+	s.Raise("unknown")
 	later, endLater := s.wait("lost")
 	for name, tt := range map[string]struct {
 		lost <-chan struct{}
--- a/internal/server/peer.go
+++ b/internal/server/peer.go
@@ -25,19 +25,19 @@
 // AttemptPaths are the prefixes of the paths that Peer serves.
 var AttemptPaths = []string{withheldPath + "/", streamedPath + "/"}
 
-// Peer serves attempts of other entry nodes.
-type Peer struct {
+// PeerHandler serves attempts of other entry nodes.
+type PeerHandler struct {
 	Executor *Executor
-	// Seen is told the bundle version of each attempt; it does not block.
-	Seen func(from model.InstanceID, v model.BundleVersion)
-	// Heard is told the directory's revision on each attempt; it does not block.
-	Heard func(from model.InstanceID, revision uint64)
-	// Lost carries which owners are out of reach; nil means that nothing is told.
-	Lost *LostOwners
+	// BundleReported is told the bundle version of each attempt; it does not block.
+	BundleReported func(from model.InstanceID, v model.BundleVersion)
+	// FreshnessReported is told the directory's revision on each attempt; it does not block.
+	RevisionReported func(from model.InstanceID, revision uint64)
+	// Unreachable carries which owners are out of reach; nil means that nothing is told.
+	Unreachable *UnreachableOwners
 }
 
 // ServeHTTP implements http.Handler.
-func (p *Peer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *PeerHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer p.Executor.hold()()
 	// Nodes have no use for each other's date; a worker's own is passed on.
 	w.Header()["Date"] = nil
@@ -55,7 +55,7 @@
 
 // serve carries out the attempt that a message to a path under prefix offers; false means
 // that it was refused, perhaps before its body was read.
-func (p *Peer) serve(w http.ResponseWriter, r *http.Request, prefix string) bool {
+func (p *PeerHandler) serve(w http.ResponseWriter, r *http.Request, prefix string) bool {
 	attempt, err := wire.DecodeOffer(r.Header.Get(wire.HeaderOffer))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -67,10 +67,10 @@
 	}
 	deadline := time.Now().Add(min(attempt.Remaining, maxPeerTime))
 	limitReading(w, r, deadline)
-	p.Seen(attempt.ID.Entry, attempt.Bundle)
-	p.Heard(attempt.ID.Entry, attempt.DirectoryRevision)
-	p.Lost.read(r.Header)
-	work := &Work{
+	p.BundleReported(attempt.ID.Entry, attempt.Bundle)
+	p.RevisionReported(attempt.ID.Entry, attempt.DirectoryRevision)
+	p.Unreachable.read(r.Header)
+	work := &AttemptMessage{
 		Attempt:       attempt,
 		Method:        r.Method,
 		URL:           ownPath(r.URL, prefix),
@@ -80,24 +80,24 @@
 		ContentLength: r.ContentLength,
 	}
 	if prefix == withheldPath {
-		work.Claim = func() error { return claim(w, r, work) }
+		work.FetchBody = func() error { return claim(w, r, work) }
 	} else if err := work.hold(r); err != nil {
 		writeRefusal(w, model.Refusal{Reason: model.ReasonCancelled, NotRun: true})
 		return false
 	}
 	result := p.Executor.Do(r.Context(), work)
-	p.Lost.write(w.Header())
+	p.Unreachable.write(w.Header())
 	w.Header().Set(wire.HeaderAttempt, attempt.ID.String())
 	if report, err := wire.EncodeReport(&result.Report); err == nil {
 		w.Header().Set(wire.HeaderReport, report)
 	}
-	if result.Answer == nil {
+	if result.Response == nil {
 		writeRefusal(w, result.Refusal)
 		return false
 	}
 	wire.SetTimes(w.Header(), result.Times)
 	limitWriting(w, deadline)
-	sendAnswer(w, result.Answer)
+	sendAnswer(w, result.Response)
 	return true
 }
 
@@ -137,7 +137,7 @@
 
 // sendAnswer streams a to w. A cut answer ends the connection, so that it is
 // never taken for whole.
-func sendAnswer(w http.ResponseWriter, a *Answer) {
+func sendAnswer(w http.ResponseWriter, a *Response) {
 	defer a.Body.Close()
 	copyInto(w.Header(), a.Header)
 	setLength(w.Header(), a.Status, a.ContentLength)
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -35,8 +35,8 @@
 	time.AfterFunc(time.Until(at), b.end)
 }
 
-// InHand returns the number of callers' requests that have been read and not answered.
-func (b *StopBound) InHand() int64 { return b.inHand.Load() }
+// InFlight returns the number of callers' requests that have been read and not answered.
+func (b *StopBound) InFlight() int64 { return b.inHand.Load() }
 
 // hold counts a call until its end.
 func (b *StopBound) hold() (end func()) {
--- a/internal/server/transports.go
+++ b/internal/server/transports.go
@@ -56,8 +56,8 @@
 // the old ones.
 func (x *Executor) renewTransports(l limits) {
 	o := upstream.Options{
-		Idle: l.slots, Connections: l.connections,
-		DialTimeout: workerDialTimeout, IdleTimeout: workerIdle, Silence: workerSilence,
+		MaxIdleConns: l.slots, MaxConns: l.connections,
+		DialTimeout: workerDialTimeout, IdleTimeout: workerIdle, AckTimeout: workerSilence,
 	}
 	before := []*http.Transport{x.transport.Swap(upstream.NewTransport(o)), nil}
 	o.IdleTimeout = cautiousIdle
--- a/internal/server/unrouted_test.go
+++ b/internal/server/unrouted_test.go
@@ -38,7 +38,7 @@
 			board.Bundles.Put(bundle.NewSet(nil))
 			board.Readiness.Put(&blackboard.Readiness{Ready: tt.ready})
 			log := zerolog.Nop()
-			c := &Caller{Board: board, Requests: &log, Dialect: dialect.Product{}, Leaving: func() bool { return false }}
+			c := &CallerHandler{Board: board, RequestLog: &log, Dialect: dialect.Product{}, Leaving: func() bool { return false }}
 			r := httptest.NewRequest(http.MethodPost, "/payouts", http.NoBody)
 			if tt.key != "" {
 				r.Header.Set(wire.HeaderIdempotencyKey, tt.key)
@@ -60,7 +60,7 @@
 	board.Bundles.Put(bundle.NewSet(nil))
 	board.Readiness.Put(&blackboard.Readiness{Ready: true})
 	log := zerolog.Nop()
-	s := httptest.NewServer(&Caller{Board: board, Requests: &log, Dialect: dialect.Product{}, Leaving: func() bool { return false }})
+	s := httptest.NewServer(&CallerHandler{Board: board, RequestLog: &log, Dialect: dialect.Product{}, Leaving: func() bool { return false }})
 	defer s.Close()
 	conn, err := net.Dial("tcp", s.Listener.Addr().String())
 	if err != nil {
--- a/internal/server/withheld.go
+++ b/internal/server/withheld.go
@@ -90,14 +90,14 @@
 
 // claim asks the entry for a body that it withholds, and reads it whole, so that the worker
 // gets nothing of an attempt that the entry may still withdraw.
-func claim(w http.ResponseWriter, r *http.Request, work *Work) error {
+func claim(w http.ResponseWriter, r *http.Request, work *AttemptMessage) error {
 	limitReading(w, r, time.Now().Add(claimTimeout))
 	w.WriteHeader(http.StatusContinue)
 	body, err := takeBody(r, replayBytes)
 	if err != nil {
 		return err
 	}
-	work.Body, work.ContentLength, work.Held = body.open(), body.length, body.held
+	work.Body, work.ContentLength, work.BufferedBody = body.open(), body.length, body.held
 	return nil
 }
 
--- a/internal/server/withheld_test.go
+++ b/internal/server/withheld_test.go
@@ -22,14 +22,14 @@
 )
 
 // withheldWork is an attempt at another node that is withdrawn after patience.
-func withheldWork(sequence uint64, method, body string, patience time.Duration) *Work {
-	w := &Work{
+func withheldWork(sequence uint64, method, body string, patience time.Duration) *AttemptMessage {
+	w := &AttemptMessage{
 		Attempt: model.Attempt{
 			ID:      model.AttemptID{Entry: "e", Incarnation: 1, Sequence: sequence},
 			Request: "r", Service: "ledger", Owner: "n0", OwnerIncarnation: 1, Class: "payout",
 			Idempotent: true, Remaining: 10 * time.Second,
 		},
-		Method: method, URL: &url.URL{Path: "/x"}, Header: http.Header{}, TakenUpBy: time.Now().Add(patience),
+		Method: method, URL: &url.URL{Path: "/x"}, Header: http.Header{}, AcknowledgeBy: time.Now().Add(patience),
 	}
 	if body != "" {
 		w.Body, w.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
@@ -73,7 +73,7 @@
 		address, rest := rawOwner(t, func(net.Conn, *bufio.Reader) {})
 		f := NewForwarder(nil, nil, 0)
 		r, heard, err := f.Do(t.Context(), address, withheldWork(1, http.MethodPost, body, 20*time.Millisecond))
-		if err != nil || heard || r.Refusal != (model.Refusal{Reason: model.ReasonNotTakenUp, NotRun: true}) {
+		if err != nil || heard || r.Refusal != (model.Refusal{Reason: model.ReasonNotAcknowledged, NotRun: true}) {
 			t.Errorf("body %q: %+v, heard %v, %v", body, r.Refusal, heard, err)
 		}
 		if got := <-rest; got != "" {
@@ -89,7 +89,7 @@
 		c.Close()
 	})
 	_, _, err := NewForwarder(nil, nil, 0).Do(t.Context(), address, withheldWork(1, http.MethodPost, "amount=7", time.Minute))
-	if !errors.Is(err, ErrBroken) {
+	if !errors.Is(err, ErrConnectionBroken) {
 		t.Errorf("got %v, want a broken way", err)
 	}
 }
@@ -125,10 +125,10 @@
 	behind := httptest.NewServer(worker)
 	t.Cleanup(behind.Close)
 	_, x := oneSlot(strings.TrimPrefix(behind.URL, "http://"))
-	s := httptest.NewServer(&Peer{
-		Executor: x,
-		Seen:     func(model.InstanceID, model.BundleVersion) {},
-		Heard:    func(model.InstanceID, uint64) {},
+	s := httptest.NewServer(&PeerHandler{
+		Executor:         x,
+		BundleReported:   func(model.InstanceID, model.BundleVersion) {},
+		RevisionReported: func(model.InstanceID, uint64) {},
 	})
 	t.Cleanup(s.Close)
 	return s
@@ -153,10 +153,10 @@
 	c.Close()
 	f := NewForwarder(nil, nil, 0)
 	r, _, err := f.Do(t.Context(), s.Listener.Addr().String(), withheldWork(2, http.MethodPost, "", time.Minute))
-	if err != nil || r.Answer == nil {
+	if err != nil || r.Response == nil {
 		t.Fatalf("the next attempt: %+v, %v", r.Refusal, err)
 	}
-	r.Answer.Body.Close()
+	r.Response.Body.Close()
 	if n := runs.Load(); n != 1 {
 		t.Errorf("%d runs of two attempts of which one was withdrawn", n)
 	}
@@ -192,11 +192,11 @@
 				switch {
 				case err != nil:
 					t.Error(err)
-				case r.Answer == nil:
+				case r.Response == nil:
 					refused.Add(1)
 				default:
 					answered.Add(1)
-					r.Answer.Body.Close()
+					r.Response.Body.Close()
 				}
 			}
 		})
@@ -229,7 +229,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := &Peer{Seen: func(model.InstanceID, model.BundleVersion) {}, Heard: func(model.InstanceID, uint64) {}}
+			p := &PeerHandler{BundleReported: func(model.InstanceID, model.BundleVersion) {}, RevisionReported: func(model.InstanceID, uint64) {}}
 			var paths sync.Map
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				paths.Store(r.URL.Path, true)
--- a/internal/server/withheldend_test.go
+++ b/internal/server/withheldend_test.go
@@ -38,7 +38,7 @@
 	end()
 	select {
 	case r := <-ended:
-		if r.Answer != nil || !r.Refusal.NotRun {
+		if r.Response != nil || !r.Refusal.NotRun {
 			t.Errorf("got %+v, want what proves that it has not run", r)
 		}
 	case <-time.After(endLimit):
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -89,8 +89,8 @@
 }
 
 // Regions returns the region of each data centre.
-func (s *Settings) Regions() model.Places {
-	places := make(model.Places, len(s.Places))
+func (s *Settings) Regions() model.DataCentreRegions {
+	places := make(model.DataCentreRegions, len(s.Places))
 	for _, p := range s.Places {
 		places[p.DataCentre] = p.Region
 	}
--- a/internal/simulation/calls/call.go
+++ b/internal/simulation/calls/call.go
@@ -97,7 +97,7 @@
 	f.after(s.Until.Sub(f.now), func() {
 		if l.awaits(s.Attempt.ID) {
 			l.sent = false
-			l.call.Broken(f.now, false)
+			l.call.Interrupted(f.now, false)
 			l.next()
 		}
 	})
@@ -123,7 +123,7 @@
 // offer gives an attempt to its owner and runs it when the owner starts it.
 func (f *fleet) offer(l *leg, a *model.Attempt) {
 	o := f.ownerOf(a.Owner)
-	decided := func(v owner.Verdict, r model.Refusal) {
+	decided := func(v owner.DecisionKind, r model.Refusal) {
 		if v == owner.Refuse {
 			l.count(&f.stats.refusals)
 			f.report(l, o, a.ID, func() { l.call.Refused(f.now, r) })
@@ -133,7 +133,7 @@
 		f.work(l, o, a.ID)
 	}
 	v, r := o.owner.Offer(f.now, a, false)
-	if v == owner.Wait {
+	if v == owner.Queue {
 		o.waiting[a.ID] = decided
 		return
 	}
@@ -147,7 +147,7 @@
 	}
 	f.after(took, func() {
 		f.awake(o, func() {
-			o.deliver(o.owner.Finish(f.now, id, owner.Finish{ServiceTime: took, Status: 200}))
+			o.deliver(o.owner.Finish(f.now, id, owner.Completion{ServiceTime: took, Status: 200}))
 			f.report(l, o, id, func() { l.call.Answered(f.now, false) })
 		})
 	})
@@ -193,7 +193,7 @@
 			if !l.ended {
 				return
 			}
-			s = entry.EndOfBoth(s, l.step)
+			s = entry.CombineOutcomes(s, l.step)
 		}
 	}
 	x.over = true
@@ -214,7 +214,7 @@
 		return
 	}
 	f := x.fleet
-	l.call.CallerGone(f.now)
+	l.call.CallerCancelled(f.now)
 	if !l.sent {
 		return
 	}
--- a/internal/simulation/calls/calls_test.go
+++ b/internal/simulation/calls/calls_test.go
@@ -22,7 +22,7 @@
 	f.run(2)
 	s := &f.stats
 	s.log(t, "200% of capacity")
-	saved := fleetEntries * float64(entry.MaxSaved/entry.Attempt+fleetRun/time.Second) / float64(s.calls)
+	saved := fleetEntries * float64(entry.MaxBudget/entry.AttemptCost+fleetRun/time.Second) / float64(s.calls)
 	if bound := 1 + retryRatio + saved; s.sendsPerCall() > bound {
 		t.Errorf("%.3f sends per call, want at most %.3f", s.sendsPerCall(), bound)
 	}
--- a/internal/simulation/calls/fleet.go
+++ b/internal/simulation/calls/fleet.go
@@ -78,7 +78,7 @@
 type fleetOwner struct {
 	owner *owner.Owner
 	// waiting holds what is done once a queued attempt starts or is refused.
-	waiting map[model.AttemptID]func(owner.Verdict, model.Refusal)
+	waiting map[model.AttemptID]func(owner.DecisionKind, model.Refusal)
 }
 
 func (f *fleet) after(d time.Duration, do func()) {
@@ -116,7 +116,7 @@
 }
 
 func (f *fleet) addOwner(in model.Instance) {
-	o := &fleetOwner{owner: owner.New(owner.Config{Self: in, Started: epoch}), waiting: map[model.AttemptID]func(owner.Verdict, model.Refusal){}}
+	o := &fleetOwner{owner: owner.New(owner.Config{Self: in, Started: epoch}), waiting: map[model.AttemptID]func(owner.DecisionKind, model.Refusal){}}
 	o.owner.Configure(f.now, f.bundle, &f.bundle.Services[0], fleetOwners)
 	o.owner.SetState(f.now, model.StateLive)
 	f.owners = append(f.owners, o)
@@ -141,7 +141,7 @@
 		do := o.waiting[d.Attempt]
 		delete(o.waiting, d.Attempt)
 		if do != nil {
-			do(d.Verdict, d.Refusal)
+			do(d.Kind, d.Refusal)
 		}
 	}
 }
--- a/internal/simulation/calls/write.go
+++ b/internal/simulation/calls/write.go
@@ -46,7 +46,7 @@
 		name   string
 		tuning entry.Tuning
 	}{
-		{"never elsewhere", entry.Tuning{Shed: entry.MaxSaved + 1, Place: entry.MaxSaved + 1}},
+		{"never elsewhere", entry.Tuning{ShedCost: entry.MaxBudget + 1, PlaceCost: entry.MaxBudget + 1}},
 		{"elsewhere without a budget", entry.Tuning{}},
 		{"elsewhere within the budget", entry.DefaultTuning()},
 	}
--- a/internal/simulation/contender.go
+++ b/internal/simulation/contender.go
@@ -44,9 +44,9 @@
 		{"product", nil},
 		{"no-dead-zone", func(t *route.Tuning) { t.DeadZone = 0 }},
 		{"noise-1", func(t *route.Tuning) { t.Noise = 1 }},
-		{"no-ageing", func(t *route.Tuning) { t.LoadMemory = time.Hour }},
-		{"memory-5ms", func(t *route.Tuning) { t.LoadMemory = 5 * time.Millisecond }},
-		{"memory-100ms", func(t *route.Tuning) { t.LoadMemory = 100 * time.Millisecond }},
+		{"no-ageing", func(t *route.Tuning) { t.LoadDecay = time.Hour }},
+		{"memory-5ms", func(t *route.Tuning) { t.LoadDecay = 5 * time.Millisecond }},
+		{"memory-100ms", func(t *route.Tuning) { t.LoadDecay = 100 * time.Millisecond }},
 		{"no-own-sends", func(t *route.Tuning) { t.OwnSends = false }},
 		{"d=1+1", func(t *route.Tuning) { t.Local, t.Remote = 1, 1 }},
 		{"d=1+2", func(t *route.Tuning) { t.Local, t.Remote = 1, 2 }},
@@ -56,7 +56,7 @@
 		{"no-failure", func(t *route.Tuning) { t.Failure = false }},
 		{"no-noise", func(t *route.Tuning) { t.Noise = 0 }},
 		{"no-path", func(t *route.Tuning) { t.Path = false }},
-		{"no-silence", func(t *route.Tuning) { t.Silence = false }},
+		{"no-silence", func(t *route.Tuning) { t.Overdue = false }},
 	}
 	var out []Contender
 	for _, p := range parts {
--- a/internal/simulation/upstream.go
+++ b/internal/simulation/upstream.go
@@ -128,5 +128,5 @@
 	u.service += gain * (float64(d) - u.service)
 	u.inFlight--
 	u.start()
-	a.end(route.Result{Failed: failed, Held: u.sim.now - a.arrived}, u.report())
+	a.end(route.Result{Failed: failed, OwnerTime: u.sim.now - a.arrived}, u.report())
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -369,7 +369,7 @@
 	return &client{
 		fleet: f, machine: f.machines[i%len(f.machines)], name: fmt.Sprintf("c%d", i),
 		rng:  rand.New(rand.NewPCG(seed, uint64(i)+1)),
-		http: &http.Client{Transport: upstream.NewTransport(upstream.Options{Idle: 1, DialTimeout: time.Second, IdleTimeout: 4 * time.Second})},
+		http: &http.Client{Transport: upstream.NewTransport(upstream.Options{MaxIdleConns: 1, DialTimeout: time.Second, IdleTimeout: 4 * time.Second})},
 	}
 }
 
@@ -421,7 +421,7 @@
 	req.Host = "shop.example"
 	req.Header.Set(names.RequestID, r.id)
 	req.Header.Set(names.Deadline, fmt.Sprint(2*routeTimeout.Milliseconds()))
-	upstream.Seal(req)
+	upstream.PreventReplay(req)
 	c.fleet.ledger.send(r)
 	resp, err := c.http.Do(req)
 	if err != nil {
--- a/internal/spread/accept.go
+++ b/internal/spread/accept.go
@@ -79,7 +79,7 @@
 	id := got.bundle.VersionID()
 	it := &item{bundle: got.bundle, content: got.content, packed: o.packed, since: c.now}
 	if !c.held.put(it) {
-		c.record(event.BundleNotKept, id.String(), "", nil)
+		c.record(event.BundleNotForwarded, id.String(), "", nil)
 	}
 	c.confirm.holds(c.held.digest)
 	c.do(control.Record{Event: event.BundleInForce, Subject: id.String(), Detail: "from " + o.source()})
--- a/internal/spread/accept_test.go
+++ b/internal/spread/accept_test.go
@@ -148,7 +148,7 @@
 	for name, bad := range badBodies {
 		t.Run(name, func(t *testing.T) {
 			s := newSingle(t, "p", "q")
-			s.from("p", wire.BundleNotice{Versions: []model.BundleVersion{{Name: "a", Version: 6}}})
+			s.from("p", wire.BundleAnnouncement{Versions: []model.BundleVersion{{Name: "a", Version: 6}}})
 			out := s.from("p", packedBody("a", 6, bad.raw))
 			if got := s.c.Counters().Refused; got[bad.reason] != 1 {
 				t.Errorf("refusals %v, want one for %s", got, bad.reason)
@@ -157,9 +157,9 @@
 			if logged != 1 {
 				t.Errorf("%d events logged, want 1", logged)
 			}
-			s.from("p", wire.BundleNotice{Versions: []model.BundleVersion{{Name: "a", Version: 6}}})
+			s.from("p", wire.BundleAnnouncement{Versions: []model.BundleVersion{{Name: "a", Version: 6}}})
 			later := s.wait(badPeerPause - time.Second)
-			if len(sentTo[wire.BundleWant](later, "p")) > 0 {
+			if len(sentTo[wire.BundleRequest](later, "p")) > 0 {
 				t.Error("asked the peer again at once")
 			}
 			if s.inForce() != 5 {
@@ -221,8 +221,8 @@
 	nonce := asked[len(asked)-1].Nonce
 	buckets := append([]uint64(nil), reply[0].Buckets...)
 	buckets[bucketOf("a")] ^= 1
-	ask := sentTo[wire.BundleListAsk](s.from("p", wire.BundleCompareReply{Nonce: nonce, Digest: 1, Settled: true, Buckets: buckets}), "p")
-	want := []wire.BundleListAsk{{Nonce: nonce, Buckets: 1 << bucketOf("a")}}
+	ask := sentTo[wire.BundleListRequest](s.from("p", wire.BundleCompareReply{Nonce: nonce, Digest: 1, Ready: true, Buckets: buckets}), "p")
+	want := []wire.BundleListRequest{{Nonce: nonce, Buckets: 1 << bucketOf("a")}}
 	if diff := cmp.Diff(want, ask); diff != "" {
 		t.Fatal(diff)
 	}
@@ -237,10 +237,10 @@
 	s := newSingle(t, "p")
 	asked := sentTo[wire.BundleCompare](s.wait(2*compareInterval), "p")
 	nonce := asked[len(asked)-1].Nonce
-	s.from("p", wire.BundleCompareReply{Nonce: nonce, Settled: true, Buckets: make([]uint64, wire.BundleBuckets)})
+	s.from("p", wire.BundleCompareReply{Nonce: nonce, Ready: true, Buckets: make([]uint64, wire.BundleBuckets)})
 	out := s.from("p", wire.BundleList{Nonce: nonce, Buckets: 1 << bucketOf("a")})
-	want := []wire.BundleNotice{{Versions: []model.BundleVersion{{Name: "a", Version: 5}}}}
-	if diff := cmp.Diff(want, sentTo[wire.BundleNotice](out, "p")); diff != "" {
+	want := []wire.BundleAnnouncement{{Versions: []model.BundleVersion{{Name: "a", Version: 5}}}}
+	if diff := cmp.Diff(want, sentTo[wire.BundleAnnouncement](out, "p")); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -265,7 +265,7 @@
 	s.readIndex(model.BundleVersion{Name: "a", Version: 6})
 	s.handle(control.ValueRead{Name: "a", Data: signed("a", 6, 100_000)})
 	body := float64(s.c.held.packedBytes)
-	ask := wire.BundleWant{Versions: []model.BundleVersion{{Name: "a", Version: 6}}}
+	ask := wire.BundleRequest{Versions: []model.BundleVersion{{Name: "a", Version: 6}}}
 	sent, declined := 0, []wire.BundleDecline{}
 	for range 1000 {
 		out := s.from("p", ask)
@@ -291,10 +291,10 @@
 		many[i] = model.BundleVersion{Name: model.BundleName(fmt.Sprint(i)), Version: 1}
 	}
 	for _, m := range []wire.Message{
-		wire.BundleNotice{Versions: []model.BundleVersion{{Name: long, Version: 1}}},
-		wire.BundleNotice{Versions: []model.BundleVersion{{Name: "a", Version: 0}}},
-		wire.BundleNotice{Versions: many},
-		wire.BundleWant{Versions: many},
+		wire.BundleAnnouncement{Versions: []model.BundleVersion{{Name: long, Version: 1}}},
+		wire.BundleAnnouncement{Versions: []model.BundleVersion{{Name: "a", Version: 0}}},
+		wire.BundleAnnouncement{Versions: many},
+		wire.BundleRequest{Versions: many},
 		wire.BundleBody{Version: model.BundleVersion{Name: long, Version: 9}},
 	} {
 		s := newSingle(t, "p")
--- a/internal/spread/beacon.go
+++ b/internal/spread/beacon.go
@@ -65,7 +65,7 @@
 	}
 	attempt, success := ageOfMs(m.AttemptAgeMs), ageOfMs(m.SuccessAgeMs)
 	read := ageOfMs(m.ReadAgeMs)
-	c.timer.Heard(c.now, attempt, success)
+	c.timer.ObservePeer(c.now, attempt, success)
 	l.told.merge(beaconTimes{attempt: c.timeOf(attempt), success: c.timeOf(success), read: c.timeOf(read)})
 	if read != suppress.Never {
 		c.confirm.heard(reading{at: c.timeOf(read), digest: m.ReadDigest})
--- a/internal/spread/compare.go
+++ b/internal/spread/compare.go
@@ -31,7 +31,7 @@
 
 // compareWith opens a comparison, replacing an open one.
 func (c *Controller) compareWith(l *link) {
-	c.counters.Compares++
+	c.counters.Comparisons++
 	l.compareAt = time.Time{}
 	l.compare = comparison{nonce: c.rng.Uint64() | 1, at: c.now}
 	c.do(send(l.id, wire.BundleCompare{Nonce: l.compare.nonce, Digest: c.held.digest}))
@@ -75,7 +75,7 @@
 
 // answerCompare answers a peer's question from what is in force.
 func (c *Controller) answerCompare(to model.InstanceID, m wire.BundleCompare) {
-	reply := wire.BundleCompareReply{Nonce: m.Nonce, Digest: c.held.digest, Settled: c.start.ready}
+	reply := wire.BundleCompareReply{Nonce: m.Nonce, Digest: c.held.digest, Ready: c.start.ready}
 	if m.Digest != c.held.digest {
 		reply.Buckets = append(reply.Buckets, c.held.buckets[:]...)
 	}
@@ -88,7 +88,7 @@
 		return
 	}
 	l.fresh = true
-	l.settled = m.Settled
+	l.settled = m.Ready
 	if m.Digest == c.held.digest {
 		c.endCompare(l)
 		return
@@ -113,7 +113,7 @@
 		return
 	}
 	l.compare.at = c.now
-	c.do(send(l.id, wire.BundleListAsk{Nonce: l.compare.nonce, Buckets: l.compare.open}))
+	c.do(send(l.id, wire.BundleListRequest{Nonce: l.compare.nonce, Buckets: l.compare.open}))
 }
 
 func (c *Controller) endCompare(l *link) {
@@ -126,7 +126,7 @@
 
 // answerList lists whole parts, lowest first, up to the bound of a message, at
 // least one.
-func (c *Controller) answerList(to model.InstanceID, m wire.BundleListAsk) {
+func (c *Controller) answerList(to model.InstanceID, m wire.BundleListRequest) {
 	byBucket := c.heldByBucket(m.Buckets)
 	reply := wire.BundleList{Nonce: m.Nonce}
 	for i := range wire.BundleBuckets {
--- a/internal/spread/counters.go
+++ b/internal/spread/counters.go
@@ -18,9 +18,9 @@
 	// were behind what is in force.
 	IndexFailures uint64
 	StaleIndexes  uint64
-	// Asks counts versions asked of peers, AskTimeouts those not answered in time.
-	Asks        uint64
-	AskTimeouts uint64
+	// Requests counts versions asked of peers, RequestTimeouts those not answered in time.
+	Requests        uint64
+	RequestTimeouts uint64
 	// BodiesSent and BytesSent count what was sent to peers that asked, Declined
 	// what was not, for lack of it or of room.
 	BodiesSent uint64
@@ -30,18 +30,18 @@
 	// source).
 	BodiesReceived uint64
 	Duplicates     uint64
-	// Compares counts digest comparisons begun, Repairs those that found a
+	// Comparisons counts digest comparisons begun, Repairs those that found a
 	// difference.
-	Compares uint64
-	Repairs  uint64
+	Comparisons uint64
+	Repairs     uint64
 	// Malformed counts messages whose content is out of bounds.
 	Malformed uint64
-	// WantsDropped counts versions not pursued: too many, or not to be had.
-	WantsDropped uint64
+	// FetchesDropped counts versions not pursued: too many, or not to be had.
+	FetchesDropped uint64
 	// Contradictions counts those between bundles in force, at every change.
 	Contradictions uint64
-	// LogsHeldBack counts log lines that would have repeated.
-	LogsHeldBack uint64
+	// LogsSuppressed counts log lines that would have repeated.
+	LogsSuppressed uint64
 }
 
 // Bounds of the log.
--- a/internal/spread/faults_test.go
+++ b/internal/spread/faults_test.go
@@ -218,7 +218,7 @@
 		t.Errorf("%d reads of the platform for 30 nodes of 60 bundles", got)
 	}
 	for _, nd := range fresh {
-		if n, _ := nd.c.Held(); n != 60 {
+		if n, _ := nd.c.HeldSize(); n != 60 {
 			t.Errorf("%s is ready with %d bundles", nd.id, n)
 		}
 	}
@@ -257,14 +257,14 @@
 
 func TestVersionOnACallIsAskedOfItsSender(t *testing.T) {
 	seen := control.VersionSeen{From: "p", Version: model.BundleVersion{Name: "a", Version: 6}}
-	ask := wire.BundleWant{Versions: []model.BundleVersion{{Name: "a", Version: 6}}}
+	ask := wire.BundleRequest{Versions: []model.BundleVersion{{Name: "a", Version: 6}}}
 
 	s := newSingle(t, "p", "q")
-	if got := sentTo[wire.BundleWant](s.handle(seen), "p"); len(got) != 1 || got[0].Versions[0] != ask.Versions[0] {
+	if got := sentTo[wire.BundleRequest](s.handle(seen), "p"); len(got) != 1 || got[0].Versions[0] != ask.Versions[0] {
 		t.Errorf("linked sender was asked %v", got)
 	}
 	s = newSingle(t, "q")
-	if got := sentTo[wire.BundleWant](s.handle(seen), "q"); len(got) != 1 {
+	if got := sentTo[wire.BundleRequest](s.handle(seen), "q"); len(got) != 1 {
 		t.Errorf("another link was asked %v", got)
 	}
 	s = newSingle(t)
@@ -280,10 +280,10 @@
 	for i := range 8 {
 		versions = append(versions, model.BundleVersion{Name: model.BundleName(fmt.Sprint(i)), Version: 1})
 	}
-	asks := func(out []control.Action) (p, q []wire.BundleWant) {
-		return sentTo[wire.BundleWant](out, "p"), sentTo[wire.BundleWant](out, "q")
+	asks := func(out []control.Action) (p, q []wire.BundleRequest) {
+		return sentTo[wire.BundleRequest](out, "p"), sentTo[wire.BundleRequest](out, "q")
 	}
-	p, q := asks(append(s.from("p", wire.BundleNotice{Versions: versions}), s.from("q", wire.BundleNotice{Versions: versions})...))
+	p, q := asks(append(s.from("p", wire.BundleAnnouncement{Versions: versions}), s.from("q", wire.BundleAnnouncement{Versions: versions})...))
 	if len(p) != 1 || len(p[0].Versions) != 8 || len(q) != 0 {
 		t.Fatalf("asked %v and %v, want all of the first peer", p, q)
 	}
@@ -300,9 +300,9 @@
 func TestWantGoesToAnotherPeerWhenTheLinkEnds(t *testing.T) {
 	newest := []model.BundleVersion{{Name: "a", Version: 6}}
 	s := newSingle(t, "p", "q")
-	s.from("p", wire.BundleNotice{Versions: newest})
-	s.from("q", wire.BundleNotice{Versions: newest})
-	if out := s.handle(control.LinkDown{Peer: "p"}); len(sentTo[wire.BundleWant](out, "q")) != 1 {
+	s.from("p", wire.BundleAnnouncement{Versions: newest})
+	s.from("q", wire.BundleAnnouncement{Versions: newest})
+	if out := s.handle(control.LinkDown{Peer: "p"}); len(sentTo[wire.BundleRequest](out, "q")) != 1 {
 		t.Error("the other peer was not asked")
 	}
 }
@@ -310,11 +310,11 @@
 func TestDeclinedWantIsNotRepeatedAtOnce(t *testing.T) {
 	newest := []model.BundleVersion{{Name: "a", Version: 6}}
 	s := newSingle(t, "p")
-	s.from("p", wire.BundleNotice{Versions: newest})
-	if out := s.from("p", wire.BundleDecline{Versions: newest}); len(sentTo[wire.BundleWant](out, "p")) > 0 {
+	s.from("p", wire.BundleAnnouncement{Versions: newest})
+	if out := s.from("p", wire.BundleDecline{Versions: newest}); len(sentTo[wire.BundleRequest](out, "p")) > 0 {
 		t.Error("asked again at once")
 	}
-	if out := s.wait(2 * declinePause); len(sentTo[wire.BundleWant](out, "p")) == 0 {
+	if out := s.wait(2 * declinePause); len(sentTo[wire.BundleRequest](out, "p")) == 0 {
 		t.Error("never asked again")
 	}
 }
@@ -326,13 +326,13 @@
 func TestAPeerThatDeclinedIsNotAskedAgainAtOnceForOneWithoutALink(t *testing.T) {
 	newest := []model.BundleVersion{{Name: "a", Version: 6}}
 	s := newSingle(t, "q")
-	if out := s.handle(control.VersionSeen{From: "stranger", Version: newest[0]}); len(sentTo[wire.BundleWant](out, "q")) != 1 {
+	if out := s.handle(control.VersionSeen{From: "stranger", Version: newest[0]}); len(sentTo[wire.BundleRequest](out, "q")) != 1 {
 		t.Fatal("the peer was not asked")
 	}
-	if out := s.from("q", wire.BundleDecline{Versions: newest}); len(sentTo[wire.BundleWant](out, "q")) > 0 {
+	if out := s.from("q", wire.BundleDecline{Versions: newest}); len(sentTo[wire.BundleRequest](out, "q")) > 0 {
 		t.Error("asked again at once")
 	}
-	if out := s.wait(2 * declinePause); len(sentTo[wire.BundleWant](out, "q")) == 0 {
+	if out := s.wait(2 * declinePause); len(sentTo[wire.BundleRequest](out, "q")) == 0 {
 		t.Error("never asked again")
 	}
 }
@@ -391,10 +391,10 @@
 
 func TestFalseVersionBlocksNoTrueOne(t *testing.T) {
 	s := newSingle(t, "liar", "p")
-	s.from("liar", wire.BundleNotice{Versions: []model.BundleVersion{{Name: "a", Version: 1 << 60}}})
-	s.from("p", wire.BundleNotice{Versions: []model.BundleVersion{{Name: "a", Version: 6}}})
+	s.from("liar", wire.BundleAnnouncement{Versions: []model.BundleVersion{{Name: "a", Version: 1 << 60}}})
+	s.from("p", wire.BundleAnnouncement{Versions: []model.BundleVersion{{Name: "a", Version: 6}}})
 	out := s.wait(5 * time.Second)
-	if len(sentTo[wire.BundleWant](out, "p")) == 0 {
+	if len(sentTo[wire.BundleRequest](out, "p")) == 0 {
 		t.Fatal("the honest peer was not asked")
 	}
 	s.from("p", packedBody("a", 6, signed("a", 6, 0)))
--- a/internal/spread/links.go
+++ b/internal/spread/links.go
@@ -139,9 +139,9 @@
 	switch m := m.(type) {
 	case wire.BundleBeacon:
 		c.beacon(c.linkOf(from), m)
-	case wire.BundleNotice:
+	case wire.BundleAnnouncement:
 		c.notice(c.linkOf(from), m)
-	case wire.BundleWant:
+	case wire.BundleRequest:
 		c.serve(from, m)
 	case wire.BundleBody:
 		c.body(c.linkOf(from), m)
@@ -151,7 +151,7 @@
 		c.answerCompare(from, m)
 	case wire.BundleCompareReply:
 		c.compared(c.linkOf(from), m)
-	case wire.BundleListAsk:
+	case wire.BundleListRequest:
 		c.answerList(from, m)
 	case wire.BundleList:
 		c.listed(c.linkOf(from), m)
--- a/internal/spread/measure_test.go
+++ b/internal/spread/measure_test.go
@@ -352,7 +352,7 @@
 	c.Handle(epoch.Add(time.Second), control.Tick{})
 	c.announce = nil
 	memory := liveBytes() - before
-	_, packed := c.Held()
+	_, packed := c.HeldSize()
 	b.Run("memory", func(b *testing.B) {
 		b.ReportMetric(float64(memory)/services, "B/bundle")
 		b.ReportMetric(float64(packed)/services, "packed-B/bundle")
--- a/internal/spread/notice.go
+++ b/internal/spread/notice.go
@@ -76,13 +76,13 @@
 func (c *Controller) notify(to model.InstanceID, versions []model.BundleVersion) {
 	for len(versions) > 0 {
 		n := min(len(versions), maxVersions)
-		c.do(send(to, wire.BundleNotice{Versions: versions[:n]}))
+		c.do(send(to, wire.BundleAnnouncement{Versions: versions[:n]}))
 		versions = versions[n:]
 	}
 }
 
 // notice takes a peer's word of what it holds.
-func (c *Controller) notice(l *link, m wire.BundleNotice) {
+func (c *Controller) notice(l *link, m wire.BundleAnnouncement) {
 	for _, v := range c.bounded(m.Versions) {
 		c.wantFrom(v, l.id)
 		c.markKnown(v, l.id)
@@ -114,7 +114,7 @@
 }
 
 // serve answers a want within the upload's bound.
-func (c *Controller) serve(to model.InstanceID, m wire.BundleWant) {
+func (c *Controller) serve(to model.InstanceID, m wire.BundleRequest) {
 	var absent, later []model.BundleVersion
 	for _, v := range c.bounded(m.Versions) {
 		it := c.held.items[v.Name]
--- a/internal/spread/platform.go
+++ b/internal/spread/platform.go
@@ -116,7 +116,7 @@
 	stale := c.olderThanInForce(versions, begun)
 	switch {
 	case !certain:
-		c.timer.Own(c.now, false)
+		c.timer.ReadDone(c.now, false)
 	case stale != "":
 		c.counters.StaleIndexes++
 		c.endIndexRead(false)
@@ -137,12 +137,12 @@
 }
 
 func (c *Controller) endIndexRead(ok bool) {
-	c.timer.Own(c.now, ok)
+	c.timer.ReadDone(c.now, ok)
 	c.platform.tried = true
 	if ok && c.platform.failing {
 		c.log.reset(event.ConfigUnreachable, "")
 		c.log.reset(event.ConfigStale, "")
-		c.record(event.ConfigAnswers, "", "", nil)
+		c.record(event.ConfigRecovered, "", "", nil)
 	}
 	c.platform.failing = !ok
 }
--- a/internal/spread/ready.go
+++ b/internal/spread/ready.go
@@ -54,7 +54,7 @@
 	c.start.begun = c.now
 	c.nextCompare = c.now.Add(c.jitter(compareInterval))
 	c.confirm.holds(c.held.digest)
-	c.timer.HoldBack(c.now, freshHold)
+	c.timer.Postpone(c.now, freshHold)
 }
 
 func (c *Controller) becomeReady() {
@@ -66,7 +66,7 @@
 	c.start.alone = c.links.answers(false) == 0
 	c.dirty = true
 	if c.start.alone && c.fleetSize() > 1 {
-		c.record(event.BundlesReadyAlone, "", fmt.Sprintf("%d bundles", len(c.held.items)), nil)
+		c.record(event.BundlesReadyUnconfirmed, "", fmt.Sprintf("%d bundles", len(c.held.items)), nil)
 		return
 	}
 	c.record(event.BundlesReady, "", fmt.Sprintf("%d bundles", len(c.held.items)), nil)
--- a/internal/spread/ready_test.go
+++ b/internal/spread/ready_test.go
@@ -47,7 +47,7 @@
 	}
 	s.handle(control.ValueRead{Name: "a", Data: signed("a", 1, 0)})
 	out = s.wait(aloneWait)
-	if !s.c.Ready() || recorded(out, event.BundlesReadyAlone) != 1 || !s.c.Confirmed().IsZero() {
+	if !s.c.Ready() || recorded(out, event.BundlesReadyUnconfirmed) != 1 || !s.c.Confirmed().IsZero() {
 		t.Fatalf("ready %v, confirmed %s, missing %v", s.c.Ready(), s.c.Confirmed(), s.c.Missing())
 	}
 	s.handle(control.LinkUp{Peer: model.Instance{ID: "p"}})
@@ -56,7 +56,7 @@
 		t.Fatal("the peer was not asked")
 	}
 	last := asked[len(asked)-1]
-	s.from("p", wire.BundleCompareReply{Nonce: last.Nonce, Digest: last.Digest, Settled: true})
+	s.from("p", wire.BundleCompareReply{Nonce: last.Nonce, Digest: last.Digest, Ready: true})
 	if s.c.Confirmed().IsZero() {
 		t.Error("unconfirmed although a peer holds the same")
 	}
@@ -66,9 +66,9 @@
 	s := freshSingle(10)
 	out := s.handle(control.LinkUp{Peer: model.Instance{ID: "p"}})
 	nonce := sentTo[wire.BundleCompare](out, "p")[0].Nonce
-	s.from("p", wire.BundleCompareReply{Nonce: nonce, Digest: 1, Settled: true, Buckets: append([]uint64{1}, make([]uint64, 63)...)})
+	s.from("p", wire.BundleCompareReply{Nonce: nonce, Digest: 1, Ready: true, Buckets: append([]uint64{1}, make([]uint64, 63)...)})
 	newest := wire.BundleList{Nonce: nonce, Buckets: 1, Held: []wire.HeldBundle{{Name: "a", Version: 2, Content: 1}}}
-	if out := s.from("p", newest); len(sentTo[wire.BundleWant](out, "p")) != 1 {
+	if out := s.from("p", newest); len(sentTo[wire.BundleRequest](out, "p")) != 1 {
 		t.Fatal("the peer was not asked for its bundle")
 	}
 	s.readIndex(model.BundleVersion{Name: "a", Version: 1})
@@ -108,7 +108,7 @@
 	s := freshSingle(10)
 	answer := func(id model.InstanceID) {
 		nonce := s.c.links.byID[id].compare.nonce
-		s.from(id, wire.BundleCompareReply{Nonce: nonce, Digest: s.c.held.digest, Settled: true})
+		s.from(id, wire.BundleCompareReply{Nonce: nonce, Digest: s.c.held.digest, Ready: true})
 	}
 	s.handle(control.LinkUp{Peer: model.Instance{ID: "p"}})
 	s.handle(control.LinkUp{Peer: model.Instance{ID: "q"}})
@@ -126,7 +126,7 @@
 	s := freshSingle(10)
 	out := s.handle(control.LinkUp{Peer: model.Instance{ID: "p"}})
 	nonce := sentTo[wire.BundleCompare](out, "p")[0].Nonce
-	s.from("p", wire.BundleCompareReply{Nonce: nonce, Digest: s.c.held.digest, Settled: true})
+	s.from("p", wire.BundleCompareReply{Nonce: nonce, Digest: s.c.held.digest, Ready: true})
 	s.readIndex(model.BundleVersion{Name: "a", Version: 1})
 	if out := s.wait(platformGrace - control.TickInterval); hasAction(out, control.ReadValue{Name: "a"}) {
 		t.Error("read the platform at once")
@@ -141,11 +141,11 @@
 	for !hasAction(s.tick(), control.ReadIndex{}) {
 		s.now = s.now.Add(control.TickInterval)
 	}
-	before := s.c.timer.Confirmed()
+	before := s.c.timer.LastSuccess()
 	s.now = s.now.Add(time.Hour)
 	s.handle(control.Paused{For: time.Hour})
 	s.handle(control.IndexRead{Versions: []model.BundleVersion{{Name: "a", Version: 5}}})
-	if got, timer := s.c.Confirmed(), s.c.timer.Confirmed(); !got.IsZero() || timer.After(before) {
+	if got, timer := s.c.Confirmed(), s.c.timer.LastSuccess(); !got.IsZero() || timer.After(before) {
 		t.Errorf("confirmed as of %s, the timer as of %s, before %s", got, timer, before)
 	}
 	if n := recorded(s.tick(), event.ConfigUnconfirmed); n > 0 {
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -190,7 +190,7 @@
 // record logs an event unless the same was logged lately.
 func (c *Controller) record(id event.ID, subject, detail string, err error) {
 	if !c.log.allow(c.now, id, subject) {
-		c.counters.LogsHeldBack++
+		c.counters.LogsSuppressed++
 		return
 	}
 	c.do(control.Record{Event: id, Subject: subject, Detail: detail, Err: err})
@@ -220,13 +220,13 @@
 }
 
 // IndexReads counts this node's own readings of the index.
-func (c *Controller) IndexReads() uint64 { return c.timer.Reads() }
+func (c *Controller) IndexReads() uint64 { return c.timer.ReadCount() }
 
 // Counters returns what has been counted since the start.
 func (c *Controller) Counters() Counters { return c.counters }
 
-// Held returns the number of bundles in force and the bytes kept for passing
+// HeldSize returns the number of bundles in force and the bytes kept for passing
 // them on.
-func (c *Controller) Held() (bundles, packedBytes int) {
+func (c *Controller) HeldSize() (bundles, packedBytes int) {
 	return len(c.held.items), c.held.packedBytes
 }
--- a/internal/spread/want.go
+++ b/internal/spread/want.go
@@ -139,7 +139,7 @@
 	w := c.wants.byName[v.Name]
 	if w == nil {
 		if len(c.wants.list) >= maxWants {
-			c.counters.WantsDropped++
+			c.counters.FetchesDropped++
 			return nil
 		}
 		w = &want{name: v.Name, platformAt: c.now.Add(c.platformWait())}
@@ -176,7 +176,7 @@
 		if w.asked == "" || c.now.Before(w.deadline) {
 			continue
 		}
-		c.counters.AskTimeouts++
+		c.counters.RequestTimeouts++
 		w.dropPeer(w.asked)
 		c.unask(w)
 	}
@@ -210,7 +210,7 @@
 		if c.now.Sub(w.since) < wantLife || !w.idle() {
 			continue
 		}
-		c.counters.WantsDropped++
+		c.counters.FetchesDropped++
 		v := model.BundleVersion{Name: w.name, Version: w.target}
 		c.record(event.BundleUnobtainable, v.String(), "", nil)
 		if w.listed {
@@ -248,7 +248,7 @@
 	}
 	for _, l := range c.links.list {
 		if len(asks[l.id]) > 0 {
-			c.do(send(l.id, wire.BundleWant{Versions: asks[l.id]}))
+			c.do(send(l.id, wire.BundleRequest{Versions: asks[l.id]}))
 		}
 	}
 }
@@ -280,7 +280,7 @@
 }
 
 func (c *Controller) ask(w *want, l *link) {
-	c.counters.Asks++
+	c.counters.Requests++
 	l.inFlight++
 	w.asked = l.id
 	shift := min(max(w.tries-steadyAsks+1, 0), maxAskShift)
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -145,7 +145,7 @@
 		Queued:      int(r.Queued),
 		ServiceTime: Ms(r.ServiceTime),
 		FailureRate: r.FailureShare(),
-		Warming:     Ms(r.Warming()),
+		Warming:     Ms(r.WarmingLeft()),
 	}
 }
 
--- a/internal/suppress/suppress.go
+++ b/internal/suppress/suppress.go
@@ -32,20 +32,20 @@
 const (
 	// ReadInterval is the age of the last attempt up to which nobody reads.
 	ReadInterval = time.Second
-	// FailedInterval bounds the interval while reads fail; it grows with the
+	// MaxFailedInterval bounds the interval while reads fail; it grows with the
 	// time since the last success (doubling by its own effect).
-	FailedInterval = 4 * time.Second
-	// MeanFirst is the expected time from the interval's end to the first read
+	MaxFailedInterval = 4 * time.Second
+	// MeanFirstDelay is the expected time from the interval's end to the first read
 	// in a fleet whose size is believed rightly.
-	MeanFirst = 50 * time.Millisecond
-	// Doubling is the further silence after which the rate has doubled.
-	Doubling = 500 * time.Millisecond
-	// A node fires for certain after a silence drawn from LoneMin to LoneMax, or an
+	MeanFirstDelay = 50 * time.Millisecond
+	// RateDoubling is the further silence after which the rate has doubled.
+	RateDoubling = 500 * time.Millisecond
+	// A node fires for certain after a silence drawn from ForcedReadMin to ForcedReadMax, or an
 	// earlier one of its Pace, so a lone node reads although it believes in a large fleet.
-	LoneMin = 2 * time.Second
-	LoneMax = 3 * time.Second
-	// WakeSpread bounds the random wait after a start or a pause.
-	WakeSpread = time.Second
+	ForcedReadMin = 2 * time.Second
+	ForcedReadMax = 3 * time.Second
+	// MaxWakeDelay bounds the random wait after a start or a pause.
+	MaxWakeDelay = time.Second
 	// wakeDoubt is how long after a pause heard ages are raised by the pause.
 	wakeDoubt = time.Second
 	// inFlightLimit ends the wait for an own read whose end is never told.
@@ -64,7 +64,7 @@
 // Timer decides for one source. It is not safe for concurrent use.
 type Timer struct {
 	rng  *rand.Rand
-	pace Pace
+	pace Schedule
 	// started is the time of the first call.
 	started time.Time
 	// attempt and confirmed are the newest known times by anyone; zero for none.
@@ -89,35 +89,35 @@
 	doubtUntil time.Time
 }
 
-// Pace is how often a source is read.
-type Pace struct {
-	// Interval is the age of the last attempt up to which nobody reads, MeanFirst
+// Schedule is how often a source is read.
+type Schedule struct {
+	// Interval is the age of the last attempt up to which nobody reads, MeanFirstDelay
 	// the expected time from its end to the fleet's first read.
-	Interval, MeanFirst time.Duration
-	// Failed bounds the interval while reads fail.
-	Failed time.Duration
-	// Alone is the silence after which a node that shares the source with nobody fires
-	// for certain; PerDoubling is added for each doubling of the nodes that share it, up
-	// to LoneMin to LoneMax. Zero means these always.
-	Alone, PerDoubling time.Duration
+	Interval, MeanFirstDelay time.Duration
+	// MaxFailedInterval bounds the interval while reads fail.
+	MaxFailedInterval time.Duration
+	// ForcedAfter is the silence after which a node that shares the source with nobody fires
+	// for certain; ForcedPerDoubling is added for each doubling of the nodes that share it, up
+	// to ForcedReadMin to ForcedReadMax. Zero means these always.
+	ForcedAfter, ForcedPerDoubling time.Duration
 }
 
 // New returns a timer of the usual pace that has heard of no attempt. It starts at
 // its first call.
 func New(rng *rand.Rand) *Timer {
-	return NewPaced(rng, Pace{Interval: ReadInterval, MeanFirst: MeanFirst, Failed: FailedInterval})
+	return NewWithSchedule(rng, Schedule{Interval: ReadInterval, MeanFirstDelay: MeanFirstDelay, MaxFailedInterval: MaxFailedInterval})
 }
 
-// NewPaced returns a timer of another pace.
-func NewPaced(rng *rand.Rand, p Pace) *Timer {
+// NewWithSchedule returns a timer of another pace.
+func NewWithSchedule(rng *rand.Rand, p Schedule) *Timer {
 	t := &Timer{rng: rng, pace: p}
 	t.redraw()
 	return t
 }
 
-// Heard takes a peer's ages of the last attempt and the last success, Never for
+// ObservePeer takes a peer's ages of the last attempt and the last success, Never for
 // none. They must be upper bounds as far as the caller can tell.
-func (t *Timer) Heard(now time.Time, attemptAge, confirmedAge time.Duration) {
+func (t *Timer) ObservePeer(now time.Time, attemptAge, confirmedAge time.Duration) {
 	t.start(now)
 	if now.Before(t.doubtUntil) {
 		attemptAge = addAge(attemptAge, t.doubt)
@@ -127,34 +127,34 @@
 	t.noteAttempt(timeOf(now, attemptAge))
 }
 
-// Own takes the end of this node's own read. A success confirms the source as of
-// the read's start; a failure counts as an attempt now, or when it began (FailedSince).
-func (t *Timer) Own(now time.Time, ok bool) {
+// ReadDone takes the end of this node's own read. A success confirms the source as of
+// the read's start; a failure counts as an attempt now, or when it began (ReadFailed).
+func (t *Timer) ReadDone(now time.Time, ok bool) {
 	t.start(now)
 	begun := t.reading
 	if begun.IsZero() {
 		begun = now
 	}
 	if ok {
-		t.OwnSince(now, begun)
+		t.ReadSucceeded(now, begun)
 		return
 	}
-	t.FailedSince(now, now)
+	t.ReadFailed(now, now)
 }
 
-// FailedSince takes the end of a read of this node's own that failed and began at a time
+// ReadFailed takes the end of a read of this node's own that failed and began at a time
 // which the caller knows: one that hung is repeated the sooner.
-func (t *Timer) FailedSince(now, begun time.Time) {
+func (t *Timer) ReadFailed(now, begun time.Time) {
 	t.start(now)
 	t.reading = time.Time{}
 	t.failures++
 	t.noteAttempt(begun)
 }
 
-// OwnSince takes the end of a read of this node's own that succeeded and began at a
+// ReadSucceeded takes the end of a read of this node's own that succeeded and began at a
 // time which the caller knows; other reads than those that Due told to begin are taken
 // thus.
-func (t *Timer) OwnSince(now, begun time.Time) {
+func (t *Timer) ReadSucceeded(now, begun time.Time) {
 	t.start(now)
 	t.reading = time.Time{}
 	t.failures = 0
@@ -162,8 +162,8 @@
 	t.noteAttempt(begun)
 }
 
-// ForgetFailures takes that this node's own failed reads were too long ago to tell anything.
-func (t *Timer) ForgetFailures() { t.failures = 0 }
+// ResetFailures takes that this node's own failed reads were too long ago to tell anything.
+func (t *Timer) ResetFailures() { t.failures = 0 }
 
 // Due reports whether this node should read now, and if so counts the read as
 // begun. It is called every tick; fleetSize is the number of nodes that are
@@ -213,11 +213,11 @@
 	return ageOf(now, t.attempt), ageOf(now, t.confirmed)
 }
 
-// Confirmed returns the time of the last known success by anyone; zero for none.
-func (t *Timer) Confirmed() time.Time { return t.confirmed }
+// LastSuccess returns the time of the last known success by anyone; zero for none.
+func (t *Timer) LastSuccess() time.Time { return t.confirmed }
 
-// Reads counts this node's own reads so far.
-func (t *Timer) Reads() uint64 { return t.reads }
+// ReadCount counts this node's own reads so far.
+func (t *Timer) ReadCount() uint64 { return t.reads }
 
 // Failing reports whether the last known attempt came after the last success
 // by more than the interval.
@@ -231,16 +231,16 @@
 	t.holdBack(now)
 }
 
-// HoldBack keeps the timer from firing before a random time from least to twice
+// Postpone keeps the timer from firing before a random time from least to twice
 // least after now: for a fresh node, which is likely to hear of a read by a peer
 // once its first links are open.
-func (t *Timer) HoldBack(now time.Time, least time.Duration) {
+func (t *Timer) Postpone(now time.Time, least time.Duration) {
 	t.start(now)
 	t.notBefore = now.Add(least + time.Duration(t.rng.Int64N(int64(least))))
 }
 
 func (t *Timer) holdBack(now time.Time) {
-	t.notBefore = now.Add(time.Duration(t.rng.Int64N(int64(WakeSpread))))
+	t.notBefore = now.Add(time.Duration(t.rng.Int64N(int64(MaxWakeDelay))))
 	t.redraw()
 }
 
@@ -266,20 +266,20 @@
 // certain is the silence after which this node fires for certain.
 func (t *Timer) certain(fleetSize int) time.Duration {
 	switch {
-	case t.pace.Alone == 0:
+	case t.pace.ForcedAfter == 0:
 		return t.lone
 	case t.failures > 0:
 		// They share the trying: whoever is served again tells the others.
-		return min(t.lone, time.Duration(fleetSize)*t.pace.Alone)
+		return min(t.lone, time.Duration(fleetSize)*t.pace.ForcedAfter)
 	}
-	return min(t.lone, t.pace.Alone+time.Duration(math.Log2(float64(fleetSize))*float64(t.pace.PerDoubling)))
+	return min(t.lone, t.pace.ForcedAfter+time.Duration(math.Log2(float64(fleetSize))*float64(t.pace.ForcedPerDoubling)))
 }
 
 // hazard is the integral of the firing rate over a silence: a rate of
-// 1/(fleetSize*MeanFirst) that doubles every Doubling.
+// 1/(fleetSize*MeanFirstDelay) that doubles every Doubling.
 func (t *Timer) hazard(silence time.Duration, fleetSize int) float64 {
-	growth := math.Ln2 / Doubling.Seconds()
-	rate := 1 / (float64(fleetSize) * t.pace.MeanFirst.Seconds())
+	growth := math.Ln2 / RateDoubling.Seconds()
+	rate := 1 / (float64(fleetSize) * t.pace.MeanFirstDelay.Seconds())
 	rate /= float64(uint(1) << min(t.failures, maxFailureShift))
 	return rate * math.Expm1(growth*silence.Seconds()) / growth
 }
@@ -303,7 +303,7 @@
 	if failing <= t.pace.Interval {
 		return t.pace.Interval
 	}
-	return time.Duration(t.stretch * float64(min(failing, t.pace.Failed)))
+	return time.Duration(t.stretch * float64(min(failing, t.pace.MaxFailedInterval)))
 }
 
 // failing is the time from the last success, or else the start, to the last
@@ -334,7 +334,7 @@
 }
 
 func (t *Timer) redraw() {
-	t.lone = LoneMin + time.Duration(t.rng.Int64N(int64(LoneMax-LoneMin)))
+	t.lone = ForcedReadMin + time.Duration(t.rng.Int64N(int64(ForcedReadMax-ForcedReadMin)))
 	t.stretch = 1 + failureJitter*t.rng.Float64()
 }
 
--- a/internal/suppress/suppress_test.go
+++ b/internal/suppress/suppress_test.go
@@ -64,7 +64,7 @@
 
 func (f *fleet) read(i int) {
 	ok := !f.down(f.now)
-	f.timers[i].Own(f.now, ok)
+	f.timers[i].ReadDone(f.now, ok)
 	for to := range f.timers {
 		delay := f.minDelay + time.Duration(f.rng.Int64N(int64(f.maxDelay-f.minDelay)))
 		f.waiting.Add(f.now.Add(delay), beacon{to: to, sent: f.now, ok: ok})
@@ -77,7 +77,7 @@
 		if b.ok {
 			confirmed = f.now.Sub(b.sent)
 		}
-		f.timers[b.to].Heard(f.now, f.now.Sub(b.sent), confirmed)
+		f.timers[b.to].ObservePeer(f.now, f.now.Sub(b.sent), confirmed)
 	}
 }
 
@@ -126,9 +126,9 @@
 func TestLoneNodeThatBelievesInALargeFleetReadsSoon(t *testing.T) {
 	for seed := range uint64(50) {
 		timer := newTimer(seed)
-		timer.Heard(epoch, 0, 0)
+		timer.ObservePeer(epoch, 0, 0)
 		fired := firstDue(timer, epoch, 10_000)
-		if age := fired.Sub(epoch); age < ReadInterval || age > ReadInterval+LoneMax+tick {
+		if age := fired.Sub(epoch); age < ReadInterval || age > ReadInterval+ForcedReadMax+tick {
 			t.Errorf("seed %d: fired after %s", seed, age)
 		}
 	}
@@ -137,7 +137,7 @@
 func TestFreshAttemptSilences(t *testing.T) {
 	timer := newTimer(1)
 	for now := epoch; now.Before(epoch.Add(time.Minute)); now = now.Add(tick) {
-		timer.Heard(now, 900*time.Millisecond, 900*time.Millisecond)
+		timer.ObservePeer(now, 900*time.Millisecond, 900*time.Millisecond)
 		if timer.Due(now, 1) {
 			t.Fatalf("due %s after the start although an attempt is young", now.Sub(epoch))
 		}
@@ -156,9 +156,9 @@
 func TestSuccessConfirmsAsOfTheReadsStart(t *testing.T) {
 	timer := newTimer(1)
 	begun := firstDue(timer, epoch, 1)
-	timer.Own(begun.Add(3*time.Second), true)
-	if !timer.Confirmed().Equal(begun) {
-		t.Errorf("confirmed at %s, read began at %s", timer.Confirmed(), begun)
+	timer.ReadDone(begun.Add(3*time.Second), true)
+	if !timer.LastSuccess().Equal(begun) {
+		t.Errorf("confirmed at %s, read began at %s", timer.LastSuccess(), begun)
 	}
 }
 
@@ -181,10 +181,10 @@
 
 func TestAgesThatWaitedOutAPauseAreRaisedByIt(t *testing.T) {
 	timer := newTimer(1)
-	timer.Heard(epoch, time.Second, Never)
+	timer.ObservePeer(epoch, time.Second, Never)
 	wake := epoch.Add(time.Minute)
 	timer.Paused(wake, time.Minute)
-	timer.Heard(wake, 0, 0)
+	timer.ObservePeer(wake, 0, 0)
 	attempt, confirmed := timer.Ages(wake)
 	if attempt < time.Minute || confirmed < time.Minute {
 		t.Errorf("ages %s and %s after a pause of a minute", attempt, confirmed)
@@ -193,8 +193,8 @@
 
 func TestAgesOnlyGrowUntilNewerNews(t *testing.T) {
 	timer := newTimer(1)
-	timer.Heard(epoch, time.Second, 2*time.Second)
-	timer.Heard(epoch.Add(time.Second), 10*time.Second, Never)
+	timer.ObservePeer(epoch, time.Second, 2*time.Second)
+	timer.ObservePeer(epoch.Add(time.Second), 10*time.Second, Never)
 	attempt, confirmed := timer.Ages(epoch.Add(time.Second))
 	if attempt != 2*time.Second || confirmed != 3*time.Second {
 		t.Errorf("ages %s and %s, want 2s and 3s", attempt, confirmed)
@@ -234,14 +234,14 @@
 func TestAReadThatTheTimerDidNotBeginCountsFromItsStart(t *testing.T) {
 	timer := New(rand.New(rand.NewPCG(1, 2)))
 	now := time.Unix(1_700_000_000, 0)
-	timer.OwnSince(now, now.Add(-700*time.Millisecond))
+	timer.ReadSucceeded(now, now.Add(-700*time.Millisecond))
 	if attempt, confirmed := timer.Ages(now); attempt != 700*time.Millisecond || confirmed != attempt {
 		t.Errorf("attempt %s and success %s ago, want 700ms", attempt, confirmed)
 	}
 }
 
 func TestANodeThatSharesWithFewFiresForCertainEarlier(t *testing.T) {
-	pace := Pace{Interval: time.Second, MeanFirst: time.Hour, Failed: time.Second, Alone: 400 * time.Millisecond, PerDoubling: 100 * time.Millisecond}
+	pace := Schedule{Interval: time.Second, MeanFirstDelay: time.Hour, MaxFailedInterval: time.Second, ForcedAfter: 400 * time.Millisecond, ForcedPerDoubling: 100 * time.Millisecond}
 	for _, tt := range []struct {
 		nodes, failures int
 		want            time.Duration
@@ -250,15 +250,15 @@
 		{2, 0, 500 * time.Millisecond},
 		{8, 0, 700 * time.Millisecond},
 		{1, 1, 400 * time.Millisecond},
-		{50, 1, LoneMin},
+		{50, 1, ForcedReadMin},
 		{1, 2, 400 * time.Millisecond},
 		{3, 2, 1200 * time.Millisecond},
-		{10, 2, LoneMin},
-		{1 << 30, 0, LoneMin},
+		{10, 2, ForcedReadMin},
+		{1 << 30, 0, ForcedReadMin},
 	} {
-		timer := NewPaced(rand.New(rand.NewPCG(1, 2)), pace)
+		timer := NewWithSchedule(rand.New(rand.NewPCG(1, 2)), pace)
 		timer.failures = tt.failures
-		if got := timer.certain(tt.nodes); got != tt.want && (tt.want != LoneMin || got < LoneMin || got > LoneMax) {
+		if got := timer.certain(tt.nodes); got != tt.want && (tt.want != ForcedReadMin || got < ForcedReadMin || got > ForcedReadMax) {
 			t.Errorf("%d nodes, %d failures: %s, want %s", tt.nodes, tt.failures, got, tt.want)
 		}
 	}
--- a/internal/upstream/proof.go
+++ b/internal/upstream/proof.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Proof watches one RoundTrip and tells afterwards whether it is proved that
+// RequestTrace watches one RoundTrip and tells afterwards whether it is proved that
 // not a byte of the request left. It is the one place that says which errors
 // prove "not run"; a write that failed proves nothing by itself.
-type Proof struct {
+type RequestTrace struct {
 	// Expires, unless zero, is the time after which the request's first byte must not
 	// leave any more. A process may be stopped at any point between its last look at the
 	// clock and the write: what remains of that is the way into the system call.
-	Expires time.Time
+	SendDeadline time.Time
 
 	mu     sync.Mutex
 	got    bool
@@ -25,18 +25,18 @@
 }
 
 // Attach returns r watched by p.
-func (p *Proof) Attach(r *http.Request) *http.Request {
+func (p *RequestTrace) Attach(r *http.Request) *http.Request {
 	trace := &httptrace.ClientTrace{GotConn: p.gotConn}
 	return r.WithContext(httptrace.WithClientTrace(r.Context(), trace))
 }
 
-func (p *Proof) gotConn(info httptrace.GotConnInfo) {
+func (p *RequestTrace) gotConn(info httptrace.GotConnInfo) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.got = true
 	p.conn = unwrap(info.Conn)
 	if p.conn != nil {
-		p.before = p.conn.begins(p.Expires)
+		p.before = p.conn.begins(p.SendDeadline)
 	}
 }
 
@@ -53,7 +53,7 @@
 // NotRun reports, after the watched RoundTrip failed, whether it is proved that
 // the other side did not get the request and never will: no connection was had,
 // or no byte left on it and none will any more.
-func (p *Proof) NotRun() bool {
+func (p *RequestTrace) NotRun() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.got {
@@ -67,7 +67,7 @@
 
 // CloseConn closes the watched connection, so that what the worker still sends
 // on it can never be taken for the answer to another request.
-func (p *Proof) CloseConn() {
+func (p *RequestTrace) CloseConn() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conn != nil {
--- a/internal/upstream/protocol_bench_test.go
+++ b/internal/upstream/protocol_bench_test.go
@@ -45,7 +45,7 @@
 	})}
 	go s.Serve(l)
 	defer s.Close()
-	transport := upstream.NewTransport(upstream.Options{Idle: benchConcurrency})
+	transport := upstream.NewTransport(upstream.Options{MaxIdleConns: benchConcurrency})
 	transport.Protocols = &protocols
 	defer transport.CloseIdleConnections()
 	target := &url.URL{Scheme: "http", Host: l.Addr().String(), Path: "/"}
@@ -74,7 +74,7 @@
 
 func call(b *testing.B, transport *http.Transport, target *url.URL) {
 	r := &http.Request{Method: http.MethodGet, URL: target, Header: http.Header{}}
-	upstream.Seal(r)
+	upstream.PreventReplay(r)
 	resp, err := transport.RoundTrip(r)
 	if err != nil {
 		b.Error(err)
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -20,20 +20,20 @@
 
 // Options are the settings of a transport.
 type Options struct {
-	// Dial opens connections; nil means TCP with DialTimeout and Silence.
-	Dial Dial
-	// Idle is how many idle connections are kept to each address, Connections how
+	// DialFunc opens connections; nil means TCP with DialTimeout and Silence.
+	Dial DialFunc
+	// MaxIdleConns is how many idle connections are kept to each address, Connections how
 	// many are open to each at most (0: any number).
-	Idle, Connections int
+	MaxIdleConns, MaxConns int
 	// DialTimeout bounds opening a connection; zero means 2 s.
 	DialTimeout time.Duration
 	// IdleTimeout is how long an idle connection is kept; zero means 30 s. It must
 	// be shorter than the other side's: a request that crosses its close may have
 	// been read.
 	IdleTimeout time.Duration
-	// Silence is how long the other side's kernel may acknowledge nothing before
+	// AckTimeout is how long the other side's kernel may acknowledge nothing before
 	// the connection ends; zero means 15 s.
-	Silence time.Duration
+	AckTimeout time.Duration
 }
 
 // Defaults of Options.
@@ -60,12 +60,12 @@
 	idempotencyKeyXSealed = "x-idempotency-key"
 )
 
-// Dial opens a connection; net.Dialer.DialContext is one.
-type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc opens a connection; net.Dialer.DialContext is one.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // tcpDialer returns the Dial in use when none is given: connections that end when
 // the other side is silent, whether they are idle or have sent something.
-func tcpDialer(timeout, silence time.Duration) Dial {
+func tcpDialer(timeout, silence time.Duration) DialFunc {
 	interval := max(silence/(silenceProbes+1), time.Second)
 	dialer := net.Dialer{
 		Timeout:         timeout,
@@ -85,10 +85,10 @@
 func NewTransport(o Options) *http.Transport {
 	o.DialTimeout = cmp.Or(o.DialTimeout, defaultDialTimeout)
 	o.IdleTimeout = cmp.Or(o.IdleTimeout, defaultIdleTimeout)
-	o.Silence = cmp.Or(o.Silence, defaultSilence)
+	o.AckTimeout = cmp.Or(o.AckTimeout, defaultSilence)
 	dial := o.Dial
 	if dial == nil {
-		dial = tcpDialer(o.DialTimeout, o.Silence)
+		dial = tcpDialer(o.DialTimeout, o.AckTimeout)
 	}
 	return &http.Transport{
 		Proxy: nil,
@@ -100,9 +100,9 @@
 			return &countingConn{Conn: conn}, nil
 		},
 		DisableCompression:     true,
-		MaxIdleConns:           o.Idle,
-		MaxIdleConnsPerHost:    o.Idle,
-		MaxConnsPerHost:        o.Connections,
+		MaxIdleConns:           o.MaxIdleConns,
+		MaxIdleConnsPerHost:    o.MaxIdleConns,
+		MaxConnsPerHost:        o.MaxConns,
 		IdleConnTimeout:        o.IdleTimeout,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 		ExpectContinueTimeout:  time.Second,
@@ -185,11 +185,11 @@
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
 func (emptyBody) Close() error             { return nil }
 
-// Seal takes from r every ground on which net/http would send it twice: a body
+// PreventReplay takes from r every ground on which net/http would send it twice: a body
 // that it could send again, a method that it takes for idempotent while there
 // is no body, and the idempotency headers. The request means the same on the
 // wire.
-func Seal(r *http.Request) {
+func PreventReplay(r *http.Request) {
 	r.GetBody = nil
 	rename(r.Header, idempotencyKey, idempotencyKeySealed)
 	rename(r.Header, idempotencyKeyX, idempotencyKeyXSealed)
@@ -213,8 +213,8 @@
 // only, so that a cut one cannot be told from a whole one.
 var ErrCloseDelimited = errors.New("the answer has neither a length nor chunks, so its wholeness cannot be known")
 
-// Whole reports whether the end of r's body can be told from a cut.
-func Whole(r *http.Response, method string) error {
+// CheckFraming reports whether the end of r's body can be told from a cut.
+func CheckFraming(r *http.Response, method string) error {
 	if method == http.MethodHead || r.StatusCode == http.StatusNoContent || r.StatusCode == http.StatusNotModified {
 		return nil
 	}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -90,7 +90,7 @@
 // roundTrip warms one connection up and then sends r on it.
 func roundTrip(t *testing.T, w *replayWorker, r *http.Request) error {
 	t.Helper()
-	transport := upstream.NewTransport(upstream.Options{Idle: 1, Connections: 1})
+	transport := upstream.NewTransport(upstream.Options{MaxIdleConns: 1, MaxConns: 1})
 	defer transport.CloseIdleConnections()
 	resp, err := transport.RoundTrip(w.request(http.MethodGet, "/warm", "", http.Header{}))
 	if err != nil {
@@ -127,7 +127,7 @@
 			}
 			w := newReplayWorker(t)
 			r := w.request(c.method, "/run", c.body, c.header)
-			upstream.Seal(r)
+			upstream.PreventReplay(r)
 			if err := roundTrip(t, w, r); err == nil {
 				t.Error("sealed: want an error")
 			}
@@ -153,8 +153,8 @@
 			URL:    &url.URL{Scheme: "http", Host: l.Addr().String(), Path: "/"},
 			Header: http.Header{"Idempotency-Key": {"k"}},
 		}
-		upstream.Seal(r)
-		transport := upstream.NewTransport(upstream.Options{Idle: 1, Connections: 1})
+		upstream.PreventReplay(r)
+		transport := upstream.NewTransport(upstream.Options{MaxIdleConns: 1, MaxConns: 1})
 		resp, err := transport.RoundTrip(r)
 		if err != nil {
 			t.Fatal(err)
@@ -187,11 +187,11 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			address := serveConns(t, c.serve)
-			var proof upstream.Proof
+			var proof upstream.RequestTrace
 			r := (&http.Request{Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: address, Path: "/"}, Header: http.Header{}}).WithContext(c.ctx())
 			r = proof.Attach(r)
-			upstream.Seal(r)
-			transport := upstream.NewTransport(upstream.Options{Idle: 1, Connections: 1})
+			upstream.PreventReplay(r)
+			transport := upstream.NewTransport(upstream.Options{MaxIdleConns: 1, MaxConns: 1})
 			defer transport.CloseIdleConnections()
 			if _, err := transport.RoundTrip(r); err == nil {
 				t.Fatal("want an error")
@@ -242,14 +242,14 @@
 		}
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf an ans")
 	})
-	transport := upstream.NewTransport(upstream.Options{Idle: 1, Connections: 1})
+	transport := upstream.NewTransport(upstream.Options{MaxIdleConns: 1, MaxConns: 1})
 	defer transport.CloseIdleConnections()
 	resp, err := transport.RoundTrip(&http.Request{Method: http.MethodGet, URL: &url.URL{Scheme: "http", Host: address, Path: "/"}, Header: http.Header{}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	if err := upstream.Whole(resp, http.MethodGet); !errors.Is(err, upstream.ErrCloseDelimited) {
+	if err := upstream.CheckFraming(resp, http.MethodGet); !errors.Is(err, upstream.ErrCloseDelimited) {
 		t.Errorf("Whole() = %v, want %v", err, upstream.ErrCloseDelimited)
 	}
 }
@@ -268,16 +268,16 @@
 // caller had been told that the call had ended.
 func TestNoFirstByteLeavesAfterItsTime(t *testing.T) {
 	w := newReplayWorker(t)
-	transport := upstream.NewTransport(upstream.Options{Idle: 1})
+	transport := upstream.NewTransport(upstream.Options{MaxIdleConns: 1})
 	warm, err := transport.RoundTrip(w.request(http.MethodGet, "/warm", "", http.Header{}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	warm.Body.Close()
 	expires := time.Now().Add(20 * time.Millisecond)
-	proof := upstream.Proof{Expires: expires}
+	proof := upstream.RequestTrace{SendDeadline: expires}
 	late := proof.Attach(w.request(http.MethodPost, "/payout", "", http.Header{}).WithContext(stopBeforeWrite(t, expires)))
-	upstream.Seal(late)
+	upstream.PreventReplay(late)
 	if _, err := transport.RoundTrip(late); err == nil {
 		t.Fatal("answered after its time")
 	}
@@ -309,9 +309,9 @@
 
 func TestABodyGoesOnPastTheTimeOfTheFirstByte(t *testing.T) {
 	w := newReplayWorker(t)
-	proof := upstream.Proof{Expires: time.Now().Add(50 * time.Millisecond)}
+	proof := upstream.RequestTrace{SendDeadline: time.Now().Add(50 * time.Millisecond)}
 	r := w.request(http.MethodPost, "/payout", "", http.Header{})
-	slow := &slowBody{until: proof.Expires.Add(20 * time.Millisecond)}
+	slow := &slowBody{until: proof.SendDeadline.Add(20 * time.Millisecond)}
 	r.Body, r.ContentLength = io.NopCloser(io.MultiReader(strings.NewReader(strings.Repeat("x", 64<<10)), slow)), 64<<10+1
 	resp, err := upstream.NewTransport(upstream.Options{}).RoundTrip(proof.Attach(r))
 	if err != nil {
--- a/internal/wire/caller.go
+++ b/internal/wire/caller.go
@@ -27,9 +27,9 @@
 type CallerHeaders struct {
 	// Request is the caller's Idempotency-Key, or empty.
 	Request model.RequestID
-	// OneSending: Request names one sending only, so that the same id cannot
+	// OneSubmission: Request names one sending only, so that the same id cannot
 	// arrive again by another way and needs no home.
-	OneSending bool
+	OneSubmission bool
 	// Tenant is as sent, or empty; it is not checked against a bundle.
 	Tenant model.TenantName
 	// Timeout asked for; zero means none was named.
--- a/internal/wire/decode_fuzz_test.go
+++ b/internal/wire/decode_fuzz_test.go
@@ -12,9 +12,9 @@
 func FuzzDecode(f *testing.F) {
 	for _, m := range []Message{
 		Hello{Instance: model.Instance{ID: "n0", PeerAddress: "10.0.0.1:7400"}},
-		Settle{Attempt: model.AttemptID{Entry: "n0", Incarnation: 1, Sequence: 2}, Request: "r"},
+		Resolve{Attempt: model.AttemptID{Entry: "n0", Incarnation: 1, Sequence: 2}, Request: "r"},
 		KeyResult{Request: "r", Outcome: model.OutcomeNotRun},
-		Rumours{Records: []MemberRecord{{ID: "n1", State: model.StateLeaving}}, Accusations: []Accusation{{Target: "n2"}}},
+		Rumours{Records: []MemberRecord{{ID: "n1", State: model.StateLeaving}}, Suspicions: []Suspicion{{Target: "n2"}}},
 		LoadReply{Report: model.LoadReport{Owner: "n1", Clock: 5}},
 	} {
 		data, err := Encode(m)
@@ -54,10 +54,10 @@
 // FuzzDecodeSuspects: whatever a peer sends, every reference of what is accepted names an
 // end, and the bounds hold.
 func FuzzDecodeSuspects(f *testing.F) {
-	news := SuspectNews{
-		From: "n1", Service: "ledger", Compare: true, Digests: make([]uint64, SuspectParts),
-		Ends:    []SuspectEnd{{ID: 7, Owner: "n1", AgeMs: 5}},
-		Records: []Suspect{{Content: model.Fingerprint{1}, Cleared: 1, Ends: []EndRef{NewEndRef(0, true, false)}}},
+	news := SuspectUpdate{
+		From: "n1", Service: "ledger", Compare: true, Digests: make([]uint64, SuspectBuckets),
+		Crashes: []SuspectCrash{{ID: 7, Owner: "n1", AgeMs: 5}},
+		Records: []Suspect{{Content: model.Fingerprint{1}, Cleared: 1, Crashes: []CrashRef{NewCrashRef(0, true, false)}}},
 	}
 	data, err := EncodeSuspects(&news)
 	if err != nil {
@@ -73,8 +73,8 @@
 			t.Fatalf("%d records", len(news.Records))
 		}
 		for _, r := range news.Records {
-			for _, ref := range r.Ends {
-				_ = news.Ends[ref.Index()]
+			for _, ref := range r.Crashes {
+				_ = news.Crashes[ref.Index()]
 			}
 		}
 	})
@@ -83,8 +83,8 @@
 func TestAReferenceToAnEndKeepsWhatItSays(t *testing.T) {
 	for _, doubted := range []bool{false, true} {
 		for _, trial := range []bool{false, true} {
-			if r := NewEndRef(511, doubted, trial); r.Index() != 511 || r.Doubted() != doubted || r.Trial() != trial {
-				t.Errorf("%v, %v became %d, %v, %v", doubted, trial, r.Index(), r.Doubted(), r.Trial())
+			if r := NewCrashRef(511, doubted, trial); r.Index() != 511 || r.AlreadySuspect() != doubted || r.Trial() != trial {
+				t.Errorf("%v, %v became %d, %v, %v", doubted, trial, r.Index(), r.AlreadySuspect(), r.Trial())
 			}
 		}
 	}
@@ -92,12 +92,12 @@
 
 // A message of the greatest size that is sent is within the bound that receivers set.
 func TestTheLargestNewsOfSuspectsFits(t *testing.T) {
-	news := SuspectNews{From: model.InstanceID(make([]byte, 64)), Digests: make([]uint64, SuspectParts)}
+	news := SuspectUpdate{From: model.InstanceID(make([]byte, 64)), Digests: make([]uint64, SuspectBuckets)}
 	for i := range MaxSuspects {
 		s := Suspect{Content: model.Fingerprint{byte(i)}, AgeMs: 1 << 31}
-		for k := range MaxSuspectEnds {
-			s.Ends = append(s.Ends, NewEndRef(i*MaxSuspectEnds+k, true, true))
-			news.Ends = append(news.Ends, SuspectEnd{ID: 1 << 63, Owner: model.InstanceID(make([]byte, 64)), AgeMs: 1 << 31})
+		for k := range MaxSuspectCrashes {
+			s.Crashes = append(s.Crashes, NewCrashRef(i*MaxSuspectCrashes+k, true, true))
+			news.Crashes = append(news.Crashes, SuspectCrash{ID: 1 << 63, Owner: model.InstanceID(make([]byte, 64)), AgeMs: 1 << 31})
 		}
 		news.Records = append(news.Records, s)
 	}
--- a/internal/wire/directory.go
+++ b/internal/wire/directory.go
@@ -15,13 +15,13 @@
 type DirectoryChanges struct {
 	Revision uint64 `cbor:"1,keyasint"`
 	// AgeMs is how long ago this was known to be the newest, in milliseconds.
-	AgeMs  uint32           `cbor:"2,keyasint"`
-	Whole  bool             `cbor:"3,keyasint"`
-	Listed []model.Listing  `cbor:"4,keyasint"`
-	Gone   []model.Unlisted `cbor:"5,keyasint"`
-	Config *model.RawConfig `cbor:"6,keyasint"`
+	AgeMs    uint32           `cbor:"2,keyasint"`
+	Full     bool             `cbor:"3,keyasint"`
+	Listed   []model.Listing  `cbor:"4,keyasint"`
+	Unlisted []model.Unlisted `cbor:"5,keyasint"`
+	Config   *model.RawConfig `cbor:"6,keyasint"`
 	// Failing: the teller's own readings fail.
-	Failing bool `cbor:"7,keyasint,omitempty"`
+	ReadsFailing bool `cbor:"7,keyasint,omitempty"`
 	// Refused is a configuration after Config that the teller cannot decode.
 	Refused *model.RawConfig `cbor:"8,keyasint,omitempty"`
 	// Evacuations are those in force where Whole, otherwise those that changed.
--- a/internal/wire/headers.go
+++ b/internal/wire/headers.go
@@ -47,8 +47,8 @@
 	HeaderRefusal = "Gypsum-Refusal"
 	// HeaderRefusalHome is the instance at whose owner alone a refused attempt may run.
 	HeaderRefusalHome = "Gypsum-Refusal-Home"
-	// HeaderRefusalLent is "true" when the attempt there is to say model.Attempt.Lent.
-	HeaderRefusalLent = "Gypsum-Refusal-Lent"
+	// HeaderRefusalGranted is "true" when the attempt there is to say model.Attempt.Lent.
+	HeaderRefusalGranted = "Gypsum-Refusal-Lent"
 	// HeaderNotRun is "true" when the sender proves that it did not run the
 	// attempt and never will.
 	HeaderNotRun = "Gypsum-Not-Run"
--- a/internal/wire/headers_test.go
+++ b/internal/wire/headers_test.go
@@ -149,7 +149,7 @@
 
 func TestRefusalSurvivesItsHeaders(t *testing.T) {
 	for _, want := range []model.Refusal{
-		{Reason: model.ReasonHeldBack, NotRun: true, RetryAfter: time.Second, Home: "ledger-3", Lent: true},
+		{Reason: model.ReasonDeferred, NotRun: true, RetryAfter: time.Second, OnlyOwner: "ledger-3", Granted: true},
 		{Reason: model.ReasonOverloaded, NotRun: true, RetryAfter: 15 * time.Millisecond},
 		{Reason: model.ReasonDuplicateDone},
 	} {
@@ -171,7 +171,7 @@
 		"two reasons":     {HeaderRefusal: {"leaving", "stale"}, HeaderNotRun: {"true"}},
 		"odd not-run":     {HeaderRefusal: {"leaving"}, HeaderNotRun: {"yes"}},
 		"two not-run":     {HeaderRefusal: {"leaving"}, HeaderNotRun: {"true", "false"}},
-		"odd lent":        {HeaderRefusal: {"leaving"}, HeaderNotRun: {"true"}, HeaderRefusalLent: {"yes"}},
+		"odd lent":        {HeaderRefusal: {"leaving"}, HeaderNotRun: {"true"}, HeaderRefusalGranted: {"yes"}},
 		"two homes":       {HeaderRefusal: {"leaving"}, HeaderNotRun: {"true"}, HeaderRefusalHome: {"a", "b"}},
 		"bad retry-after": {HeaderRefusal: {"leaving"}, HeaderNotRun: {"true"}, HeaderRetryAfterMs: {"-1"}},
 	}
--- a/internal/wire/hello.go
+++ b/internal/wire/hello.go
@@ -7,9 +7,9 @@
 // Hello is the first message on a link, from both sides.
 type Hello struct {
 	Instance model.Instance `cbor:"1,keyasint"`
-	// Brief marks a link opened for settlement only; it is no peer link and
+	// Transient marks a link opened for settlement only; it is no peer link and
 	// carries no membership or bundle traffic.
-	Brief bool `cbor:"2,keyasint"`
+	Transient bool `cbor:"2,keyasint"`
 }
 
 // Kind implements Message.
--- a/internal/wire/lost.go
+++ b/internal/wire/lost.go
@@ -7,32 +7,32 @@
 	"gypsumstand/internal/model"
 )
 
-// HeaderLost names owners that the sender cannot connect to; see EncodeLost.
-const HeaderLost = "Gypsum-Out-Of-Reach"
+// HeaderUnreachable names owners that the sender cannot connect to; see EncodeUnreachable.
+const HeaderUnreachable = "Gypsum-Out-Of-Reach"
 
-// Bounds of HeaderLost's value.
+// Bounds of HeaderUnreachable's value.
 const (
-	// MaxLost is the number of owners that one message names.
-	MaxLost      = 8
-	maxLostBytes = 1024
+	// MaxUnreachable is the number of owners that one message names.
+	MaxUnreachable = 8
+	maxLostBytes   = 1024
 )
 
-// ErrBadLost says that HeaderLost's value is malformed.
-var ErrBadLost = errors.New("bad " + HeaderLost)
+// ErrBadUnreachable says that HeaderUnreachable's value is malformed.
+var ErrBadUnreachable = errors.New("bad " + HeaderUnreachable)
 
-// EncodeLost returns HeaderLost's value for at most MaxLost owners.
-func EncodeLost(ids []model.InstanceID) (string, error) {
+// EncodeUnreachable returns HeaderUnreachable's value for at most MaxUnreachable owners.
+func EncodeUnreachable(ids []model.InstanceID) (string, error) {
 	return encodeHeader(ids, maxLostBytes)
 }
 
-// DecodeLost reads what EncodeLost writes.
-func DecodeLost(s string) ([]model.InstanceID, error) {
+// DecodeUnreachable reads what EncodeUnreachable writes.
+func DecodeUnreachable(s string) ([]model.InstanceID, error) {
 	var ids []model.InstanceID
 	if err := decodeHeader(s, maxLostBytes, &ids); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrBadLost, err)
+		return nil, fmt.Errorf("%w: %w", ErrBadUnreachable, err)
 	}
-	if len(ids) > MaxLost {
-		return nil, fmt.Errorf("%w: %d owners are over the bound of %d", ErrBadLost, len(ids), MaxLost)
+	if len(ids) > MaxUnreachable {
+		return nil, fmt.Errorf("%w: %d owners are over the bound of %d", ErrBadUnreachable, len(ids), MaxUnreachable)
 	}
 	return ids, nil
 }
--- a/internal/wire/lost_test.go
+++ b/internal/wire/lost_test.go
@@ -13,11 +13,11 @@
 
 func TestLostOwnersSurviveTheirHeader(t *testing.T) {
 	want := []model.InstanceID{"10.1.0.4", "a, b", "w-3"}
-	s, err := EncodeLost(want)
+	s, err := EncodeUnreachable(want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := DecodeLost(s)
+	got, err := DecodeUnreachable(s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,15 +28,15 @@
 
 func TestTooManyLostOwnersAreRefused(t *testing.T) {
 	var ids []model.InstanceID
-	for i := range MaxLost + 1 {
+	for i := range MaxUnreachable + 1 {
 		ids = append(ids, model.InstanceID(fmt.Sprint("w", i)))
 	}
-	s, err := EncodeLost(ids)
+	s, err := EncodeUnreachable(ids)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, value := range map[string]string{"too many": s, "no base64": "%", "too long": strings.Repeat("a", 2*maxLostBytes)} {
-		if _, err := DecodeLost(value); !errors.Is(err, ErrBadLost) {
+		if _, err := DecodeUnreachable(value); !errors.Is(err, ErrBadUnreachable) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/wire/member.go
+++ b/internal/wire/member.go
@@ -27,15 +27,15 @@
 const (
 	// MaxMemberRecords bounds the records of one message.
 	MaxMemberRecords = 512
-	// MaxAccusations bounds the accusations of one message.
-	MaxAccusations = 64
+	// MaxSuspicions bounds the accusations of one message.
+	MaxSuspicions = 64
 	// DigestBucketCount is the number of buckets that a digest splits the known
 	// instances into, by the hash of their ids.
 	DigestBucketCount = 256
 	// MaxSummaries bounds the buckets that one exchange compares in full.
 	MaxSummaries = 128
-	// MaxWanted bounds the ids of one Want.
-	MaxWanted = 512
+	// MaxRequestedIDs bounds the ids of one Want.
+	MaxRequestedIDs = 512
 )
 
 // Age is a time span in whole milliseconds, rounded up, plus one; zero means
@@ -66,13 +66,13 @@
 // zero means that none was heard.
 type Clock uint64
 
-// ListMark is what the platform's list says of an instance.
-type ListMark uint8
+// ListStatus is what the platform's list says of an instance.
+type ListStatus uint8
 
 // The marks.
 const (
 	// ListUnknown: no list that this node knows of has named the instance.
-	ListUnknown ListMark = iota
+	ListUnknown ListStatus = iota
 	ListLive
 	ListLeaving
 	// ListAbsent: a list named it once and a newer one no longer does.
@@ -92,15 +92,15 @@
 	// raises it. For incarnation zero it is the list revision that the record
 	// was read from.
 	Counter uint64 `cbor:"7,keyasint,omitempty"`
-	// ListRevision and ListMark are the newest change on the platform's list.
-	ListRevision uint64   `cbor:"8,keyasint,omitempty"`
-	ListMark     ListMark `cbor:"9,keyasint,omitempty"`
+	// ListRevision and ListStatus are the newest change on the platform's list.
+	ListRevision uint64     `cbor:"8,keyasint,omitempty"`
+	ListStatus   ListStatus `cbor:"9,keyasint,omitempty"`
 }
 
-// Accusation is one observer's word that it cannot reach an instance, while it
+// Suspicion is one observer's word that it cannot reach an instance, while it
 // does reach others. It holds against the record with the same incarnation and
 // counter only, so the accused refutes it by raising its counter.
-type Accusation struct {
+type Suspicion struct {
 	Target      model.InstanceID  `cbor:"1,keyasint"`
 	Incarnation model.Incarnation `cbor:"2,keyasint,omitempty"`
 	Counter     uint64            `cbor:"3,keyasint,omitempty"`
@@ -134,8 +134,8 @@
 
 // Rumours carries changed records and accusations.
 type Rumours struct {
-	Records     []MemberRecord `cbor:"1,keyasint,omitempty"`
-	Accusations []Accusation   `cbor:"2,keyasint,omitempty"`
+	Records    []MemberRecord `cbor:"1,keyasint,omitempty"`
+	Suspicions []Suspicion    `cbor:"2,keyasint,omitempty"`
 	// Repair says that the records are the answer of a digest exchange.
 	Repair bool `cbor:"3,keyasint,omitempty"`
 }
@@ -145,8 +145,8 @@
 	After model.InstanceID `cbor:"1,keyasint,omitempty"`
 }
 
-// SnapshotPiece answers with the next records in the order of their ids.
-type SnapshotPiece struct {
+// SnapshotChunk answers with the next records in the order of their ids.
+type SnapshotChunk struct {
 	// After repeats the request's.
 	After   model.InstanceID `cbor:"1,keyasint,omitempty"`
 	Records []MemberRecord   `cbor:"2,keyasint,omitempty"`
@@ -182,13 +182,13 @@
 	Entries []byte `cbor:"2,keyasint"`
 }
 
-// Want asks for the records with these hashes of ids.
-type Want struct {
-	Buckets []WantBucket `cbor:"1,keyasint"`
+// RecordRequest asks for the records with these hashes of ids.
+type RecordRequest struct {
+	Buckets []RecordRequestBucket `cbor:"1,keyasint"`
 }
 
-// WantBucket names records of one bucket.
-type WantBucket struct {
+// RecordRequestBucket names records of one bucket.
+type RecordRequestBucket struct {
 	Index uint16 `cbor:"1,keyasint"`
 	// IDs holds big-endian uint32 hashes of ids.
 	IDs []byte `cbor:"2,keyasint"`
@@ -212,8 +212,8 @@
 
 // LinkReject asks the opener of a link to close it: the sender has enough.
 type LinkReject struct {
-	// Others are instances to try instead.
-	Others []MemberRecord `cbor:"1,keyasint,omitempty"`
+	// Alternatives are instances to try instead.
+	Alternatives []MemberRecord `cbor:"1,keyasint,omitempty"`
 }
 
 // Kind implements Message.
@@ -229,7 +229,7 @@
 func (SnapshotRequest) Kind() Kind { return kindSnapshotRequest }
 
 // Kind implements Message.
-func (SnapshotPiece) Kind() Kind { return kindSnapshotPiece }
+func (SnapshotChunk) Kind() Kind { return kindSnapshotPiece }
 
 // Kind implements Message.
 func (Digest) Kind() Kind { return kindDigest }
@@ -241,7 +241,7 @@
 func (BucketSummaries) Kind() Kind { return kindBucketSummaries }
 
 // Kind implements Message.
-func (Want) Kind() Kind { return kindWant }
+func (RecordRequest) Kind() Kind { return kindWant }
 
 // Kind implements Message.
 func (Probe) Kind() Kind { return kindProbe }
@@ -257,11 +257,11 @@
 	register(ListBeacon{})
 	register(Rumours{})
 	register(SnapshotRequest{})
-	register(SnapshotPiece{})
+	register(SnapshotChunk{})
 	register(Digest{})
 	register(DigestBuckets{})
 	register(BucketSummaries{})
-	register(Want{})
+	register(RecordRequest{})
 	register(Probe{})
 	register(ProbeReply{})
 	register(LinkReject{})
--- a/internal/wire/member_test.go
+++ b/internal/wire/member_test.go
@@ -13,23 +13,23 @@
 func TestMembershipMessagesSurviveTheWire(t *testing.T) {
 	record := MemberRecord{
 		ID: "worker-1", Service: "payout", DataCentre: "kigali-1", PeerAddress: "10.0.0.1:7001",
-		Incarnation: 1_700_000_000_000_000, State: model.StateLeaving, Counter: 3, ListRevision: 9, ListMark: ListLeaving,
+		Incarnation: 1_700_000_000_000_000, State: model.StateLeaving, Counter: 3, ListRevision: 9, ListStatus: ListLeaving,
 	}
-	accusation := Accusation{Target: "worker-1", Incarnation: 7, Counter: 3, Observer: "worker-2"}
+	accusation := Suspicion{Target: "worker-1", Incarnation: 7, Counter: 3, Observer: "worker-2"}
 	ages := ListAges{Attempt: AgeOf(time.Second), Confirmed: AgeOf(time.Minute), Revision: 9}
 	for _, m := range []Message{
 		Heartbeat{Clock: 5, Echo: 4, List: ages},
 		ListBeacon{Echo: 4, List: ages},
-		Rumours{Records: []MemberRecord{record}, Accusations: []Accusation{accusation}},
+		Rumours{Records: []MemberRecord{record}, Suspicions: []Suspicion{accusation}},
 		SnapshotRequest{After: "worker-1"},
-		SnapshotPiece{After: "worker-1", Records: []MemberRecord{record}, Last: true, Partial: true},
+		SnapshotChunk{After: "worker-1", Records: []MemberRecord{record}, Last: true, Partial: true},
 		Digest{Root: math.MaxUint64},
 		DigestBuckets{Hashes: make([]byte, 4*DigestBucketCount)},
 		BucketSummaries{Buckets: []BucketSummary{{Index: 255, Entries: []byte{1, 2, 3, 4, 5, 6, 7, 8}}}},
-		Want{Buckets: []WantBucket{{Index: 255, IDs: []byte{1, 2, 3, 4}}}},
+		RecordRequest{Buckets: []RecordRequestBucket{{Index: 255, IDs: []byte{1, 2, 3, 4}}}},
 		Probe{Target: "worker-1", PeerAddress: "10.0.0.1:7001", Incarnation: 7, Counter: 3},
 		ProbeReply{Target: "worker-1", Incarnation: 7},
-		LinkReject{Others: []MemberRecord{record}},
+		LinkReject{Alternatives: []MemberRecord{record}},
 	} {
 		data, err := Encode(m)
 		if err != nil {
--- a/internal/wire/refusal.go
+++ b/internal/wire/refusal.go
@@ -22,11 +22,11 @@
 		ms := (r.RetryAfter + time.Millisecond - 1) / time.Millisecond
 		h.Set(HeaderRetryAfterMs, strconv.FormatInt(int64(ms), 10))
 	}
-	if r.Home != "" {
-		h.Set(HeaderRefusalHome, string(r.Home))
+	if r.OnlyOwner != "" {
+		h.Set(HeaderRefusalHome, string(r.OnlyOwner))
 	}
-	if r.Lent {
-		h.Set(HeaderRefusalLent, flagTrue)
+	if r.Granted {
+		h.Set(HeaderRefusalGranted, flagTrue)
 	}
 }
 
@@ -54,11 +54,11 @@
 	if err != nil {
 		return model.Refusal{Reason: reason}, true, err
 	}
-	lent, err := readFlag(h, HeaderRefusalLent)
+	lent, err := readFlag(h, HeaderRefusalGranted)
 	if err != nil {
 		return model.Refusal{Reason: reason}, true, err
 	}
-	return model.Refusal{Reason: reason, NotRun: notRun, RetryAfter: after, Home: model.InstanceID(home), Lent: lent}, true, nil
+	return model.Refusal{Reason: reason, NotRun: notRun, RetryAfter: after, OnlyOwner: model.InstanceID(home), Granted: lent}, true, nil
 }
 
 // ReadNotRun tells whether the sender says that it did not run the attempt.
--- a/internal/wire/settle.go
+++ b/internal/wire/settle.go
@@ -13,9 +13,9 @@
 	kindKeyResult   Kind = 3
 )
 
-// Settle asks an owner what became of an attempt, and bars it when it has not
+// Resolve asks an owner what became of an attempt, and bars it when it has not
 // started. It is asked after a broken link or silence.
-type Settle struct {
+type Resolve struct {
 	Attempt          model.AttemptID   `cbor:"1,keyasint"`
 	OwnerIncarnation model.Incarnation `cbor:"2,keyasint"`
 	Request          model.RequestID   `cbor:"3,keyasint"`
@@ -24,9 +24,9 @@
 	Remaining time.Duration `cbor:"4,keyasint"`
 }
 
-// SettleReply is the owner's answer. Only the states NeverSeen, Queued and
-// Barred prove "not run"; from then on the attempt is barred.
-type SettleReply struct {
+// ResolveReply is the owner's answer. Only the states NeverSeen, Queued and
+// Quarantined prove "not run"; from then on the attempt is barred.
+type ResolveReply struct {
 	Attempt model.AttemptID    `cbor:"1,keyasint"`
 	State   model.AttemptState `cbor:"2,keyasint"`
 	Report  model.LoadReport   `cbor:"3,keyasint"`
@@ -43,16 +43,16 @@
 }
 
 // Kind implements Message.
-func (Settle) Kind() Kind { return kindSettle }
+func (Resolve) Kind() Kind { return kindSettle }
 
 // Kind implements Message.
-func (SettleReply) Kind() Kind { return kindSettleReply }
+func (ResolveReply) Kind() Kind { return kindSettleReply }
 
 // Kind implements Message.
 func (KeyResult) Kind() Kind { return kindKeyResult }
 
 func init() {
-	register(Settle{})
-	register(SettleReply{})
+	register(Resolve{})
+	register(ResolveReply{})
 	register(KeyResult{})
 }
--- a/internal/wire/spread.go
+++ b/internal/wire/spread.go
@@ -42,14 +42,14 @@
 	ReadDigest uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// BundleNotice says which versions the sender has newly in force and can send.
-type BundleNotice struct {
+// BundleAnnouncement says which versions the sender has newly in force and can send.
+type BundleAnnouncement struct {
 	Versions []model.BundleVersion `cbor:"1,keyasint"`
 }
 
-// BundleWant asks for these versions or newer ones. Each is answered by a
+// BundleRequest asks for these versions or newer ones. Each is answered by a
 // BundleBody or named in a BundleDecline.
-type BundleWant struct {
+type BundleRequest struct {
 	Versions []model.BundleVersion `cbor:"1,keyasint"`
 }
 
@@ -81,20 +81,20 @@
 type BundleCompareReply struct {
 	Nonce  uint64 `cbor:"1,keyasint"`
 	Digest uint64 `cbor:"2,keyasint"`
-	// Settled says that the sender is ready: it has asked others before.
-	Settled bool `cbor:"3,keyasint,omitempty"`
+	// Ready says that the sender is ready: it has asked others before.
+	Ready bool `cbor:"3,keyasint,omitempty"`
 	// Buckets are the digests of the parts, BundleBuckets of them when the
 	// digests differ, otherwise none.
 	Buckets []uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// BundleListAsk asks for the versions in some parts.
-type BundleListAsk struct {
+// BundleListRequest asks for the versions in some parts.
+type BundleListRequest struct {
 	Nonce   uint64 `cbor:"1,keyasint"`
 	Buckets uint64 `cbor:"2,keyasint"`
 }
 
-// BundleList answers BundleListAsk for some of the parts, lowest first; the
+// BundleList answers BundleListRequest for some of the parts, lowest first; the
 // asker asks again for the rest.
 type BundleList struct {
 	Nonce uint64 `cbor:"1,keyasint"`
@@ -116,10 +116,10 @@
 func (BundleBeacon) Kind() Kind { return kindBundleBeacon }
 
 // Kind implements Message.
-func (BundleNotice) Kind() Kind { return kindBundleNotice }
+func (BundleAnnouncement) Kind() Kind { return kindBundleNotice }
 
 // Kind implements Message.
-func (BundleWant) Kind() Kind { return kindBundleWant }
+func (BundleRequest) Kind() Kind { return kindBundleWant }
 
 // Kind implements Message.
 func (BundleBody) Kind() Kind { return kindBundleBody }
@@ -134,19 +134,19 @@
 func (BundleCompareReply) Kind() Kind { return kindBundleCompareReply }
 
 // Kind implements Message.
-func (BundleListAsk) Kind() Kind { return kindBundleListAsk }
+func (BundleListRequest) Kind() Kind { return kindBundleListAsk }
 
 // Kind implements Message.
 func (BundleList) Kind() Kind { return kindBundleList }
 
 func init() {
 	register(BundleBeacon{})
-	register(BundleNotice{})
-	register(BundleWant{})
+	register(BundleAnnouncement{})
+	register(BundleRequest{})
 	register(BundleBody{})
 	register(BundleDecline{})
 	register(BundleCompare{})
 	register(BundleCompareReply{})
-	register(BundleListAsk{})
+	register(BundleListRequest{})
 	register(BundleList{})
 }
--- a/internal/wire/times.go
+++ b/internal/wire/times.go
@@ -10,8 +10,8 @@
 // HeaderTimes tells an entry node where an answered attempt's time went.
 const HeaderTimes = "Gypsum-Times"
 
-// Times is where an answered attempt's time went at its owner.
-type Times struct {
+// AttemptTimes is where an answered attempt's time went at its owner.
+type AttemptTimes struct {
 	// Queued is the time in the owner's queue.
 	Queued time.Duration
 	// Worker is the time from the start to the head of the worker's answer.
@@ -19,7 +19,7 @@
 }
 
 // SetTimes writes t as "queued worker", in whole microseconds.
-func SetTimes(h http.Header, t Times) {
+func SetTimes(h http.Header, t AttemptTimes) {
 	queued := strconv.FormatInt(t.Queued.Microseconds(), 10)
 	worker := strconv.FormatInt(t.Worker.Microseconds(), 10)
 	h.Set(HeaderTimes, queued+" "+worker)
@@ -27,9 +27,9 @@
 
 // ReadTimes reads what SetTimes writes; what cannot be read is zero, since it is
 // for measurements only.
-func ReadTimes(h http.Header) Times {
+func ReadTimes(h http.Header) AttemptTimes {
 	queued, worker, _ := strings.Cut(h.Get(HeaderTimes), " ")
-	return Times{Queued: microseconds(queued), Worker: microseconds(worker)}
+	return AttemptTimes{Queued: microseconds(queued), Worker: microseconds(worker)}
 }
 
 func microseconds(s string) time.Duration {
