--- a/internal/member/check.go
+++ b/internal/member/check.go
@@ -9,45 +9,48 @@
 )
 
 const (
-	// checkLimit is the time that one check may take.
-	checkLimit = 2*dialLimit + time.Second
-	// maxChecks bounds the checks in flight; more would be a partition.
+	// checkExpiry is the maximum duration of one check.
+	checkExpiry = 2*dialExpiry + time.Second
+	// maxChecks bounds the checks in flight; more would indicate a partition.
 	maxChecks = 16
-	// helpers is the number of peers that are asked to see for themselves.
-	helpers = 3
-	// A target that was suspected is left alone for a time that doubles.
+	// probeHelpers is the number of peers that are asked to check a suspected instance.
+	probeHelpers = 3
+	// Backoff between two checks of one target; it doubles with each check.
 	recheckMin = 10 * time.Second
 	recheckMax = 5 * time.Minute
-	// maxRechecks bounds the memory of targets that were suspected.
+	// maxRechecks bounds the targets whose backoff is stored.
 	maxRechecks = 256
 )
 
-// verdict is what a check knows of one of its two questions.
-type verdict uint8
+// reachability is what a check has found out about one instance.
+type reachability uint8
 
 const (
-	undecided verdict = iota
+	reachabilityUnknown reachability = iota
 	reachable
 	unreachable
 )
 
-// check finds out whether target is dead or this node is cut off: it must reach
-// another instance of the target's data centre first, and then not the target.
-// In this order, a partition that heals meanwhile accuses nobody.
+// check determines whether target has failed or this node is cut off. This node must
+// first reach a reference, another instance of the target's data centre, and then fail to
+// reach the target. In this order, a partition that heals during the check causes no
+// suspicion.
 type check struct {
-	target wire.MemberRecord
-	begun  time.Time
-	// cause is what this node noticed first.
+	target    wire.MemberRecord
+	startedAt time.Time
+	// cause is the observation that started the check.
 	cause string
-	// reach is whether this node reaches the target.
-	reach verdict
-	// dialed says that a link to the target was opened since control was reached.
+	// reach is whether this node can reach the target.
+	reach reachability
+	// dialed reports whether a link to the target was opened after the reference was
+	// reached.
 	dialed bool
-	// control is another instance, and whether this node reaches that.
-	control      model.InstanceID
-	controlReach verdict
-	// asked are the peers that wait for the answer; empty for an own suspicion.
-	asked []model.InstanceID
+	// reference is another instance; referenceReach is whether this node can reach it.
+	reference      model.InstanceID
+	referenceReach reachability
+	// requesters are the peers to report a reachable target to; empty when this node
+	// itself suspects the target.
+	requesters []model.InstanceID
 }
 
 type recheck struct {
@@ -55,13 +58,13 @@
 	until time.Time
 }
 
-// checker holds what this node and others suspect.
+// checker holds the checks in flight and the suspicions of this node and its peers.
 type checker struct {
-	checks    []*check
-	rechecks  map[model.InstanceID]recheck
-	accused   []*accused
-	losses    []loss
-	doubtSaid map[model.DataCentre]time.Time
+	checks            []*check
+	rechecks          map[model.InstanceID]recheck
+	suspicions        []*suspicion
+	unplannedExits    []unplannedExit
+	partitionRecorded map[model.DataCentre]time.Time
 }
 
 func (k *checker) find(id model.InstanceID) *check {
@@ -72,53 +75,53 @@
 	return k.checks[at]
 }
 
-// reached notes that this node has a link to id.
-func (k *checker) reached(id model.InstanceID) { k.settle(id, reachable) }
+// markReachable notes that this node has a link to id.
+func (k *checker) markReachable(id model.InstanceID) { k.setReachability(id, reachable) }
 
-// unreached notes that this node could not open a link to id, or lost it.
-func (k *checker) unreached(id model.InstanceID) { k.settle(id, unreachable) }
+// markUnreachable notes that a link to id failed to open or ended.
+func (k *checker) markUnreachable(id model.InstanceID) { k.setReachability(id, unreachable) }
 
-func (k *checker) settle(id model.InstanceID, v verdict) {
+func (k *checker) setReachability(id model.InstanceID, v reachability) {
 	for _, x := range k.checks {
 		if x.target.ID == id && (v == reachable || x.dialed) {
 			x.reach = v
 		}
-		if x.control == id {
-			x.controlReach = v
+		if x.reference == id {
+			x.referenceReach = v
 		}
 	}
 }
 
 func (c *Controller) dropChecks() { c.checks.checks = nil }
 
-// suspect starts a check of a peer that gave cause for it.
-func (c *Controller) suspect(now time.Time, id model.InstanceID, cause string) {
+// checkPeer starts a check of a peer that may have failed.
+func (c *Controller) checkPeer(now time.Time, id model.InstanceID, cause string) {
 	if x := c.startCheck(now, id); x != nil {
 		x.cause = cause
-		c.seekControl(now, x)
+		c.chooseReference(now, x)
 	}
 }
 
-// startCheck returns a new check of id, or nil when there is to be none.
+// startCheck returns a new check of id, or nil when id may not be checked now.
 func (c *Controller) startCheck(now time.Time, id model.InstanceID) *check {
 	r, ok := c.table.get(id)
 	switch {
 	case !ok, id == c.cfg.Self.ID, r.State == model.StateGone:
 		return nil
-	case c.doubts(now), c.stage == model.StateGone:
+	case c.observationsUnreliable(now), c.ownState == model.StateGone:
 		return nil
 	case c.checks.find(id) != nil, len(c.checks.checks) >= maxChecks:
 		return nil
 	case now.Before(c.checks.rechecks[id].until):
 		return nil
 	}
-	c.noteRecheck(now, id)
-	x := &check{target: r, begun: now}
+	c.delayRecheck(now, id)
+	x := &check{target: r, startedAt: now}
 	c.checks.checks = append(c.checks.checks, x)
 	return x
 }
 
-func (c *Controller) noteRecheck(now time.Time, id model.InstanceID) {
+func (c *Controller) delayRecheck(now time.Time, id model.InstanceID) {
 	if c.checks.rechecks == nil || len(c.checks.rechecks) >= maxRechecks {
 		c.checks.rechecks = map[model.InstanceID]recheck{}
 	}
@@ -130,11 +133,11 @@
 	c.checks.rechecks[id] = recheck{count: old.count + 1, until: now.Add(wait)}
 }
 
-// seekControl finds another instance of the target's data centre to compare
-// with, or any other when the target is alone there.
-func (c *Controller) seekControl(now time.Time, x *check) {
+// chooseReference picks the check's reference in the target's data centre, or in any data
+// centre when no other instance serves in the target's.
+func (c *Controller) chooseReference(now time.Time, x *check) {
 	near := func(r wire.MemberRecord) bool { return r.DataCentre == x.target.DataCentre }
-	if c.table.serving[x.target.DataCentre] <= c.ownCountIn(x.target) {
+	if c.table.serving[x.target.DataCentre] <= c.countTargetAndSelf(x.target) {
 		near = func(wire.MemberRecord) bool { return true }
 	}
 	other := func(r wire.MemberRecord) bool {
@@ -142,7 +145,7 @@
 	}
 	for _, l := range c.links.fresh(now) {
 		if r, ok := c.table.get(l.peer); ok && other(r) {
-			x.control = l.peer
+			x.reference = l.peer
 			c.send(l.peer, wire.Probe{})
 			return
 		}
@@ -152,18 +155,18 @@
 	})
 	switch {
 	case ok:
-		x.control = r.ID
+		x.reference = r.ID
 		c.dial(now, r.ID, r.PeerAddress, false)
-	case c.loneObserver(x.target.ID):
-		x.controlReach = reachable
+	case c.isOnlyObserver(x.target.ID):
+		x.referenceReach = reachable
 	default:
-		x.controlReach = unreachable
+		x.referenceReach = unreachable
 	}
 }
 
-// ownCountIn returns how many of the serving instances in the target's data
-// centre are the target or this node.
-func (c *Controller) ownCountIn(target wire.MemberRecord) int {
+// countTargetAndSelf counts those of the target and this node that serve in the target's
+// data centre.
+func (c *Controller) countTargetAndSelf(target wire.MemberRecord) int {
 	n := 0
 	if serving(target.State) {
 		n++
@@ -174,17 +177,18 @@
 	return n
 }
 
-// loneObserver reports whether no third instance is known that could observe
-// target as well.
-func (c *Controller) loneObserver(target model.InstanceID) bool {
+// isOnlyObserver reports whether no third instance is known that could also observe
+// target.
+func (c *Controller) isOnlyObserver(target model.InstanceID) bool {
 	_, third := c.table.pick(c.rng, func(r wire.MemberRecord) bool {
 		return r.ID != target && r.ID != c.cfg.Self.ID && r.State != model.StateGone
 	})
 	return !third
 }
 
-// probe takes a peer's wish that this node sees for itself.
-func (c *Controller) probe(now time.Time, l *link, m wire.Probe) {
+// receiveProbe handles a peer's request to check an instance. A probe without a target
+// asks this node itself for a reply.
+func (c *Controller) receiveProbe(now time.Time, l *link, m wire.Probe) {
 	switch m.Target {
 	case "":
 		c.send(l.peer, wire.ProbeReply{})
@@ -206,71 +210,73 @@
 		if x = c.startCheck(now, m.Target); x == nil {
 			return
 		}
-		x.cause = "a peer asked"
-		c.seekControl(now, x)
+		x.cause = "requested by a peer"
+		c.chooseReference(now, x)
 	}
-	if len(x.asked) < maxChecks {
-		x.asked = append(x.asked, l.peer)
+	if len(x.requesters) < maxChecks {
+		x.requesters = append(x.requesters, l.peer)
 	}
 }
 
-// probeReply takes that a peer reaches a target: this node's own trouble with
-// it is no reason to accuse. A reply without a target is a control's.
-func (c *Controller) probeReply(now time.Time, l *link, m wire.ProbeReply) {
+// receiveProbeReply handles a peer's report that it reaches a target. It withdraws this
+// node's own suspicion, whose cause then lies on the path between them. A reply without a
+// target comes from a check's reference.
+func (c *Controller) receiveProbeReply(now time.Time, l *link, m wire.ProbeReply) {
 	if m.Target == "" {
-		c.checks.reached(l.peer)
+		c.checks.markReachable(l.peer)
 		return
 	}
 	if x := c.checks.find(m.Target); x != nil {
 		x.reach = reachable
 	}
-	if a := c.checks.accusedOf(m.Target); a != nil && a.incarnation == m.Incarnation {
-		a.forget(c.cfg.Self.ID)
+	if s := c.checks.suspicionOf(m.Target); s != nil && s.incarnation == m.Incarnation {
+		s.removeObserver(c.cfg.Self.ID)
 	}
-	c.answerProbes(now)
+	c.finishReachableChecks(now)
 }
 
-// tickChecks moves the checks on, and declares gone whom enough accuse.
+// tickChecks advances the checks in flight and evaluates the suspicions.
 func (c *Controller) tickChecks(now time.Time) {
 	if len(c.checks.checks) > 0 {
-		c.answerProbes(now)
+		c.finishReachableChecks(now)
 		for _, x := range slices.Clone(c.checks.checks) {
-			c.step(now, x)
+			c.advanceCheck(now, x)
 		}
 	}
-	c.tickAccused(now)
+	c.tickSuspicions(now)
 }
 
-// answerProbes ends the checks whose target was reached and tells who asked.
-func (c *Controller) answerProbes(now time.Time) {
+// finishReachableChecks ends the checks whose target was reached and notifies the
+// requesters.
+func (c *Controller) finishReachableChecks(now time.Time) {
 	for _, x := range slices.Clone(c.checks.checks) {
 		if x.reach != reachable {
 			continue
 		}
-		for _, peer := range x.asked {
+		for _, peer := range x.requesters {
 			c.send(peer, wire.ProbeReply{Target: x.target.ID, Incarnation: x.target.Incarnation})
 		}
 		c.endCheck(x)
 	}
 }
 
-func (c *Controller) step(now time.Time, x *check) {
+func (c *Controller) advanceCheck(now time.Time, x *check) {
 	if l := c.links.get(x.target.ID); l != nil && l.fresh(now) {
 		x.reach = reachable
 		return
 	}
 	r, ok := c.table.get(x.target.ID)
 	switch {
-	case !ok, compareOwn(r, x.target) != 0, now.Sub(x.begun) > checkLimit:
+	case !ok, compareOwnerFields(r, x.target) != 0, now.Sub(x.startedAt) > checkExpiry:
 		c.endCheck(x)
-	case x.controlReach == unreachable:
+	case x.referenceReach == unreachable:
 		c.endCheck(x)
-		c.sayDoubt(now, x.target.DataCentre)
-	case x.controlReach == undecided:
+		c.recordPartition(now, x.target.DataCentre)
+	case x.referenceReach == reachabilityUnknown:
 	case x.reach == unreachable:
 		c.endCheck(x)
-		c.accuse(now, x)
-	case x.reach == undecided && !x.dialed:
+		c.announceSuspicion(now, x)
+	case x.reach == reachabilityUnknown && !x.dialed:
 		x.dialed = true
 		c.dial(now, x.target.ID, x.target.PeerAddress, false)
 	}
--- a/internal/member/explore.go
+++ b/internal/member/explore.go
@@ -10,33 +10,34 @@
 )
 
 const (
-	// exploreMin is the least time between two tries to reach a peer that could
-	// not be reached, or another data centre when no link goes to one. It grows
-	// by explorePerNode with the fleet, so the fleet's rate is bounded; one new
-	// link between the parts of a healed partition is enough for all.
+	// exploreMin is the minimum time between two attempts to reach an unreachable peer,
+	// or another data centre when no link goes to one. It grows by explorePerNode with
+	// the fleet size, which bounds the fleet's total rate; one new link between the parts
+	// of a healed partition is enough to join them.
 	exploreMin     = 5 * time.Second
 	explorePerNode = 200 * time.Millisecond
 )
 
-// explore opens a link beyond the outgoing ones, which replaces one of them
-// when it succeeds: to another data centre when none goes there, or else to a
-// peer that could not be reached before or was declared gone.
+// explore opens a link beyond the outgoing limit, which replaces an outgoing link when it
+// succeeds. It goes to another data centre when no link does, otherwise to a peer that
+// was unreachable before or was declared gone.
 func (c *Controller) explore(now time.Time) {
-	r, ok := c.chooseFar()
+	r, ok := c.chooseOtherDataCentre()
 	wait := exploreMin
 	if !ok {
-		r, ok = c.chooseLost()
+		r, ok = c.chooseUnreachable()
 		wait = max(exploreMin, time.Duration(c.FleetSize())*explorePerNode)
 	}
-	c.peers.nextExplore = now.Add(c.between(wait/2, wait+wait/2))
+	c.peers.nextExplore = now.Add(c.randomBetween(wait/2, wait+wait/2))
 	if ok {
 		c.dial(now, r.ID, r.PeerAddress, true)
 	}
 }
 
-// chooseFar picks an instance of another data centre when no link goes to one.
-func (c *Controller) chooseFar() (wire.MemberRecord, bool) {
-	if _, hasOther := c.outgoingPlaces(); hasOther || len(c.table.serving) < 2 {
+// chooseOtherDataCentre picks an instance of another data centre when no link goes to
+// one.
+func (c *Controller) chooseOtherDataCentre() (wire.MemberRecord, bool) {
+	if _, hasOther := c.outgoingLocations(); hasOther || len(c.table.serving) < 2 {
 		return wire.MemberRecord{}, false
 	}
 	return c.table.pick(c.rng, func(r wire.MemberRecord) bool {
@@ -44,19 +45,19 @@
 	})
 }
 
-// chooseLost picks a peer that could not be reached or is taken for gone, or a
-// seed at whose address no instance is known.
-func (c *Controller) chooseLost() (wire.MemberRecord, bool) {
-	lost := append(c.missedPeers(), c.gonePeers()...)
-	lost = append(lost, c.unknownSeeds()...)
-	if len(lost) == 0 {
+// chooseUnreachable picks a peer that was unreachable or is considered gone, or a seed at
+// whose address no instance is known.
+func (c *Controller) chooseUnreachable() (wire.MemberRecord, bool) {
+	candidates := append(c.unreachablePeers(), c.gonePeers()...)
+	candidates = append(candidates, c.unknownSeeds()...)
+	if len(candidates) == 0 {
 		return wire.MemberRecord{}, false
 	}
-	return lost[c.rng.IntN(len(lost))], true
+	return candidates[c.rng.IntN(len(candidates))], true
 }
 
-// missedPeers returns the peers that could not be reached, by id.
-func (c *Controller) missedPeers() []wire.MemberRecord {
+// unreachablePeers returns the peers to which a link failed to open, sorted by id.
+func (c *Controller) unreachablePeers() []wire.MemberRecord {
 	var out []wire.MemberRecord
 	for id, b := range c.peers.backoffs {
 		if r, ok := c.table.get(id); ok && b.failures > 0 && r.State != model.StateGone && c.unlinked(r) {
@@ -67,9 +68,9 @@
 	return out
 }
 
-// gonePeers returns the instances that are taken for gone although the list has
-// not dropped them: after a partition, those of the other part. One that answers
-// is told, and takes a greater incarnation.
+// gonePeers returns the instances that are considered gone although the list still has
+// them; after a partition, these are the instances of the other part. One that accepts a
+// link learns that it is considered gone and adopts a greater incarnation.
 func (c *Controller) gonePeers() []wire.MemberRecord {
 	var out []wire.MemberRecord
 	for _, t := range c.reaper.tombstones {
@@ -84,9 +85,9 @@
 	return out
 }
 
-// unknownSeeds returns the seeds at whose address no serving instance is known.
-// While the platform is down, they alone join instances that were replaced since
-// to those that were not.
+// unknownSeeds returns the seeds at whose address no serving instance is known. During a
+// platform outage, seeds are the only path between instances that were replaced since and
+// those that were not.
 func (c *Controller) unknownSeeds() []wire.MemberRecord {
 	if len(c.cfg.Seeds) == 0 {
 		return nil
--- a/internal/member/failure_test.go
+++ b/internal/member/failure_test.go
@@ -10,7 +10,7 @@
 
 func TestDeadInstanceIsDeclaredGone(t *testing.T) {
 	for _, n := range []int{2, 3, 11, 60} {
-		f := grown(t, n, 3, 20*time.Second)
+		f := newStableFleet(t, n, 3, 20*time.Second)
 		x := f.nodes[1]
 		f.kill(x)
 		took := f.until(time.Minute, func() bool { return f.count(x.inst.ID, model.StateGone) == n-1 })
@@ -20,25 +20,25 @@
 	}
 }
 
-func TestOneObserverAloneDeclaresNobody(t *testing.T) {
-	f := grown(t, 12, 3, 20*time.Second)
+func TestBrokenPathBetweenTwoNodesDeclaresNobodyGone(t *testing.T) {
+	f := newStableFleet(t, 12, 3, 20*time.Second)
 	a := f.nodes[0]
 	b := f.byID[a.c.Links()[0].Peer]
 	f.blocked = func(x, y *node) bool { return x == a && y == b || x == b && y == a }
 	f.run(2 * time.Minute)
 	if f.eventCount(event.MemberSuspected) == 0 {
-		t.Fatal("nobody suspected anyone, so nothing was tried")
+		t.Fatal("no instance was suspected, so the test checks nothing")
 	}
 	if k := f.eventCount(event.MemberDeclaredGone); k > 0 {
 		t.Errorf("declared gone %d times", k)
 	}
 	if f.count(a.inst.ID, model.StateLive) != 12 || f.count(b.inst.ID, model.StateLive) != 12 {
-		t.Error("not live for all")
+		t.Error("an instance is not live for all nodes")
 	}
 }
 
-func TestShortPauseDeclaresNobody(t *testing.T) {
-	f := grown(t, 12, 3, 20*time.Second)
+func TestShortPauseDeclaresNobodyGone(t *testing.T) {
+	f := newStableFleet(t, 12, 3, 20*time.Second)
 	f.pause(f.nodes[4], 3*time.Second)
 	f.run(30 * time.Second)
 	if k := f.eventCount(event.MemberDeclaredGone); k > 0 {
@@ -46,15 +46,15 @@
 	}
 }
 
-// pause stops n for d and wakes it.
+// pause freezes n for d and then resumes it.
 func (f *fleet) pause(n *node, d time.Duration) {
-	n.pausing = f.now.Add(d)
+	n.pausedUntil = f.now.Add(d)
 	f.run(d)
 	f.wake(n, d)
 }
 
-func TestLateWakerDeclaresNobodyAndComesBackUnderANewIncarnation(t *testing.T) {
-	f := grown(t, 12, 3, 20*time.Second)
+func TestLongPausedNodeRejoinsWithNewIncarnation(t *testing.T) {
+	f := newStableFleet(t, 12, 3, 20*time.Second)
 	x := f.nodes[4]
 	before := x.inst.Incarnation
 	f.pause(x, time.Minute)
@@ -64,43 +64,43 @@
 	declared := f.eventCount(event.MemberDeclaredGone)
 	took := f.until(time.Minute, func() bool { return f.converged(12) })
 	if took > 20*time.Second {
-		t.Errorf("no common view %s after it woke", took)
+		t.Errorf("no common view %s after it resumed", took)
 	}
 	if x.inst.Incarnation <= before || f.count(x.inst.ID, model.StateLive) != 12 {
 		t.Errorf("incarnation %d, live for %d of 12", x.inst.Incarnation, f.count(x.inst.ID, model.StateLive))
 	}
 	if x.events[event.MemberDeclaredGone] > 0 || f.eventCount(event.MemberDeclaredGone) != declared {
-		t.Error("someone was declared gone after the wake")
+		t.Error("an instance was declared gone after the pause")
 	}
 }
 
-func TestPartitionEjectsNobodyAndHealsWithoutAStorm(t *testing.T) {
+func TestPartitionDeclaresNobodyGoneAndHealsWithoutStorm(t *testing.T) {
 	const n = 60
-	f := grown(t, n, 3, 20*time.Second)
+	f := newStableFleet(t, n, 3, 20*time.Second)
 	f.measure = true
-	rest := f.peak(20 * time.Second)
+	atRest := f.peakBytes(20 * time.Second)
 	cut := func(x *node) bool { return x.inst.DataCentre == "dc-0" }
 	f.blocked = func(a, b *node) bool { return cut(a) != cut(b) }
 	f.run(5 * time.Second)
-	f.say(f.nodes[0], model.StateLeaving)
-	f.say(f.nodes[1], model.StateLeaving)
+	f.setState(f.nodes[0], model.StateLeaving)
+	f.setState(f.nodes[1], model.StateLeaving)
 	f.run(2 * time.Minute)
 	if k := f.eventCount(event.MemberDeclaredGone); k > 0 {
 		t.Errorf("declared gone %d times", k)
 	}
 	f.blocked = func(_, _ *node) bool { return false }
-	healed := f.peak(30 * time.Second)
+	healed := f.peakBytes(30 * time.Second)
 	if !f.converged(n) {
 		t.Error("no common view 30 s after the partition healed")
 	}
-	t.Logf("busiest node's bytes in its busiest second: %d at rest, %d while healing", rest, healed)
-	if healed > 10*rest {
-		t.Errorf("%d bytes a second while healing, %d at rest", healed, rest)
+	t.Logf("busiest node's bytes in its busiest second: %d at rest, %d while healing", atRest, healed)
+	if healed > 10*atRest {
+		t.Errorf("%d bytes a second while healing, %d at rest", healed, atRest)
 	}
 }
 
-// peak returns the most bytes that any node sent within a second.
-func (f *fleet) peak(d time.Duration) int {
+// peakBytes returns the most bytes that any node sent within a second.
+func (f *fleet) peakBytes(d time.Duration) int {
 	most := 0
 	for range int(d / time.Second) {
 		for _, n := range f.nodes {
@@ -114,8 +114,8 @@
 	return most
 }
 
-func TestHalfADataCentreLostIsDoubted(t *testing.T) {
-	f := grown(t, 60, 3, 20*time.Second)
+func TestHalfDataCentreDownIsTreatedAsPartition(t *testing.T) {
+	f := newStableFleet(t, 60, 3, 20*time.Second)
 	for i := 0; i < 30; i += 3 {
 		f.kill(f.nodes[i])
 	}
@@ -126,17 +126,17 @@
 			gone++
 		}
 	}
-	if gone > 20/lossShare+1 {
+	if gone > 20/maxDownDivisor+1 {
 		t.Errorf("%d of 20 instances of a data centre declared gone at once", gone)
 	}
 	if f.eventCount(event.PartitionSuspected) == 0 {
-		t.Error("no event tells the doubt")
+		t.Error("no PartitionSuspected event")
 	}
 }
 
-func TestDataCentreThatRestartsAtOnceComesBack(t *testing.T) {
+func TestRestartedDataCentreRejoins(t *testing.T) {
 	const n = 60
-	f := grown(t, n, 3, 20*time.Second)
+	f := newStableFleet(t, n, 3, 20*time.Second)
 	for i := 0; i < n; i += 3 {
 		f.kill(f.nodes[i])
 	}
@@ -157,8 +157,8 @@
 	}
 }
 
-func TestInstanceThatIsBackNoLongerCountsAsLost(t *testing.T) {
-	f := grown(t, 11, 3, 20*time.Second)
+func TestRestartedInstanceNoLongerCountsAsDown(t *testing.T) {
+	f := newStableFleet(t, 11, 3, 20*time.Second)
 	f.kill(f.nodes[0])
 	f.run(5 * time.Second)
 	f.restart(f.nodes[0])
--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -26,14 +26,14 @@
 
 // node is one controller with its fake adapters.
 type node struct {
-	inst    model.Instance
-	c       *Controller
-	board   *blackboard.Board
-	alive   bool
-	pausing time.Time
-	inbox   []control.Event
-	events  map[event.ID]int
-	// bytes and received count what was sent to and came from links, encoded.
+	inst        model.Instance
+	c           *Controller
+	board       *blackboard.Board
+	alive       bool
+	pausedUntil time.Time
+	inbox       []control.Event
+	events      map[event.ID]int
+	// bytes and received count the encoded bytes sent to links and received from them.
 	bytes    int
 	received int
 }
@@ -50,7 +50,7 @@
 	inst model.Instance
 }
 
-// fleet joins controllers by a queue on a fake clock.
+// fleet connects controllers by an event queue on a fake clock.
 type fleet struct {
 	now      time.Time
 	rng      *rand.Rand
@@ -59,18 +59,20 @@
 	queue    eventqueue.Queue[delivery]
 	channels map[channel]bool
 	loss     float64
-	// blocked tells whether nothing passes between two nodes.
+	// blocked reports whether no message passes between two nodes.
 	blocked func(a, b *node) bool
-	// changes is the platform's history; a change's revision is its index plus one.
+	// changes is the history of the platform's list; a change's revision is its index
+	// plus one.
 	changes  []listChange
 	listLag  time.Duration
 	listDown bool
-	// listFrozen is the time whose content the list serves; zero for the present.
+	// listFrozen is the time whose content the list serves; zero for the current time.
 	listFrozen time.Time
 	reads      int
 	measure    bool
-	// news counts the bytes of messages that are not sent without news.
-	news int
+	// changeBytes counts the bytes of messages that are sent only because something
+	// changed.
+	changeBytes int
 }
 
 func newFleet(seed uint64) *fleet {
@@ -81,17 +83,18 @@
 	}
 }
 
-// grown returns a fleet of n live nodes in dcs data centres that has settled.
-func grown(t testing.TB, n, dcs int, settle time.Duration) *fleet {
+// newStableFleet returns a fleet of n live nodes in dcs data centres that has run for
+// runFor.
+func newStableFleet(t testing.TB, n, dcs int, runFor time.Duration) *fleet {
 	t.Helper()
 	f := newFleet(uint64(n))
 	for i := range n {
-		f.list(instance(i, dcs, model.StateLive))
+		f.setListed(instance(i, dcs, model.StateLive))
 	}
 	for i := range n {
 		f.start(instance(i, dcs, model.StateLive))
 	}
-	f.run(settle)
+	f.run(runFor)
 	return f
 }
 
@@ -103,8 +106,10 @@
 	}
 }
 
-// list lets the platform's list say i from now on.
-func (f *fleet) list(i model.Instance) { f.changes = append(f.changes, listChange{at: f.now, inst: i}) }
+// setListed changes the platform's list entry of i from now on.
+func (f *fleet) setListed(i model.Instance) {
+	f.changes = append(f.changes, listChange{at: f.now, inst: i})
+}
 
 func (f *fleet) start(i model.Instance, seeds ...string) *node {
 	n := &node{inst: i, board: &blackboard.Board{}, alive: true, events: map[event.ID]int{}}
@@ -114,12 +119,13 @@
 	return n
 }
 
-// run moves the clock by d.
+// run advances the clock by d.
 func (f *fleet) run(d time.Duration) {
 	f.until(d, func() bool { return false })
 }
 
-// until moves the clock until done, or by at most d, and returns the time taken.
+// until advances the clock until done returns true, or by at most d, and returns the time
+// taken.
 func (f *fleet) until(d time.Duration, done func() bool) time.Duration {
 	begin := f.now
 	for f.now.Sub(begin) < d && !done() {
@@ -139,18 +145,18 @@
 	if !n.alive {
 		return
 	}
-	if f.now.Before(n.pausing) {
+	if f.now.Before(n.pausedUntil) {
 		if _, tick := ev.(control.Tick); !tick {
 			n.inbox = append(n.inbox, ev)
 		}
 		return
 	}
 	for _, a := range n.c.Handle(f.now, ev) {
-		f.do(n, a)
+		f.perform(n, a)
 	}
 }
 
-func (f *fleet) later(d time.Duration, to *node, ev control.Event) {
+func (f *fleet) schedule(d time.Duration, to *node, ev control.Event) {
 	f.queue.Add(f.now.Add(d), delivery{to: to, ev: ev})
 }
 
@@ -158,7 +164,7 @@
 	return time.Millisecond + time.Duration(f.rng.Int64N(int64(20*time.Millisecond)))
 }
 
-func (f *fleet) do(n *node, a control.Action) {
+func (f *fleet) perform(n *node, a control.Action) {
 	switch a := a.(type) {
 	case control.Send:
 		f.send(n, a)
@@ -178,8 +184,8 @@
 func (f *fleet) send(n *node, a control.Send) {
 	size := f.size(a.Message)
 	n.bytes += size
-	if !routine(a.Message) {
-		f.news += size
+	if !isPeriodic(a.Message) {
+		f.changeBytes += size
 	}
 	to := f.byID[a.To]
 	linked := f.channels[channel{n.inst.ID, a.To}] || f.channels[channel{a.To, n.inst.ID}]
@@ -187,11 +193,11 @@
 		return
 	}
 	to.received += size
-	f.later(f.delay(), to, control.Received{From: n.inst.ID, Message: a.Message})
+	f.schedule(f.delay(), to, control.Received{From: n.inst.ID, Message: a.Message})
 }
 
-// routine reports whether m is sent whether or not there is news.
-func routine(m wire.Message) bool {
+// isPeriodic reports whether m is sent even when nothing changed.
+func isPeriodic(m wire.Message) bool {
 	switch m.(type) {
 	case wire.Heartbeat, wire.ListBeacon, wire.Digest:
 		return true
@@ -199,7 +205,7 @@
 	return false
 }
 
-// size returns a message's encoded size while the fleet is measured.
+// size returns a message's encoded size while the fleet is measured, otherwise zero.
 func (f *fleet) size(m wire.Message) int {
 	if !f.measure {
 		return 0
@@ -220,18 +226,18 @@
 	}
 	switch {
 	case to == nil || !to.alive:
-		f.later(f.delay(), n, control.LinkDown{Peer: a.Peer, Failed: true})
-	case f.blocked(n, to) || f.now.Before(to.pausing):
-		f.later(dialTimeout, n, control.LinkDown{Peer: a.Peer, Failed: true})
+		f.schedule(f.delay(), n, control.LinkDown{Peer: a.Peer, Failed: true})
+	case f.blocked(n, to) || f.now.Before(to.pausedUntil):
+		f.schedule(dialTimeout, n, control.LinkDown{Peer: a.Peer, Failed: true})
 	default:
 		f.channels[channel{n.inst.ID, to.inst.ID}] = true
-		f.later(f.delay(), to, control.LinkUp{Peer: n.c.Self()})
-		f.later(f.delay(), n, control.LinkUp{Peer: to.c.Self(), Outgoing: true})
+		f.schedule(f.delay(), to, control.LinkUp{Peer: n.c.Self()})
+		f.schedule(f.delay(), n, control.LinkUp{Peer: to.c.Self(), Outgoing: true})
 	}
 }
 
-// close ends a link. As with package link, only the end of the last link between
-// two nodes is told, and only the side that closed it knows that it was planned.
+// close ends a link. As in package link, only the end of the last link between two nodes
+// is reported, and only the side that closed it knows that it was planned.
 func (f *fleet) close(ch channel, failed bool) {
 	if !f.channels[ch] {
 		return
@@ -240,11 +246,11 @@
 	if f.channels[channel{ch.acceptor, ch.opener}] {
 		return
 	}
-	f.later(f.delay(), f.byID[ch.opener], control.LinkDown{Peer: ch.acceptor, Failed: failed})
-	f.later(f.delay(), f.byID[ch.acceptor], control.LinkDown{Peer: ch.opener, Failed: true})
+	f.schedule(f.delay(), f.byID[ch.opener], control.LinkDown{Peer: ch.acceptor, Failed: failed})
+	f.schedule(f.delay(), f.byID[ch.acceptor], control.LinkDown{Peer: ch.opener, Failed: true})
 }
 
-// kill ends a process without a word; its links break.
+// kill ends a process without notice; its links break.
 func (f *fleet) kill(n *node) {
 	n.alive = false
 	for _, other := range f.nodes {
@@ -268,9 +274,9 @@
 	return next
 }
 
-// wake ends a pause of d: first the pause, then what waited.
+// wake ends a pause of d: it delivers the pause first, then the events that waited.
 func (f *fleet) wake(n *node, d time.Duration) {
-	n.pausing = time.Time{}
+	n.pausedUntil = time.Time{}
 	inbox := n.inbox
 	n.inbox = nil
 	f.handle(n, control.Paused{For: d})
@@ -279,12 +285,12 @@
 	}
 }
 
-var errListDown = errors.New("list is down")
+var errListDown = errors.New("list is unavailable")
 
 func (f *fleet) read(n *node, since uint64) {
 	f.reads++
 	if f.listDown {
-		f.later(f.delay(), n, control.ListReadFailed{Err: errListDown})
+		f.schedule(f.delay(), n, control.ListReadFailed{Err: errListDown})
 		return
 	}
 	at := f.now.Add(-f.listLag)
@@ -313,10 +319,10 @@
 			out.Instances = append(out.Instances, i)
 		}
 	}
-	f.later(f.delay(), n, out)
+	f.schedule(f.delay(), n, out)
 }
 
-// state returns what n's blackboard says of id; gone when it does not show it.
+// state returns the state of id on n's blackboard; gone when it is not there.
 func (n *node) state(id model.InstanceID) model.UpstreamState {
 	all := n.board.Fleet.Get().Instances
 	at, ok := slices.BinarySearchFunc(all, id, func(i model.Instance, id model.InstanceID) int { return cmp.Compare(i.ID, id) })
@@ -326,7 +332,7 @@
 	return all[at].State
 }
 
-// count returns how many living nodes see id in state s.
+// count returns how many running nodes see id in state s.
 func (f *fleet) count(id model.InstanceID, s model.UpstreamState) int {
 	k := 0
 	for _, n := range f.nodes {
@@ -347,7 +353,7 @@
 	return k
 }
 
-// converged reports whether all living nodes hold the same view with n instances.
+// converged reports whether all running nodes hold the same view with n instances.
 func (f *fleet) converged(n int) bool {
 	var first *node
 	for _, x := range f.nodes {
--- a/internal/member/fleetview_test.go
+++ b/internal/member/fleetview_test.go
@@ -14,25 +14,27 @@
 	"gypsumstand/internal/wire"
 )
 
-func (f *fleet) say(n *node, s model.UpstreamState) { f.handle(n, control.SelfStateChanged{State: s}) }
+func (f *fleet) setState(n *node, s model.UpstreamState) {
+	f.handle(n, control.SelfStateChanged{State: s})
+}
 
 func TestLeavingIsKnownEverywhereWithinASecond(t *testing.T) {
-	f := grown(t, 100, 5, 20*time.Second)
+	f := newStableFleet(t, 100, 5, 20*time.Second)
 	x := f.nodes[17]
-	f.say(x, model.StateLeaving)
+	f.setState(x, model.StateLeaving)
 	took := f.until(5*time.Second, func() bool { return f.count(x.inst.ID, model.StateLeaving) == 100 })
 	if took > time.Second {
 		t.Errorf("known by %d of 100 after %s", f.count(x.inst.ID, model.StateLeaving), took)
 	}
 }
 
-func TestLeavingSurvivesLossAndNeverTurnsBack(t *testing.T) {
-	f := grown(t, 40, 4, 20*time.Second)
+func TestLeavingSurvivesMessageLossAndIsFinal(t *testing.T) {
+	f := newStableFleet(t, 40, 4, 20*time.Second)
 	f.loss = 0.3
 	x := f.nodes[3]
-	f.say(x, model.StateLeaving)
-	f.say(x, model.StateLive)
-	f.list(instance(3, 4, model.StateLive))
+	f.setState(x, model.StateLeaving)
+	f.setState(x, model.StateLive)
+	f.setListed(instance(3, 4, model.StateLive))
 	f.run(40 * time.Second)
 	if k := f.count(x.inst.ID, model.StateLeaving); k != 40 {
 		t.Errorf("%d of 40 see it leaving", k)
@@ -40,7 +42,7 @@
 }
 
 func TestLinksStayBounded(t *testing.T) {
-	f := grown(t, 60, 3, 30*time.Second)
+	f := newStableFleet(t, 60, 3, 30*time.Second)
 	for _, n := range f.nodes {
 		out, in, other := 0, 0, 0
 		for _, l := range n.c.Links() {
@@ -60,7 +62,7 @@
 }
 
 func TestNodeWithTooManyIncomingLinksRejectsMore(t *testing.T) {
-	c, actions := lone(t)
+	c, actions := newIsolatedController(t)
 	for i := range incomingLinks + 1 {
 		*actions = c.Handle(epoch, control.LinkUp{Peer: instance(i+1, 1, model.StateLive)})
 	}
@@ -80,14 +82,14 @@
 	return ok && len(r.Alternatives) > 0
 }
 
-// lone returns a controller without a fleet around it.
-func lone(t *testing.T) (*Controller, *[]control.Action) {
+// newIsolatedController returns a controller without peers.
+func newIsolatedController(t *testing.T) (*Controller, *[]control.Action) {
 	t.Helper()
 	c := New(Config{Self: instance(0, 1, model.StateLive)}, &blackboard.Board{}, rand.New(rand.NewPCG(1, 1)))
 	return c, &[]control.Action{}
 }
 
-func TestSeedsJoinNodesThatNoListNames(t *testing.T) {
+func TestSeedsJoinUnlistedNodes(t *testing.T) {
 	f := newFleet(1)
 	f.listDown = true
 	for i := range 10 {
@@ -98,8 +100,8 @@
 	}
 }
 
-func TestFreshNodeLoadsTheFleetInPieces(t *testing.T) {
-	const n = 3*snapshotPieceRecords + 10
+func TestFreshNodeLoadsFleetInChunks(t *testing.T) {
+	const n = 3*snapshotChunkRecords + 10
 	f := newFleet(1)
 	f.listDown = true
 	old := f.start(instance(0, 3, model.StateLive))
@@ -114,8 +116,8 @@
 	}
 }
 
-func TestGreaterIncarnationAtPeersRaisesTheOwn(t *testing.T) {
-	f := grown(t, 6, 2, 10*time.Second)
+func TestGreaterIncarnationAtPeersIsSuperseded(t *testing.T) {
+	f := newStableFleet(t, 6, 2, 10*time.Second)
 	x := f.nodes[2]
 	ghost := recordOf(x.inst)
 	ghost.Incarnation += 5
@@ -136,12 +138,12 @@
 		"long id":          func(r *wire.MemberRecord) { r.ID = model.InstanceID(make([]byte, maxNameBytes+1)) },
 		"long address":     func(r *wire.MemberRecord) { r.PeerAddress = string(make([]byte, maxAddressBytes+1)) },
 		"unknown state":    func(r *wire.MemberRecord) { r.State = model.StateGone + 1 },
-		"unknown mark":     func(r *wire.MemberRecord) { r.ListStatus = wire.ListAbsent + 1 },
+		"unknown status":   func(r *wire.MemberRecord) { r.ListStatus = wire.ListAbsent + 1 },
 		"last incarnation": func(r *wire.MemberRecord) { r.Incarnation = ^model.Incarnation(0) },
 	}
 	for name, spoil := range cases {
 		t.Run(name, func(t *testing.T) {
-			c, _ := lone(t)
+			c, _ := newIsolatedController(t)
 			c.Handle(epoch, control.LinkUp{Peer: instance(2, 1, model.StateLive)})
 			bad := good
 			spoil(&bad)
@@ -163,7 +165,7 @@
 }
 
 func TestFleetIsPublishedOnChangeOnly(t *testing.T) {
-	f := grown(t, 8, 2, 20*time.Second)
+	f := newStableFleet(t, 8, 2, 20*time.Second)
 	before := f.nodes[0].board.Fleet.Changes()
 	f.run(30 * time.Second)
 	if after := f.nodes[0].board.Fleet.Changes(); after != before {
@@ -173,7 +175,7 @@
 
 func TestSameSeedGivesTheSameRun(t *testing.T) {
 	trace := func() (total, reads int) {
-		f := grown(t, 30, 3, 0)
+		f := newStableFleet(t, 30, 3, 0)
 		f.measure = true
 		f.loss = 0.05
 		f.run(15 * time.Second)
@@ -190,7 +192,7 @@
 }
 
 func TestLinksRotateWithoutSuspicion(t *testing.T) {
-	f := grown(t, 10, 2, 20*time.Second)
+	f := newStableFleet(t, 10, 2, 20*time.Second)
 	before := f.nodes[0].c.Links()
 	f.run(2 * rotateMax)
 	outgoing := func(links []Link) (out []model.InstanceID) {
--- a/internal/member/gossip.go
+++ b/internal/member/gossip.go
@@ -9,36 +9,36 @@
 	"gypsumstand/internal/wire"
 )
 
-// Rumours of one tick on one link.
+// Limits on the rumours sent over one link in one tick.
 const (
-	// urgentBatch bounds those that an instance leaves or is gone.
+	// urgentBatch bounds the records of leaving and gone instances.
 	urgentBatch = 32
-	// normalBatch bounds all others, so that a mass start stays cheap.
+	// normalBatch bounds all other records, so that a mass start stays cheap.
 	normalBatch = 10
 )
 
-// rumour is a changed record that is to be told, with the peers who know it.
+// rumour is a changed record to be gossiped, with the peers that already know it.
 type rumour struct {
 	id      model.InstanceID
 	knownBy []model.InstanceID
 }
 
-// gossip holds what is to be told at the next tick.
+// gossip holds what is to be sent at the next tick.
 type gossip struct {
-	pending map[model.InstanceID]*rumour
-	urgent  []*rumour
-	normal  []*rumour
-	accused []accusationRumour
+	pending    map[model.InstanceID]*rumour
+	urgent     []*rumour
+	normal     []*rumour
+	suspicions []suspicionRumour
 }
 
-type accusationRumour struct {
-	accusation wire.Suspicion
-	from       model.InstanceID
+type suspicionRumour struct {
+	suspicion wire.Suspicion
+	from      model.InstanceID
 }
 
-func (g *gossip) init() { *g = gossip{pending: map[model.InstanceID]*rumour{}} }
+func (g *gossip) reset() { *g = gossip{pending: map[model.InstanceID]*rumour{}} }
 
-// queue notes that r is news, told by peer (empty: by this node).
+// queue schedules a changed record for gossip; peer is the sender (empty: this node).
 func (g *gossip) queue(r wire.MemberRecord, peer model.InstanceID) {
 	urgent := !serving(r.State)
 	old := g.pending[r.ID]
@@ -59,8 +59,8 @@
 	g.normal = append(g.normal, next)
 }
 
-// alsoKnownBy notes that peer told what was already known; the same tells
-// whether it told all of it.
+// alsoKnownBy notes that peer sent a record that was already known. The peer needs no
+// rumour if the record was the same, that is, complete.
 func (g *gossip) alsoKnownBy(id model.InstanceID, peer model.InstanceID, same bool) {
 	if r := g.pending[id]; r != nil && same {
 		r.knownBy = append(r.knownBy, peer)
@@ -69,7 +69,7 @@
 
 func (g *gossip) pendingFor(id model.InstanceID) *rumour { return g.pending[id] }
 
-// take removes the next batch of rumours.
+// take removes and returns the next batch of rumours.
 func (g *gossip) take() []*rumour {
 	batch := takeFront(&g.urgent, urgentBatch)
 	batch = append(batch, takeFront(&g.normal, normalBatch)...)
@@ -89,18 +89,18 @@
 	return batch
 }
 
-// flush sends the next batch to every link whose peer does not know it.
+// flush sends the next batch over every link whose peer does not know it yet.
 func (c *Controller) flush(now time.Time) {
 	open := c.links.open()
-	if len(open) == 0 || len(c.gossip.pending)+len(c.gossip.accused) == 0 {
+	if len(open) == 0 || len(c.gossip.pending)+len(c.gossip.suspicions) == 0 {
 		return
 	}
 	batch := c.gossip.take()
-	n := min(len(c.gossip.accused), wire.MaxSuspicions)
-	accused := c.gossip.accused[:n]
-	c.gossip.accused = slices.Clone(c.gossip.accused[n:])
+	n := min(len(c.gossip.suspicions), wire.MaxSuspicions)
+	suspicions := c.gossip.suspicions[:n]
+	c.gossip.suspicions = slices.Clone(c.gossip.suspicions[n:])
 	for _, l := range open {
-		m := wire.Rumours{Records: c.recordsFor(l.peer, batch), Suspicions: accusationsFor(l.peer, accused)}
+		m := wire.Rumours{Records: c.recordsFor(l.peer, batch), Suspicions: suspicionsFor(l.peer, suspicions)}
 		if len(m.Records)+len(m.Suspicions) > 0 {
 			c.send(l.peer, m)
 		}
@@ -118,41 +118,41 @@
 	return out
 }
 
-func accusationsFor(peer model.InstanceID, accused []accusationRumour) []wire.Suspicion {
+func suspicionsFor(peer model.InstanceID, suspicions []suspicionRumour) []wire.Suspicion {
 	var out []wire.Suspicion
-	for _, a := range accused {
-		if a.from != peer {
-			out = append(out, a.accusation)
+	for _, s := range suspicions {
+		if s.from != peer {
+			out = append(out, s.suspicion)
 		}
 	}
 	return out
 }
 
-// rumours takes a peer's rumours. Where this node knows a newer word of an
-// owner, it tells the peer. What a digest exchange brought is told on, but for
-// instances that were not known at all: that this node lacked them says nothing
-// of others.
-func (c *Controller) rumours(now time.Time, l *link, m wire.Rumours) {
+// receiveRumours merges a peer's rumours. Where this node has a newer record from the
+// owner, it replies with it. Records from a digest exchange are gossiped further, except
+// serving instances that were unknown here: that this node missed them does not imply
+// that others did.
+func (c *Controller) receiveRumours(now time.Time, l *link, m wire.Rumours) {
 	if len(m.Records) > wire.MaxMemberRecords || len(m.Suspicions) > wire.MaxSuspicions {
-		c.recordRarely(now, event.MemberMalformed, string(l.peer), "too many rumours in one message")
+		c.recordRateLimited(now, event.MemberMalformed, string(l.peer), "too many rumours in one message")
 		return
 	}
 	var newer []wire.MemberRecord
 	for _, r := range m.Records {
 		if !wellFormed(r) {
-			c.recordRarely(now, event.MemberMalformed, string(l.peer), "record out of bounds")
+			c.recordRateLimited(now, event.MemberMalformed, string(l.peer), "rumour has a record with an invalid field")
 			continue
 		}
 		_, known := c.table.get(r.ID)
-		done := c.learn(now, r, l.peer, m.Repair && !known && serving(r.State))
-		if done.behind && c.gossip.pendingFor(r.ID) == nil {
-			newer = append(newer, done.now)
+		done := c.mergeRecord(now, r, l.peer, m.Repair && !known && serving(r.State))
+		if done.stale && c.gossip.pendingFor(r.ID) == nil {
+			newer = append(newer, done.after)
 		}
 	}
 	if len(newer) > 0 {
 		c.send(l.peer, wire.Rumours{Records: newer})
 	}
-	for _, a := range m.Suspicions {
-		c.accusation(now, a, l.peer)
+	for _, s := range m.Suspicions {
+		c.receiveSuspicion(now, s, l.peer)
 	}
 }
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -12,117 +12,117 @@
 )
 
 const (
-	// settleTime is the age at which what a list revision changed is taken to
-	// have reached every node by rumour, so that a read may start from it.
-	settleTime = 10 * time.Second
-	// maxRevisions bounds the revisions remembered until they settle.
+	// revisionSpreadTime is the age at which a list revision's changes are assumed to
+	// have reached every node by gossip, so that a read may start from it.
+	revisionSpreadTime = 10 * time.Second
+	// maxRevisions bounds the revisions stored until they have spread.
 	maxRevisions = 32
-	// announceAfter is the age at which a read in flight is told to peers; a
-	// faster one is told when it ends.
-	announceAfter = 300 * time.Millisecond
-	// failingAfter is how long reads must have failed for it to be logged.
-	failingAfter = 5 * time.Second
-	// relayStep is how much newer than the last relayed one a read must be to be
+	// announceReadAfter is the age at which a read in flight is announced to peers; a
+	// faster one is announced when it ends.
+	announceReadAfter = 300 * time.Millisecond
+	// failingThreshold is how long reads must have failed before the failure is recorded.
+	failingThreshold = 5 * time.Second
+	// relayThreshold is how much newer than the last relayed read a read must be to be
 	// relayed at once instead of with the next heartbeat.
-	relayStep = suppress.ReadInterval / 2
-	// startGrace is how long a fresh node that knows a peer waits before it may
-	// read the list.
+	relayThreshold = suppress.ReadInterval / 2
+	// startGrace is how long a fresh node that has a seed or a link waits for a snapshot
+	// from a peer before it reads the list.
 	startGrace = 3 * time.Second
-	// missingShare: a full list that lacks more than one in missingShare of the
-	// instances that earlier lists named is distrusted.
-	missingShare = 3
+	// A full list is rejected as implausible when it omits more than one in
+	// maxMissingDivisor of the instances that earlier lists named.
+	maxMissingDivisor = 3
 )
 
-var errOlderList = errors.New("revision is older than one already known")
+var errOlderList = errors.New("list revision is older than one already known")
 
-type heardRevision struct {
+type revisionSeen struct {
 	revision uint64
-	at       time.Time
+	seenAt   time.Time
 }
 
-// listReader reads the platform's list when nobody else does.
+// listReader reads the platform's list when no other node has read it recently.
 type listReader struct {
 	timer *suppress.Timer
-	// newest is the greatest revision known; own is that of this node's last read.
+	// newest is the greatest known revision; own is the revision of this node's last
+	// read.
 	newest uint64
 	own    uint64
-	// settled is the greatest revision whose changes have spread; recent are
-	// those that have yet to.
-	settled uint64
-	recent  []heardRevision
-	// reading is when this node's read began; zero for none.
-	reading   time.Time
-	announced bool
-	// relayedAttempt and relayedConfirmed are the last that were told at once.
+	// spread is the greatest revision whose changes have reached every node; recent are
+	// the revisions that are still spreading.
+	spread uint64
+	recent []revisionSeen
+	// readStarted is when this node's read in flight started; zero for none.
+	readStarted time.Time
+	announced   bool
+	// relayedAttempt and relayedConfirmed are the newest times that were relayed at once.
 	relayedAttempt   time.Time
 	relayedConfirmed time.Time
 	failing          bool
 	stale            bool
 }
 
-// forget drops what lets a read start from a revision.
+// forget makes the next read start from the beginning of the list.
 func (r *listReader) forget() {
 	r.own = 0
-	r.settled = 0
+	r.spread = 0
 	r.recent = nil
 }
 
-// since returns the revision from which a read must start for this node to
-// miss nothing.
+// since returns the revision from which a read must start to miss no change.
 func (r *listReader) since(now time.Time, loaded bool) uint64 {
-	for len(r.recent) > 0 && now.Sub(r.recent[0].at) > settleTime {
-		r.settled = max(r.settled, r.recent[0].revision)
+	for len(r.recent) > 0 && now.Sub(r.recent[0].seenAt) > revisionSpreadTime {
+		r.spread = max(r.spread, r.recent[0].revision)
 		r.recent = r.recent[1:]
 	}
 	if !loaded {
 		return r.own
 	}
-	return max(r.own, r.settled)
+	return max(r.own, r.spread)
 }
 
-// note takes a revision that somebody has read.
-func (r *listReader) note(now time.Time, revision uint64) {
+// noteRevision stores a revision that some node has read.
+func (r *listReader) noteRevision(now time.Time, revision uint64) {
 	if revision <= r.newest {
 		return
 	}
 	r.newest = revision
 	if len(r.recent) < maxRevisions {
-		r.recent = append(r.recent, heardRevision{revision: revision, at: now})
+		r.recent = append(r.recent, revisionSeen{revision: revision, seenAt: now})
 	}
 }
 
 func (c *Controller) tickList(now time.Time) {
-	c.noteFailing(now)
-	if c.stage == model.StateGone {
+	c.recordListFailing(now)
+	if c.ownState == model.StateGone {
 		return
 	}
 	if c.listGrace(now) {
 		return
 	}
 	if c.list.timer.Due(now, c.FleetSize()) {
-		c.list.reading = now
+		c.list.readStarted = now
 		c.list.announced = false
-		c.act(control.ReadList{Since: c.list.since(now, c.sync.loaded)})
+		c.emit(control.ReadList{Since: c.list.since(now, c.sync.loaded)})
 		return
 	}
-	if !c.list.reading.IsZero() && !c.list.announced && now.Sub(c.list.reading) > announceAfter {
+	if !c.list.readStarted.IsZero() && !c.list.announced && now.Sub(c.list.readStarted) > announceReadAfter {
 		c.list.announced = true
 		c.relayList(now, "")
 	}
 }
 
-// listGrace reports whether this node has just started and may still hear the
-// fleet from a peer instead of from the platform.
+// listGrace reports whether this node has just started and may still receive the fleet
+// from a peer instead of from the platform.
 func (c *Controller) listGrace(now time.Time) bool {
 	known := len(c.cfg.Seeds) > 0 || len(c.links.all) > 0
 	return known && !c.sync.loaded && now.Sub(c.started) < startGrace
 }
 
-// noteFailing records when reads begin to fail for the whole fleet, and when
-// they end to.
-func (c *Controller) noteFailing(now time.Time) {
+// recordListFailing records when list reads begin to fail for the whole fleet and when
+// they recover.
+func (c *Controller) recordListFailing(now time.Time) {
 	attempt, confirmed := c.list.timer.Ages(now)
-	failing := attempt != suppress.Never && confirmed > attempt && confirmed-attempt > failingAfter
+	failing := attempt != suppress.Never && confirmed > attempt && confirmed-attempt > failingThreshold
 	switch {
 	case failing && !c.list.failing:
 		c.record(event.ListFailed, "", "")
@@ -132,7 +132,7 @@
 	c.list.failing = failing
 }
 
-// listAges returns the beacon that heartbeats carry.
+// listAges returns the ages of the last list reads, as carried by heartbeats and beacons.
 func (c *Controller) listAges(now time.Time) wire.ListAges {
 	attempt, confirmed := c.list.timer.Ages(now)
 	return wire.ListAges{
@@ -140,34 +140,36 @@
 	}
 }
 
-// heardList takes a peer's beacon that was on its way for at most waited.
-func (c *Controller) heardList(now time.Time, l *link, ages wire.ListAges, waited time.Duration) {
-	c.list.timer.ObservePeer(now, older(ages.Attempt.Duration(), waited), older(ages.Confirmed.Duration(), waited))
-	c.list.note(now, ages.Revision)
+// receiveListAges handles a peer's list ages; transit is an upper bound of the time that
+// the message was under way.
+func (c *Controller) receiveListAges(now time.Time, l *link, ages wire.ListAges, transit time.Duration) {
+	c.list.timer.ObservePeer(now, addTransit(ages.Attempt.Duration(), transit), addTransit(ages.Confirmed.Duration(), transit))
+	c.list.noteRevision(now, ages.Revision)
 	c.relayList(now, l.peer)
 }
 
-func older(age, waited time.Duration) time.Duration {
+func addTransit(age, transit time.Duration) time.Duration {
 	if age == suppress.Never {
 		return age
 	}
-	return age + waited
+	return age + transit
 }
 
-// relayList tells all peers but one of a read that is news.
+// relayList sends the list ages to all peers except one when they are sufficiently newer
+// than those sent last.
 func (c *Controller) relayList(now time.Time, except model.InstanceID) {
 	attempt, confirmed := c.list.timer.Ages(now)
 	if attempt == suppress.Never {
 		return
 	}
 	at := now.Add(-attempt)
-	news := at.Sub(c.list.relayedAttempt) > relayStep
+	isNew := at.Sub(c.list.relayedAttempt) > relayThreshold
 	var confirmedAt time.Time
 	if confirmed != suppress.Never {
 		confirmedAt = now.Add(-confirmed)
-		news = news || confirmedAt.Sub(c.list.relayedConfirmed) > relayStep
+		isNew = isNew || confirmedAt.Sub(c.list.relayedConfirmed) > relayThreshold
 	}
-	if !news {
+	if !isNew {
 		return
 	}
 	c.list.relayedAttempt = at
@@ -181,28 +183,28 @@
 }
 
 func (c *Controller) listReadFailed(now time.Time, _ error) {
-	c.endRead(now, false)
+	c.finishRead(now, false)
 }
 
-func (c *Controller) endRead(now time.Time, ok bool) {
-	c.list.reading = time.Time{}
+func (c *Controller) finishRead(now time.Time, ok bool) {
+	c.list.readStarted = time.Time{}
 	c.list.timer.ReadDone(now, ok)
 	c.relayList(now, "")
 }
 
-// listRead takes an answered read. An older list than one already known has no
-// news, and its source is as good as down.
+// listRead handles a successful read. A list older than a known revision is rejected, and
+// the read counts as failed.
 func (c *Controller) listRead(now time.Time, e control.ListRead) {
 	if e.Revision < c.list.newest {
-		c.staleList(now)
+		c.rejectStaleList(now)
 		return
 	}
 	c.list.stale = false
-	c.list.note(now, e.Revision)
-	if e.Full && c.lacksTooMany(e) {
+	c.list.noteRevision(now, e.Revision)
+	if e.Full && c.missingTooMany(e) {
 		c.record(event.ListIncomplete, "", "")
 		c.applyList(now, e)
-		c.endRead(now, false)
+		c.finishRead(now, false)
 		return
 	}
 	c.list.own = e.Revision
@@ -210,16 +212,16 @@
 	if e.Full {
 		c.markAbsent(now, e)
 	}
-	c.endRead(now, true)
+	c.finishRead(now, true)
 	c.flush(now)
 }
 
-func (c *Controller) staleList(now time.Time) {
+func (c *Controller) rejectStaleList(now time.Time) {
 	if !c.list.stale {
-		c.act(control.Record{Event: event.ListStale, Err: errOlderList})
+		c.emit(control.Record{Event: event.ListStale, Err: errOlderList})
 	}
 	c.list.stale = true
-	c.endRead(now, false)
+	c.finishRead(now, false)
 }
 
 func (c *Controller) applyList(now time.Time, e control.ListRead) {
@@ -228,37 +230,37 @@
 	}
 }
 
-// applyListed takes what the list says of one instance.
+// applyListed merges the list's entry of one instance.
 func (c *Controller) applyListed(now time.Time, revision uint64, i model.Instance) {
-	mark := markOf(i.State)
+	status := listStatusOf(i.State)
 	before, known := c.table.get(i.ID)
-	if !known && mark == wire.ListAbsent {
+	if !known && status == wire.ListAbsent {
 		return
 	}
 	r := before
-	if !known || r.Incarnation == 0 && mark != wire.ListAbsent {
-		r = c.firstSeen(revision, i, before)
+	if !known || r.Incarnation == 0 && status != wire.ListAbsent {
+		r = c.recordFromList(revision, i, before)
 	}
-	if before.ListStatus != mark {
-		r.ListRevision, r.ListStatus = revision, mark
+	if before.ListStatus != status {
+		r.ListRevision, r.ListStatus = revision, status
 	}
-	turned := before.ListStatus == wire.ListLive || before.Incarnation == 0
-	if mark == wire.ListLeaving && turned && serving(r.State) {
+	mayApplyLeaving := before.ListStatus == wire.ListLive || before.Incarnation == 0
+	if status == wire.ListLeaving && mayApplyLeaving && serving(r.State) {
 		r.State = model.StateLeaving
 	}
 	if !wellFormed(r) {
-		c.recordRarely(now, event.MemberMalformed, string(i.ID), "instance of the platform's list out of bounds")
+		c.recordRateLimited(now, event.MemberMalformed, string(i.ID), "instance on the platform's list has an invalid field")
 		return
 	}
 	if known && r == before {
 		return
 	}
-	c.learn(now, r, "", !c.sync.loaded)
+	c.mergeRecord(now, r, "", !c.sync.loaded)
 }
 
-// firstSeen returns the record of an instance that has not spoken for itself.
-// The list may change what it said of it.
-func (c *Controller) firstSeen(revision uint64, i model.Instance, before wire.MemberRecord) wire.MemberRecord {
+// recordFromList returns the record of an instance that has not announced itself. A later
+// list may change the attributes that an earlier one gave.
+func (c *Controller) recordFromList(revision uint64, i model.Instance, before wire.MemberRecord) wire.MemberRecord {
 	r := before
 	r.ID = i.ID
 	r.Service, r.DataCentre, r.PeerAddress = i.Service, i.DataCentre, i.PeerAddress
@@ -271,9 +273,9 @@
 	return r
 }
 
-// markOf returns the mark for a state on the list. What is gone is as good as
+// listStatusOf returns the list status of a state. An instance listed as gone counts as
 // absent.
-func markOf(s model.UpstreamState) wire.ListStatus {
+func listStatusOf(s model.UpstreamState) wire.ListStatus {
 	switch s {
 	case model.StateLeaving:
 		return wire.ListLeaving
@@ -284,47 +286,47 @@
 	}
 }
 
-func listed(m wire.ListStatus) bool { return m == wire.ListLive || m == wire.ListLeaving }
+func isListed(m wire.ListStatus) bool { return m == wire.ListLive || m == wire.ListLeaving }
 
-// lacksTooMany reports whether a full list lacks so many instances that earlier
-// ones named that it is more likely wrong than true.
-func (c *Controller) lacksTooMany(e control.ListRead) bool {
+// missingTooMany reports whether a full list omits so many instances that earlier lists
+// named that it is more likely wrong than right.
+func (c *Controller) missingTooMany(e control.ListRead) bool {
 	named := 0
 	missing := 0
-	on := onList(e)
+	listedIDs := idsOf(e)
 	for _, id := range c.table.order {
 		r := c.table.entries[id].rec
 		if !serving(r.State) || r.ListStatus != wire.ListLive {
 			continue
 		}
 		named++
-		if !on[id] {
+		if !listedIDs[id] {
 			missing++
 		}
 	}
-	return missing > max(1, named/missingShare)
+	return missing > max(1, named/maxMissingDivisor)
 }
 
-// markAbsent marks instances that a full list no longer names.
+// markAbsent marks the instances that a full list no longer names.
 func (c *Controller) markAbsent(now time.Time, e control.ListRead) {
-	on := onList(e)
+	listedIDs := idsOf(e)
 	var absent []wire.MemberRecord
 	for _, id := range c.table.order {
 		r := c.table.entries[id].rec
-		if listed(r.ListStatus) && !on[id] {
+		if isListed(r.ListStatus) && !listedIDs[id] {
 			r.ListRevision, r.ListStatus = e.Revision, wire.ListAbsent
 			absent = append(absent, r)
 		}
 	}
 	for _, r := range absent {
-		c.learn(now, r, "", false)
+		c.mergeRecord(now, r, "", false)
 	}
 }
 
-func onList(e control.ListRead) map[model.InstanceID]bool {
-	on := make(map[model.InstanceID]bool, len(e.Instances))
+func idsOf(e control.ListRead) map[model.InstanceID]bool {
+	ids := make(map[model.InstanceID]bool, len(e.Instances))
 	for _, i := range e.Instances {
-		on[i.ID] = true
+		ids[i.ID] = true
 	}
-	return on
+	return ids
 }
--- a/internal/member/list_test.go
+++ b/internal/member/list_test.go
@@ -8,51 +8,51 @@
 	"gypsumstand/internal/model"
 )
 
-func TestListIntroducesAndMakesLeave(t *testing.T) {
-	f := grown(t, 6, 2, 10*time.Second)
+func TestListAddsInstanceAndMarksItLeaving(t *testing.T) {
+	f := newStableFleet(t, 6, 2, 10*time.Second)
 	fresh := instance(90, 2, model.StateLive)
 	fresh.PeerAddress = ""
-	f.list(fresh)
+	f.setListed(fresh)
 	f.run(6 * time.Second)
 	if k := f.count(fresh.ID, model.StateLive); k != 6 {
 		t.Errorf("live for %d of 6 after the list named it", k)
 	}
 	fresh.State = model.StateLeaving
-	f.list(fresh)
+	f.setListed(fresh)
 	f.run(6 * time.Second)
 	fresh.State = model.StateLive
-	f.list(fresh)
+	f.setListed(fresh)
 	f.run(6 * time.Second)
 	if k := f.count(fresh.ID, model.StateLive); k != 0 {
 		t.Errorf("live for %d although it was leaving", k)
 	}
 }
 
-func TestListThatMarksALiveOwnerLeavingAndTakesItBack(t *testing.T) {
-	f := grown(t, 6, 2, 10*time.Second)
+func TestListMarksOwnerLeavingAndLiveAgain(t *testing.T) {
+	f := newStableFleet(t, 6, 2, 10*time.Second)
 	x := f.nodes[2]
-	f.list(instance(2, 2, model.StateLeaving))
+	f.setListed(instance(2, 2, model.StateLeaving))
 	f.run(6 * time.Second)
 	if k := f.count(x.inst.ID, model.StateLeaving); k != 6 || x.events[event.ListSaysLeaving] == 0 {
 		t.Errorf("leaving for %d of 6, events %v", k, x.events)
 	}
-	f.list(instance(2, 2, model.StateLive))
+	f.setListed(instance(2, 2, model.StateLive))
 	f.run(6 * time.Second)
 	if k := f.count(x.inst.ID, model.StateLive); k != 6 || x.events[event.IncarnationRaised] == 0 {
 		t.Errorf("live again for %d of 6, events %v", k, x.events)
 	}
 }
 
-func TestOldListBringsNobodyBack(t *testing.T) {
-	f := grown(t, 8, 2, 10*time.Second)
+func TestStaleListRevivesNobody(t *testing.T) {
+	f := newStableFleet(t, 8, 2, 10*time.Second)
 	old := f.now
 	x := f.nodes[1]
-	f.say(x, model.StateLeaving)
+	f.setState(x, model.StateLeaving)
 	f.run(2 * time.Second)
-	f.say(x, model.StateGone)
+	f.setState(x, model.StateGone)
 	f.run(time.Second)
 	f.kill(x)
-	f.list(instance(1, 2, model.StateGone))
+	f.setListed(instance(1, 2, model.StateGone))
 	f.run(10 * time.Second)
 	f.listFrozen = old
 	f.start(instance(20, 2, model.StateLive))
@@ -61,12 +61,12 @@
 		t.Errorf("gone for %d of 8 while the list is an hour old", k)
 	}
 	if f.eventCount(event.ListStale) == 0 {
-		t.Error("no event tells that the list is stale")
+		t.Error("no ListStale event")
 	}
 }
 
-func TestFleetGoesOnWhileTheListIsDownForAnHour(t *testing.T) {
-	f := grown(t, 6, 2, 10*time.Second)
+func TestFleetSurvivesListOutageOfAnHour(t *testing.T) {
+	f := newStableFleet(t, 6, 2, 10*time.Second)
 	f.listDown = true
 	f.run(time.Minute)
 	reads := f.reads
@@ -94,35 +94,35 @@
 	}
 }
 
-func TestInstanceMissingFromTheListStaysWhileItLives(t *testing.T) {
-	f := grown(t, 24, 2, 10*time.Second)
-	f.list(instance(2, 2, model.StateGone))
-	f.run(supportFor + reapSpread + 5*time.Minute)
+func TestUnlistedInstanceStaysWhileReachable(t *testing.T) {
+	f := newStableFleet(t, 24, 2, 10*time.Second)
+	f.setListed(instance(2, 2, model.StateGone))
+	f.run(unlistedTTL + reapSpread + 5*time.Minute)
 	if k := f.count(f.nodes[2].inst.ID, model.StateLive); k != 24 {
 		t.Errorf("live for %d of 24", k)
 	}
 }
 
-func TestInstanceMissingFromTheListGoesWithoutSupport(t *testing.T) {
-	f := grown(t, 6, 2, 10*time.Second)
+func TestUnlistedUnlinkedInstanceIsRemoved(t *testing.T) {
+	f := newStableFleet(t, 6, 2, 10*time.Second)
 	never := instance(90, 2, model.StateLive)
 	never.PeerAddress = ""
-	f.list(never)
+	f.setListed(never)
 	f.run(10 * time.Second)
 	never.State = model.StateGone
-	f.list(never)
-	f.run(supportFor / 2)
+	f.setListed(never)
+	f.run(unlistedTTL / 2)
 	if k := f.count(never.ID, model.StateLive); k != 6 {
-		t.Errorf("live for %d of 6 half the stated time after", k)
+		t.Errorf("live for %d of 6 after half of unlistedTTL", k)
 	}
-	f.run(supportFor/2 + 2*reapSpread)
+	f.run(unlistedTTL/2 + 2*reapSpread)
 	if k := f.count(never.ID, model.StateGone); k != 6 {
 		t.Errorf("gone for %d of 6 in the end", k)
 	}
 }
 
-func TestPlatformIsReadByFew(t *testing.T) {
-	f := grown(t, 100, 5, 20*time.Second)
+func TestListReadRateIsBounded(t *testing.T) {
+	f := newStableFleet(t, 100, 5, 20*time.Second)
 	reads := f.reads
 	f.run(time.Minute)
 	perSecond := float64(f.reads-reads) / 60
@@ -130,21 +130,21 @@
 		t.Errorf("%.1f reads a second of 100 nodes", perSecond)
 	}
 	if k := f.eventCount(event.ListFailed); k > 0 {
-		t.Errorf("failure recorded %d times while the list answers", k)
+		t.Errorf("failure recorded %d times while the list is available", k)
 	}
 	if age := f.now.Sub(f.nodes[50].c.ListConfirmed()); age > 5*time.Second {
 		t.Errorf("list confirmed %s ago", age)
 	}
 }
 
-func TestTombstonesAreForgotten(t *testing.T) {
-	f := grown(t, 2, 1, 10*time.Second)
-	f.say(f.nodes[1], model.StateGone)
+func TestTombstonesExpire(t *testing.T) {
+	f := newStableFleet(t, 2, 1, 10*time.Second)
+	f.setState(f.nodes[1], model.StateGone)
 	f.run(time.Second)
 	f.kill(f.nodes[1])
-	f.list(instance(1, 1, model.StateGone))
-	f.run(tombstoneFor + time.Minute)
+	f.setListed(instance(1, 1, model.StateGone))
+	f.run(tombstoneTTL + time.Minute)
 	if _, ok := f.nodes[0].c.table.get(f.nodes[1].inst.ID); ok {
-		t.Errorf("still remembered after %s", tombstoneFor+time.Minute)
+		t.Errorf("still remembered after %s", tombstoneTTL+time.Minute)
 	}
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,7 +1,9 @@
-// Package member keeps a node's view of the fleet: from the platform's lagging
-// list, the owners' own word and what links show. It also chooses the bounded
-// number of peers that this node keeps links to. It writes the blackboard's
-// Fleet section. Design: docs/DESIGN.md, "Membership".
+// Package member maintains a node's view of the fleet by gossip. It merges three sources:
+// the platform's list, which lags; the records that each instance announces about itself;
+// and reachability over control links. Peers that cannot be reached are suspected and,
+// once enough observers confirm it, declared gone; a digest exchange repairs what rumours
+// missed. The package also chooses the bounded set of peers that this node keeps links
+// to, and writes the blackboard's Fleet section. Design: docs/DESIGN.md, "Membership".
 package member
 
 import (
@@ -16,34 +18,34 @@
 	"gypsumstand/internal/wire"
 )
 
-// Config is a controller's fixed setting.
+// Config holds the fixed settings of a Controller.
 type Config struct {
 	Self model.Instance
-	// Seeds are peer addresses from the settings, for a node that the platform's
-	// list has not reached yet. May be empty. As a seed's id is not known before
-	// its link is up, OpenLink names it by its address.
+	// Seeds are peer addresses from the settings, used while the platform's list does not
+	// name this node or its peers yet. It may be empty. A seed's id is unknown until its
+	// link is up, so OpenLink uses the address as the id.
 	Seeds []string
 }
 
-// Controller implements control.Controller. Its accessors are for the goroutine
-// that calls Handle.
+// Controller implements control.Controller. It is not safe for concurrent use: its
+// accessors may only be called from the goroutine that calls Handle.
 type Controller struct {
 	cfg   Config
 	board *blackboard.Board
 	rng   *rand.Rand
-	// started is the time of the first event; zero before.
+	// started is the time of the first event; zero before it.
 	started time.Time
 	out     []control.Action
 
 	table *table
-	// dirty says that the table has changed since it was published.
+	// dirty is set while the published view is older than the table.
 	dirty    bool
 	revision uint64
-	// stage is this node's own life stage, as the node's life cycle said.
-	stage  model.UpstreamState
-	raises raises
-	// said is when an event that peers can cause was last recorded.
-	said map[event.ID]time.Time
+	// ownState is this node's own lifecycle state, as last reported by SelfChanged.
+	ownState    model.UpstreamState
+	superseding supersedeLimiter
+	// lastRecorded holds when each rate-limited event was last recorded.
+	lastRecorded map[event.ID]time.Time
 
 	links  links
 	peers  peering
@@ -52,21 +54,21 @@
 	list   listReader
 	checks checker
 	reaper reaper
-	// doubtUntil is how long this node trusts its own observations less, since
-	// it was paused.
-	doubtUntil time.Time
+	// unreliableUntil ends the period after a pause in which this node does not act on
+	// its own observations.
+	unreliableUntil time.Time
 }
 
 var _ control.Controller = (*Controller)(nil)
 
-// New returns a controller that knows itself only.
+// New returns a controller whose view contains only this node.
 func New(cfg Config, board *blackboard.Board, rng *rand.Rand) *Controller {
-	c := &Controller{cfg: cfg, board: board, rng: rng, table: newTable(), stage: cfg.Self.State}
+	c := &Controller{cfg: cfg, board: board, rng: rng, table: newTable(), ownState: cfg.Self.State}
 	c.list.timer = suppress.New(rng)
-	c.said = map[event.ID]time.Time{}
-	c.peers.init()
-	c.gossip.init()
-	c.reaper.init()
+	c.lastRecorded = map[event.ID]time.Time{}
+	c.peers.reset()
+	c.gossip.reset()
+	c.reaper.reset()
 	c.table.merge(recordOf(cfg.Self))
 	c.publish()
 	return c
@@ -99,44 +101,43 @@
 		c.publish()
 	case control.OwnerUnresponsive:
 		if e.NoConnection {
-			c.suspect(now, e.Owner.ID, "a call could not connect")
+			c.checkPeer(now, e.Owner.ID, "a call failed to connect")
 		}
 	}
 	return c.out
 }
 
-// ListConfirmed returns the time at which the platform's list was last
-// confirmed, by this node's reading or a peer's; zero for never.
+// ListConfirmed returns when the platform's list was last confirmed, by a read of this
+// node or of a peer; zero if never.
 func (c *Controller) ListConfirmed() time.Time { return c.list.timer.LastSuccess() }
 
-// ListReads counts this node's own reads of the platform's list.
+// ListReads returns the number of list reads that this node has started.
 func (c *Controller) ListReads() uint64 { return c.list.timer.ReadCount() }
 
-// FleetSize returns the number of known instances that are not gone, this node
-// included.
+// FleetSize returns the number of known instances that are not gone, including this node.
 func (c *Controller) FleetSize() int { return max(c.table.present, 1) }
 
-// Loaded reports whether this node has taken over the whole fleet from its
-// peers, or has found that none of them has it.
+// Loaded reports whether the initial snapshot is complete: this node has loaded the whole
+// fleet from its peers, or has found that none of them has it.
 func (c *Controller) Loaded() bool { return c.sync.loaded }
 
-// Self returns this node's own instance with its present incarnation.
+// Self returns this node's own instance with its current incarnation.
 func (c *Controller) Self() model.Instance { return instanceOf(c.self()) }
 
-// Link is one open link to a peer.
+// Link describes one open link to a peer.
 type Link struct {
 	Peer model.InstanceID
-	// Outgoing tells whether this node opened it.
+	// Outgoing reports whether this node opened the link.
 	Outgoing bool
-	// LastReceived is when the peer was last heard on it.
+	// LastReceived is when a message from the peer last arrived.
 	LastReceived time.Time
 }
 
-// Links returns the open links in the order of the peers' ids.
+// Links returns the open links, sorted by the peers' ids.
 func (c *Controller) Links() []Link {
 	var out []Link
 	for _, l := range c.links.open() {
-		out = append(out, Link{Peer: l.peer, Outgoing: l.outgoing, LastReceived: l.heard})
+		out = append(out, Link{Peer: l.peer, Outgoing: l.outgoing, LastReceived: l.lastReceived})
 	}
 	return out
 }
@@ -144,7 +145,7 @@
 func (c *Controller) start(now time.Time) {
 	c.started = now
 	c.startPeering(now)
-	c.sync.next = now.Add(c.between(digestMin, digestMax))
+	c.sync.next = now.Add(c.randomBetween(digestMin, digestMax))
 }
 
 func (c *Controller) tick(now time.Time) {
@@ -159,33 +160,34 @@
 	c.publish()
 }
 
-// pauseDoubt is how long after a pause this node suspects and accuses nobody.
-const pauseDoubt = 5 * time.Second
+// pauseGrace is how long after a pause this node neither suspects nor removes instances.
+const pauseGrace = 5 * time.Second
 
-// paused takes that the process stood still for d: what it last heard is no
-// evidence, and its view may be old.
+// paused handles a process pause of length d: silence during the pause proves nothing
+// about peers, and this node's view may be outdated.
 func (c *Controller) paused(now time.Time, d time.Duration) {
-	c.doubtUntil = now.Add(pauseDoubt)
+	c.unreliableUntil = now.Add(pauseGrace)
 	c.list.timer.Paused(now, d)
-	c.links.pardon(now)
+	c.links.resetSilence(now)
 	c.dropChecks()
 	c.peers.dials = nil
-	c.reaper.delay(d)
-	if d > tombstoneFor {
-		c.forgetOthers()
+	c.reaper.postpone(d)
+	if d > tombstoneTTL {
+		c.resetView()
 		c.startSnapshot(now)
 	}
-	c.sync.next = now.Add(c.between(0, time.Second))
+	c.sync.next = now.Add(c.randomBetween(0, time.Second))
 }
 
-// forgetOthers starts anew: after so long a pause, tombstones that would
-// contradict the old view may have been dropped everywhere.
-func (c *Controller) forgetOthers() {
+// resetView discards all records but this node's own. After a pause longer than
+// tombstoneTTL, the tombstones that would correct the old view may have been dropped by
+// every peer.
+func (c *Controller) resetView() {
 	self := c.self()
 	c.table = newTable()
 	c.table.merge(self)
-	c.gossip.init()
-	c.reaper.init()
+	c.gossip.reset()
+	c.reaper.reset()
 	c.sync = synchronizer{}
 	c.list.forget()
 	c.dirty = true
@@ -196,85 +198,85 @@
 	if l == nil {
 		return
 	}
-	l.heard = now
+	l.lastReceived = now
 	switch m := e.Message.(type) {
 	case wire.Heartbeat:
-		c.heartbeat(now, l, m)
+		c.receiveHeartbeat(now, l, m)
 	case wire.ListBeacon:
-		c.heardList(now, l, m.List, c.waited(now, m.Echo))
+		c.receiveListAges(now, l, m.List, c.transitTime(now, m.Echo))
 	case wire.Rumours:
-		c.rumours(now, l, m)
+		c.receiveRumours(now, l, m)
 	case wire.SnapshotRequest:
 		c.serveSnapshot(now, l, m)
 	case wire.SnapshotChunk:
-		c.snapshotPiece(now, l, m)
+		c.receiveSnapshotChunk(now, l, m)
 	case wire.Digest:
-		c.digest(now, l, m)
+		c.receiveDigest(now, l, m)
 	case wire.DigestBuckets:
-		c.digestBuckets(now, l, m)
+		c.receiveDigestBuckets(now, l, m)
 	case wire.BucketSummaries:
-		c.bucketSummaries(now, l, m)
+		c.receiveBucketSummaries(now, l, m)
 	case wire.RecordRequest:
-		c.want(now, l, m)
+		c.receiveRecordRequest(now, l, m)
 	case wire.Probe:
-		c.probe(now, l, m)
+		c.receiveProbe(now, l, m)
 	case wire.ProbeReply:
-		c.probeReply(now, l, m)
+		c.receiveProbeReply(now, l, m)
 	case wire.LinkReject:
-		c.rejected(now, l, m)
+		c.receiveReject(now, l, m)
 	}
 }
 
-// learn merges a record that peer told (empty: this node found it out) and
-// spreads it when it is news, unless quiet.
-func (c *Controller) learn(now time.Time, r wire.MemberRecord, peer model.InstanceID, quiet bool) merged {
-	if r.ID == c.cfg.Self.ID && peer != "" && c.contradicts(r) {
-		return c.contradicted(now, r)
+// mergeRecord merges a record received from peer (empty if this node produced it) and
+// gossips it when it changed the view, unless noGossip is set.
+func (c *Controller) mergeRecord(now time.Time, r wire.MemberRecord, peer model.InstanceID, noGossip bool) mergeResult {
+	if r.ID == c.cfg.Self.ID && peer != "" && c.mustSupersede(r) {
+		return c.supersede(now, r)
 	}
 	m := c.table.merge(r)
 	switch {
-	case m.refused:
-		c.recordRarely(now, event.MemberLimit, string(r.ID), "")
+	case m.tableFull:
+		c.recordRateLimited(now, event.MemberLimit, string(r.ID), "")
 		return m
 	case !m.changed:
-		c.gossip.alsoKnownBy(r.ID, peer, m.now == r)
+		c.gossip.alsoKnownBy(r.ID, peer, m.after == r)
 		return m
 	}
 	c.dirty = true
-	c.noteStage(now, m)
-	c.reaper.note(now, m)
-	if !quiet {
-		c.gossip.queue(m.now, peer)
+	c.onStateChange(now, m)
+	c.reaper.update(now, m)
+	if !noGossip {
+		c.gossip.queue(m.after, peer)
 	}
-	if r.ID == c.cfg.Self.ID && m.known {
-		c.listedSelf(now, m.old, m.now)
+	if r.ID == c.cfg.Self.ID && m.existed {
+		c.onOwnListStatus(now, m.before, m.after)
 	}
 	return m
 }
 
-// noteStage records what changed and follows it up.
-func (c *Controller) noteStage(now time.Time, m merged) {
-	id := m.now.ID
-	newLife := !m.known || m.old.Incarnation != m.now.Incarnation
+// onStateChange records a change of an instance's state and triggers its consequences.
+func (c *Controller) onStateChange(now time.Time, m mergeResult) {
+	id := m.after.ID
+	newIncarnation := !m.existed || m.before.Incarnation != m.after.Incarnation
 	switch {
-	case newLife && serving(m.now.State):
-		c.checks.noteReturn(id)
+	case newIncarnation && serving(m.after.State):
+		c.checks.removeUnplannedExit(id)
 		c.record(event.MemberJoined, string(id), "")
-	case m.known && m.old.State == m.now.State:
-	case m.now.State == model.StateLeaving:
+	case m.existed && m.before.State == m.after.State:
+	case m.after.State == model.StateLeaving:
 		c.record(event.MemberLeaving, string(id), "")
-	case m.now.State == model.StateGone:
+	case m.after.State == model.StateGone:
 		c.record(event.MemberGone, string(id), "")
-		c.gone(now, m)
+		c.onGone(now, m)
 	}
 }
 
-// gone drops what this node still holds open for an instance.
-func (c *Controller) gone(now time.Time, m merged) {
-	if m.known && serving(m.old.State) {
-		c.checks.noteLoss(now, m.now)
+// onGone closes the link to an instance that is gone and counts an unplanned exit.
+func (c *Controller) onGone(now time.Time, m mergeResult) {
+	if m.existed && serving(m.before.State) {
+		c.checks.addUnplannedExit(now, m.after)
 	}
-	if l := c.links.get(m.now.ID); l != nil {
+	if l := c.links.get(m.after.ID); l != nil {
 		c.closeLink(now, l)
 	}
 }
@@ -288,33 +290,33 @@
 	c.board.Fleet.Put(&model.Fleet{Revision: c.revision, Instances: c.table.instances()})
 }
 
-func (c *Controller) act(a control.Action) { c.out = append(c.out, a) }
+func (c *Controller) emit(a control.Action) { c.out = append(c.out, a) }
 
 func (c *Controller) send(to model.InstanceID, m wire.Message) {
-	c.act(control.Send{To: to, Message: m})
+	c.emit(control.Send{To: to, Message: m})
 }
 
 func (c *Controller) record(id event.ID, subject, detail string) {
-	c.act(control.Record{Event: id, Subject: subject, Detail: detail})
+	c.emit(control.Record{Event: id, Subject: subject, Detail: detail})
 }
 
-// recordInterval is the least time between two records of an event that a peer
-// can cause at will.
+// recordInterval is the minimum time between two records of one event that peers can
+// trigger at will.
 const recordInterval = 10 * time.Second
 
-func (c *Controller) recordRarely(now time.Time, id event.ID, subject, detail string) {
-	if last, ok := c.said[id]; ok && now.Sub(last) < recordInterval {
+func (c *Controller) recordRateLimited(now time.Time, id event.ID, subject, detail string) {
+	if last, ok := c.lastRecorded[id]; ok && now.Sub(last) < recordInterval {
 		return
 	}
-	c.said[id] = now
+	c.lastRecorded[id] = now
 	c.record(id, subject, detail)
 }
 
-// between returns a random duration from low up to high.
-func (c *Controller) between(low, high time.Duration) time.Duration {
+// randomBetween returns a random duration in [low, high).
+func (c *Controller) randomBetween(low, high time.Duration) time.Duration {
 	return low + time.Duration(c.rng.Int64N(int64(high-low)))
 }
 
-// doubts reports whether this node trusts its own observations too little to
-// speak against others.
-func (c *Controller) doubts(now time.Time) bool { return now.Before(c.doubtUntil) }
+// observationsUnreliable reports whether this node was paused so recently that it must
+// not suspect or remove other instances.
+func (c *Controller) observationsUnreliable(now time.Time) bool { return now.Before(c.unreliableUntil) }
--- a/internal/member/peers.go
+++ b/internal/member/peers.go
@@ -15,42 +15,43 @@
 	outgoingLinks = 4
 	// incomingLinks bounds the links that a node accepts.
 	incomingLinks = 12
-	// dialLimit is how long an opening may take.
-	dialLimit = 5 * time.Second
-	// slotDials bounds the openings in flight to fill outgoing links.
-	slotDials = 2
-	// openWithin is the spread of the first openings, and of one that replaces a
-	// lost link; it grows by refillPerNode with the fleet, since what broke one
-	// link may have broken many.
-	openWithin    = 300 * time.Millisecond
-	refillPerNode = 100 * time.Microsecond
-	// noCandidateWait is the time to the next look when no peer suits.
+	// dialExpiry is how long opening a link may take.
+	dialExpiry = 5 * time.Second
+	// maxKeptDials bounds the dials in flight that fill outgoing links.
+	maxKeptDials = 2
+	// openSpread is the range of the random delay before the first dials, and before a
+	// link that ended is replaced. It grows by openSpreadPerInstance with the fleet size,
+	// since the cause that ended one link may have ended many.
+	openSpread            = 300 * time.Millisecond
+	openSpreadPerInstance = 100 * time.Microsecond
+	// noCandidateWait is the delay before the next attempt when no peer is eligible.
 	noCandidateWait = time.Second
-	// Backoff of a peer that could not be reached, doubling.
+	// Backoff of an unreachable peer; it doubles with each failure.
 	backoffMin = time.Second
 	backoffMax = time.Minute
-	// rejectedFor is the least time before a peer that has enough links is asked again.
+	// rejectedFor is the minimum time before a peer that rejected a link is dialled
+	// again.
 	rejectedFor = time.Minute
-	// An outgoing link is replaced by another now and then, so that the links of
-	// the fleet stay random whatever order its nodes started in.
+	// Interval at which a random outgoing link is replaced, so that the topology stays
+	// random whatever the order in which nodes started.
 	rotateMin = 5 * time.Minute
 	rotateMax = 15 * time.Minute
-	// isolatedAfter is the time without any link after which it is logged.
+	// isolatedAfter is the time without any link after which isolation is recorded.
 	isolatedAfter = 10 * time.Second
-	// redirects is the number of others that a rejection names.
-	redirects = 4
-	// maxBackoffs bounds the memory of unreachable peers.
+	// maxRedirects is the number of other instances that a rejection names.
+	maxRedirects = 4
+	// maxBackoffs bounds the peers whose backoff is stored.
 	maxBackoffs = 512
 )
 
-// dial is an opening of a link in flight.
+// dial is an attempt in flight to open a link.
 type dial struct {
-	peer    model.InstanceID
-	address string
-	since   time.Time
-	// slot says that it is to become one of the outgoing links; otherwise it
-	// only finds out whether the peer is reachable.
-	slot bool
+	peer      model.InstanceID
+	address   string
+	startedAt time.Time
+	// keep reports whether the link is to become one of the outgoing links; otherwise it
+	// only tests whether the peer is reachable.
+	keep bool
 }
 
 type backoff struct {
@@ -64,18 +65,18 @@
 	backoffs   map[model.InstanceID]backoff
 	nextOpen   time.Time
 	nextRotate time.Time
-	// nextExplore is the time of the next try beyond the outgoing links.
+	// nextExplore is the time of the next attempt beyond the outgoing limit.
 	nextExplore time.Time
-	// linked is the last time at which there was a link.
-	linked time.Time
-	// isolated says that the lack of links has been logged.
+	// lastLinked is when this node last had a link.
+	lastLinked time.Time
+	// isolated reports whether the current isolation has been recorded.
 	isolated bool
 }
 
-func (p *peering) init() { p.backoffs = map[model.InstanceID]backoff{} }
+func (p *peering) reset() { p.backoffs = map[model.InstanceID]backoff{} }
 
-// delay puts the next opening off to at least d from now.
-func (p *peering) delay(now time.Time, d time.Duration) {
+// delayOpening postpones the next dial to at least d from now.
+func (p *peering) delayOpening(now time.Time, d time.Duration) {
 	if at := now.Add(d); at.After(p.nextOpen) {
 		p.nextOpen = at
 	}
@@ -85,10 +86,10 @@
 	return slices.ContainsFunc(p.dials, func(d dial) bool { return d.peer == id })
 }
 
-func (p *peering) slotDials() int {
+func (p *peering) keptDials() int {
 	n := 0
 	for _, d := range p.dials {
-		if d.slot {
+		if d.keep {
 			n++
 		}
 	}
@@ -96,39 +97,39 @@
 }
 
 func (c *Controller) startPeering(now time.Time) {
-	c.peers.linked = now
-	c.peers.delay(now, c.between(0, openWithin))
-	c.peers.nextRotate = now.Add(c.between(rotateMin, rotateMax))
-	c.peers.nextExplore = now.Add(c.between(exploreMin, 2*exploreMin))
+	c.peers.lastLinked = now
+	c.peers.delayOpening(now, c.randomBetween(0, openSpread))
+	c.peers.nextRotate = now.Add(c.randomBetween(rotateMin, rotateMax))
+	c.peers.nextExplore = now.Add(c.randomBetween(exploreMin, 2*exploreMin))
 }
 
-// refillWithin draws the time after which a lost link is replaced.
-func (c *Controller) refillWithin() time.Duration {
-	return c.between(0, openWithin+time.Duration(c.FleetSize())*refillPerNode)
+// refillDelay returns a random delay before a link that ended is replaced.
+func (c *Controller) refillDelay() time.Duration {
+	return c.randomBetween(0, openSpread+time.Duration(c.FleetSize())*openSpreadPerInstance)
 }
 
 func (c *Controller) tickPeering(now time.Time) {
 	c.expireDials(now)
-	c.watchIsolation(now)
-	if c.stage == model.StateGone || now.Before(c.peers.nextOpen) {
+	c.recordIsolation(now)
+	if c.ownState == model.StateGone || now.Before(c.peers.nextOpen) {
 		return
 	}
 	if now.After(c.peers.nextRotate) {
-		c.rotate(now)
+		c.rotateLink(now)
 	}
 	if now.After(c.peers.nextExplore) {
 		c.explore(now)
 	}
-	missing := outgoingLinks - c.links.count(true) - c.peers.slotDials()
-	for range min(missing, slotDials-c.peers.slotDials()) {
+	missing := outgoingLinks - c.links.count(true) - c.peers.keptDials()
+	for range min(missing, maxKeptDials-c.peers.keptDials()) {
 		if !c.openOne(now) {
-			c.peers.delay(now, noCandidateWait+c.refillWithin())
+			c.peers.delayOpening(now, noCandidateWait+c.refillDelay())
 			return
 		}
 	}
 }
 
-// openOne opens a link to a random peer, or to a seed when no peer is known.
+// openOne dials a random peer, or a seed when no peer is eligible and no link exists.
 func (c *Controller) openOne(now time.Time) bool {
 	if r, ok := c.choosePeer(now); ok {
 		c.dial(now, r.ID, r.PeerAddress, true)
@@ -154,46 +155,47 @@
 	return false
 }
 
-func (c *Controller) dial(now time.Time, id model.InstanceID, address string, slot bool) {
+func (c *Controller) dial(now time.Time, id model.InstanceID, address string, keep bool) {
 	if c.peers.dialing(id) {
 		return
 	}
-	c.peers.dials = append(c.peers.dials, dial{peer: id, address: address, since: now, slot: slot})
-	c.act(control.OpenLink{Peer: id, Address: address})
+	c.peers.dials = append(c.peers.dials, dial{peer: id, address: address, startedAt: now, keep: keep})
+	c.emit(control.OpenLink{Peer: id, Address: address})
 }
 
-// choosePeer picks a random peer for an outgoing link: first one of another
-// data centre, then one of this, then any, and last one that is leaving.
+// choosePeer picks a random peer for an outgoing link. In order of preference: an
+// instance of another data centre if no link goes to one, one of this data centre if no
+// link stays within it, any serving instance, and any that is leaving.
 func (c *Controller) choosePeer(now time.Time) (wire.MemberRecord, bool) {
 	own := c.cfg.Self.DataCentre
-	hasOwn, hasOther := c.outgoingPlaces()
-	suits := func(r wire.MemberRecord) bool { return serving(r.State) && c.suits(now, r) }
+	hasOwn, hasOther := c.outgoingLocations()
+	servingAndEligible := func(r wire.MemberRecord) bool { return serving(r.State) && c.eligible(now, r) }
 	if !hasOther && len(c.table.serving) > 1 {
-		if r, ok := c.table.pick(c.rng, func(r wire.MemberRecord) bool { return r.DataCentre != own && suits(r) }); ok {
+		if r, ok := c.table.pick(c.rng, func(r wire.MemberRecord) bool { return r.DataCentre != own && servingAndEligible(r) }); ok {
 			return r, true
 		}
 	}
 	if !hasOwn && c.table.serving[own] > 1 {
-		if r, ok := c.table.pick(c.rng, func(r wire.MemberRecord) bool { return r.DataCentre == own && suits(r) }); ok {
+		if r, ok := c.table.pick(c.rng, func(r wire.MemberRecord) bool { return r.DataCentre == own && servingAndEligible(r) }); ok {
 			return r, true
 		}
 	}
-	if r, ok := c.table.pick(c.rng, suits); ok {
+	if r, ok := c.table.pick(c.rng, servingAndEligible); ok {
 		return r, true
 	}
-	return c.table.pick(c.rng, func(r wire.MemberRecord) bool { return c.suits(now, r) })
+	return c.table.pick(c.rng, func(r wire.MemberRecord) bool { return c.eligible(now, r) })
 }
 
-// outgoingPlaces tells whether this node has, or is opening, a link within its
-// data centre and one to another.
-func (c *Controller) outgoingPlaces() (own, other bool) {
+// outgoingLocations reports whether this node has, or is opening, an outgoing link within
+// its own data centre and one to another.
+func (c *Controller) outgoingLocations() (own, other bool) {
 	note := func(id model.InstanceID) {
 		r, ok := c.table.get(id)
 		own = own || ok && r.DataCentre == c.cfg.Self.DataCentre
 		other = other || ok && r.DataCentre != c.cfg.Self.DataCentre
 	}
 	for _, l := range c.links.all {
-		if l.outgoing && l.closingSince.IsZero() {
+		if l.outgoing && l.closedAt.IsZero() {
 			note(l.peer)
 		}
 	}
@@ -203,49 +205,48 @@
 	return own, other
 }
 
-// suits reports whether r may become an outgoing link's peer.
-func (c *Controller) suits(now time.Time, r wire.MemberRecord) bool {
+// eligible reports whether r may become the peer of an outgoing link.
+func (c *Controller) eligible(now time.Time, r wire.MemberRecord) bool {
 	return r.State != model.StateGone && c.unlinked(r) && !now.Before(c.peers.backoffs[r.ID].until)
 }
 
-// unlinked reports whether a link to r could be opened: there is none yet.
+// unlinked reports whether r has an address and no link or dial exists to it.
 func (c *Controller) unlinked(r wire.MemberRecord) bool {
 	return r.ID != c.cfg.Self.ID && r.PeerAddress != "" && c.links.get(r.ID) == nil && !c.peers.dialing(r.ID)
 }
 
-// endDial ends the opening that a link came of, and reports whether it was for
-// one of the outgoing links. Another instance may have answered at the address
-// than was asked for.
-func (c *Controller) endDial(id model.InstanceID, address string) (slot bool) {
+// finishDial ends the dials that an opened link completes, and reports whether one of
+// them was for an outgoing link. The instance that answered at the address may not be the
+// one that was dialled.
+func (c *Controller) finishDial(id model.InstanceID, address string) (keep bool) {
 	delete(c.peers.backoffs, id)
 	c.peers.dials = slices.DeleteFunc(c.peers.dials, func(d dial) bool {
 		ends := d.peer == id || d.address == address
-		slot = slot || ends && d.slot
+		keep = keep || ends && d.keep
 		return ends
 	})
-	return slot
+	return keep
 }
 
-// dialFailed takes the end of a failed opening; it reports false when there was
-// none to id.
+// dialFailed handles the failure of the dial to id; it returns false when there is none.
 func (c *Controller) dialFailed(now time.Time, id model.InstanceID) bool {
 	at := slices.IndexFunc(c.peers.dials, func(d dial) bool { return d.peer == id })
 	if at < 0 {
 		return false
 	}
-	slot := c.peers.dials[at].slot
+	keep := c.peers.dials[at].keep
 	c.peers.dials = slices.Delete(c.peers.dials, at, at+1)
 	b := c.peers.backoffs[id]
 	wait := min(backoffMin<<min(b.failures, 10), backoffMax)
-	c.putBackoff(now, id, backoff{failures: b.failures + 1, until: now.Add(wait + c.between(0, wait))})
-	c.checks.unreached(id)
-	if slot {
-		c.suspect(now, id, "no link could be opened")
+	c.setBackoff(now, id, backoff{failures: b.failures + 1, until: now.Add(wait + c.randomBetween(0, wait))})
+	c.checks.markUnreachable(id)
+	if keep {
+		c.checkPeer(now, id, "opening a link failed")
 	}
 	return true
 }
 
-func (c *Controller) putBackoff(now time.Time, id model.InstanceID, b backoff) {
+func (c *Controller) setBackoff(now time.Time, id model.InstanceID, b backoff) {
 	if len(c.peers.backoffs) >= maxBackoffs {
 		for other, old := range c.peers.backoffs {
 			if now.After(old.until) {
@@ -260,15 +261,15 @@
 
 func (c *Controller) expireDials(now time.Time) {
 	for _, d := range slices.Clone(c.peers.dials) {
-		if now.Sub(d.since) > dialLimit {
+		if now.Sub(d.startedAt) > dialExpiry {
 			c.dialFailed(now, d.peer)
 		}
 	}
 }
 
-// rotate closes a random outgoing link; the next tick replaces it.
-func (c *Controller) rotate(now time.Time) {
-	c.peers.nextRotate = now.Add(c.between(rotateMin, rotateMax))
+// rotateLink closes a random outgoing link; the next tick replaces it.
+func (c *Controller) rotateLink(now time.Time) {
+	c.peers.nextRotate = now.Add(c.randomBetween(rotateMin, rotateMax))
 	out := slices.DeleteFunc(c.links.open(), func(l *link) bool { return !l.outgoing })
 	if len(out) < outgoingLinks || c.FleetSize() <= outgoingLinks+2 {
 		return
@@ -276,9 +277,9 @@
 	c.closeLink(now, out[c.rng.IntN(len(out))])
 }
 
-// limitLinks closes a link when there is one too many: an older one when the
-// new one, l, is to stay.
-func (c *Controller) limitLinks(now time.Time, l *link, stays bool) {
+// limitLinks closes a link when the limit is exceeded: another outgoing link than l when
+// keep is set, otherwise l.
+func (c *Controller) limitLinks(now time.Time, l *link, keep bool) {
 	if c.links.count(l.outgoing) <= linkLimit(l.outgoing) {
 		return
 	}
@@ -286,7 +287,7 @@
 		c.redirect(now, l)
 		return
 	}
-	if !stays {
+	if !keep {
 		c.closeLink(now, l)
 		return
 	}
@@ -301,11 +302,11 @@
 	return incomingLinks
 }
 
-// redirect rejects a peer's link and names others to try.
+// redirect rejects an incoming link and names other instances to dial.
 func (c *Controller) redirect(now time.Time, l *link) {
-	l.closingSince = now
+	l.closedAt = now
 	var m wire.LinkReject
-	for range redirects {
+	for range maxRedirects {
 		r, ok := c.table.pick(c.rng, func(r wire.MemberRecord) bool {
 			return serving(r.State) && r.ID != l.peer && r.ID != c.cfg.Self.ID
 		})
@@ -316,22 +317,23 @@
 	c.send(l.peer, m)
 }
 
-// rejected closes a link whose peer has enough, and takes over whom it named.
-func (c *Controller) rejected(now time.Time, l *link, m wire.LinkReject) {
-	for _, r := range m.Alternatives[:min(len(m.Alternatives), redirects)] {
-		c.takeOver(now, l, r)
+// receiveReject closes a link that the peer rejected and merges the instances that it
+// named.
+func (c *Controller) receiveReject(now time.Time, l *link, m wire.LinkReject) {
+	for _, r := range m.Alternatives[:min(len(m.Alternatives), maxRedirects)] {
+		c.mergeQuietly(now, l, r)
 	}
 	c.closeLink(now, l)
-	c.putBackoff(now, l.peer, backoff{until: now.Add(rejectedFor + c.between(0, rejectedFor))})
+	c.setBackoff(now, l.peer, backoff{until: now.Add(rejectedFor + c.randomBetween(0, rejectedFor))})
 }
 
-func (c *Controller) watchIsolation(now time.Time) {
+func (c *Controller) recordIsolation(now time.Time) {
 	if len(c.links.all) > 0 {
-		c.peers.linked = now
+		c.peers.lastLinked = now
 		c.peers.isolated = false
 		return
 	}
-	if c.peers.isolated || c.FleetSize() == 1 || now.Sub(c.peers.linked) < isolatedAfter {
+	if c.peers.isolated || c.FleetSize() == 1 || now.Sub(c.peers.lastLinked) < isolatedAfter {
 		return
 	}
 	c.peers.isolated = true
--- a/internal/member/reap.go
+++ b/internal/member/reap.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	// tombstoneFor is how long an instance that is gone is remembered, so that
-	// neither an old list nor an old peer brings it back.
-	tombstoneFor = 2 * time.Hour
-	// maxTombstones bounds how many are remembered; the oldest go first.
+	// tombstoneTTL is how long a gone instance is remembered, so that neither an outdated
+	// list nor an outdated peer revives it.
+	tombstoneTTL = 2 * time.Hour
+	// maxTombstones bounds the tombstones; the oldest are dropped first.
 	maxTombstones = 4096
-	// supportFor is how long an instance that the list no longer names is kept
-	// without a word of its own or a link to it.
-	supportFor = 10 * time.Minute
-	// reaffirmAfter is how often an instance that the list no longer names, and
-	// that lives, says so.
-	reaffirmAfter = 3 * time.Minute
-	// leavingFor is how long a leaving instance that never says it is gone is kept.
-	leavingFor = 15 * time.Minute
-	// reapSpread spreads removals over the fleet, so that the first one's rumour
-	// saves the others theirs.
+	// unlistedTTL is how long an instance that the list no longer names is kept without
+	// an announcement of its own or a link to it.
+	unlistedTTL = 10 * time.Minute
+	// reaffirmInterval is how often an instance that the list no longer names announces
+	// itself.
+	reaffirmInterval = 3 * time.Minute
+	// leavingTTL is how long a leaving instance is kept that never announces that it is
+	// gone.
+	leavingTTL = 15 * time.Minute
+	// reapSpread spreads removals over time, so that the first node's rumour spares the
+	// others their own.
 	reapSpread = time.Minute
-	// reapEvery is the time between two looks at what is to be removed.
-	reapEvery = time.Second
+	// reapInterval is the time between two passes of the reaper.
+	reapInterval = time.Second
 )
 
 type tombstone struct {
@@ -36,44 +37,44 @@
 	at          time.Time
 }
 
-// reaper removes instances in the end: those without support become gone, and
-// tombstones are forgotten.
+// reaper removes instances that nothing keeps alive any more: they become gone, and later
+// their tombstones are dropped.
 type reaper struct {
-	// due holds when an unsupported instance becomes gone.
+	// due holds when an instance without support becomes gone.
 	due        map[model.InstanceID]time.Time
 	tombstones []tombstone
 	next       time.Time
-	// reaffirm is when this node says that it lives although the list lacks it;
-	// zero while the list names it.
-	reaffirm time.Time
+	// nextReaffirm is when this node next announces itself while the list omits it; zero
+	// while the list names it.
+	nextReaffirm time.Time
 }
 
-func (p *reaper) init() {
+func (p *reaper) reset() {
 	*p = reaper{due: map[model.InstanceID]time.Time{}}
 }
 
-// delay puts all removals off by d, for which the process stood still.
-func (p *reaper) delay(d time.Duration) {
+// postpone delays all removals by d, the length of a pause of this process.
+func (p *reaper) postpone(d time.Duration) {
 	for id, at := range p.due {
 		p.due[id] = at.Add(d)
 	}
 }
 
-// note follows a changed record.
-func (p *reaper) note(now time.Time, m merged) {
-	id := m.now.ID
+// update schedules or cancels the removal of an instance whose record changed.
+func (p *reaper) update(now time.Time, m mergeResult) {
+	id := m.after.ID
 	switch {
-	case m.now.State == model.StateGone:
+	case m.after.State == model.StateGone:
 		delete(p.due, id)
-		if !m.known || m.old.State != model.StateGone || m.old.Incarnation != m.now.Incarnation {
-			p.tombstones = append(p.tombstones, tombstone{id: id, incarnation: m.now.Incarnation, at: now})
+		if !m.existed || m.before.State != model.StateGone || m.before.Incarnation != m.after.Incarnation {
+			p.tombstones = append(p.tombstones, tombstone{id: id, incarnation: m.after.Incarnation, at: now})
 		}
-	case m.now.State == model.StateLeaving:
-		if !m.known || m.old.State != model.StateLeaving || m.old.Incarnation != m.now.Incarnation {
-			p.due[id] = now.Add(leavingFor)
+	case m.after.State == model.StateLeaving:
+		if !m.existed || m.before.State != model.StateLeaving || m.before.Incarnation != m.after.Incarnation {
+			p.due[id] = now.Add(leavingTTL)
 		}
-	case m.now.ListStatus == wire.ListAbsent:
-		p.due[id] = now.Add(supportFor)
+	case m.after.ListStatus == wire.ListAbsent:
+		p.due[id] = now.Add(unlistedTTL)
 	default:
 		delete(p.due, id)
 	}
@@ -84,9 +85,9 @@
 	if now.Before(c.reaper.next) {
 		return
 	}
-	c.reaper.next = now.Add(reapEvery)
+	c.reaper.next = now.Add(reapInterval)
 	c.dropTombstones(now)
-	if c.doubts(now) {
+	if c.observationsUnreliable(now) {
 		return
 	}
 	var unsupported []model.InstanceID
@@ -101,8 +102,8 @@
 	}
 }
 
-// reap makes an unsupported instance gone, unless a link supports it, or later
-// at random.
+// reap marks an instance gone that is due, unless a fresh link supports it. Within
+// reapSpread, each pass does so only with a small probability.
 func (c *Controller) reap(now time.Time, id model.InstanceID) {
 	r, ok := c.table.get(id)
 	l := c.links.get(id)
@@ -110,28 +111,28 @@
 	case !ok || id == c.cfg.Self.ID:
 		delete(c.reaper.due, id)
 	case l != nil && l.fresh(now):
-		c.reaper.due[id] = now.Add(supportFor)
-	case now.Sub(c.reaper.due[id]) < reapSpread && c.rng.IntN(max(int(reapSpread/reapEvery), c.FleetSize())) > 0:
-		// Another look comes in reapEvery.
+		c.reaper.due[id] = now.Add(unlistedTTL)
+	case now.Sub(c.reaper.due[id]) < reapSpread && c.rng.IntN(max(int(reapSpread/reapInterval), c.FleetSize())) > 0:
+		// Retried in the next pass.
 	default:
 		r.State = model.StateGone
-		c.learn(now, r, "", false)
+		c.mergeRecord(now, r, "", false)
 	}
 }
 
-// dropTombstones forgets those that are old, unless the list still names them.
+// dropTombstones drops expired tombstones, unless the list still names the instance.
 func (c *Controller) dropTombstones(now time.Time) {
 	p := &c.reaper
 	for len(p.tombstones) > 0 {
 		t := p.tombstones[0]
-		if now.Sub(t.at) < tombstoneFor && len(p.tombstones) <= maxTombstones {
+		if now.Sub(t.at) < tombstoneTTL && len(p.tombstones) <= maxTombstones {
 			return
 		}
 		p.tombstones = p.tombstones[1:]
 		r, ok := c.table.get(t.id)
 		switch {
 		case !ok || r.State != model.StateGone || r.Incarnation != t.incarnation:
-		case listed(r.ListStatus) && len(p.tombstones) < maxTombstones:
+		case isListed(r.ListStatus) && len(p.tombstones) < maxTombstones:
 			p.tombstones = append(p.tombstones, tombstone{id: t.id, incarnation: t.incarnation, at: now})
 		default:
 			c.table.remove(t.id)
@@ -139,21 +140,21 @@
 	}
 }
 
-// tickReaffirm lets this node say that it lives while the list lacks it.
+// tickReaffirm announces this node periodically while the list omits it.
 func (c *Controller) tickReaffirm(now time.Time) {
 	own := c.self()
 	if own.ListStatus != wire.ListAbsent || !serving(own.State) {
-		c.reaper.reaffirm = time.Time{}
+		c.reaper.nextReaffirm = time.Time{}
 		return
 	}
-	if c.reaper.reaffirm.IsZero() {
-		c.reaper.reaffirm = now.Add(c.between(0, reaffirmAfter))
+	if c.reaper.nextReaffirm.IsZero() {
+		c.reaper.nextReaffirm = now.Add(c.randomBetween(0, reaffirmInterval))
 		return
 	}
-	if now.Before(c.reaper.reaffirm) {
+	if now.Before(c.reaper.nextReaffirm) {
 		return
 	}
-	c.reaper.reaffirm = now.Add(reaffirmAfter - c.between(0, control.TickInterval))
+	c.reaper.nextReaffirm = now.Add(reaffirmInterval - c.randomBetween(0, control.TickInterval))
 	own.Counter++
-	c.say(now, own)
+	c.announceSelf(now, own)
 }
--- a/internal/member/record.go
+++ b/internal/member/record.go
@@ -10,22 +10,22 @@
 	"gypsumstand/internal/wire"
 )
 
-// Bounds of a record's fields, in bytes.
+// Limits on a record's fields, in bytes.
 const (
 	maxNameBytes    = 128
 	maxAddressBytes = 64
 )
 
-// join returns the least record that holds what a and b hold. It is
-// commutative, associative and idempotent, so records may arrive in any order
-// and any number of times. a and b are of one instance.
+// join returns the least upper bound of a and b, two records of one instance. It is
+// commutative, associative and idempotent, so records may arrive in any order and any
+// number of times.
 func join(a, b wire.MemberRecord) wire.MemberRecord {
 	out := a
-	if compareOwn(a, b) < 0 {
+	if compareOwnerFields(a, b) < 0 {
 		out = b
 	}
 	newest := a
-	if compareList(a, b) < 0 {
+	if compareListFields(a, b) < 0 {
 		newest = b
 	}
 	out.ListRevision = newest.ListRevision
@@ -33,11 +33,11 @@
 	return out
 }
 
-// compareOwn orders the parts of records that the owner's word decides. A
-// greater incarnation wins; within one, Leaving and Gone win over all before
-// them; then the owner's newer word; then the greater state. The fixed
-// attributes only make the order total.
-func compareOwn(a, b wire.MemberRecord) int {
+// compareOwnerFields orders records by the fields that the owner decides. A greater
+// incarnation wins; within one incarnation, Gone wins over Leaving and Leaving over all
+// other states; then the greater counter, then the greater state. The fixed attributes
+// only make the order total.
+func compareOwnerFields(a, b wire.MemberRecord) int {
 	return cmp.Or(
 		cmp.Compare(a.Incarnation, b.Incarnation),
 		cmp.Compare(finality(a.State), finality(b.State)),
@@ -49,15 +49,16 @@
 	)
 }
 
-// compareList orders the parts of records that the platform's list decides.
-func compareList(a, b wire.MemberRecord) int {
+// compareListFields orders records by the fields that the platform's list decides.
+func compareListFields(a, b wire.MemberRecord) int {
 	return cmp.Or(
 		cmp.Compare(a.ListRevision, b.ListRevision),
 		cmp.Compare(a.ListStatus, b.ListStatus),
 	)
 }
 
-// finality ranks the states that never turn back within an incarnation.
+// finality ranks states: within an incarnation, an instance never returns to a lower
+// rank.
 func finality(s model.UpstreamState) int {
 	switch s {
 	case model.StateLeaving:
@@ -69,11 +70,11 @@
 	}
 }
 
-// serving reports whether an instance in state s is neither leaving nor gone.
+// serving reports whether state s is neither leaving nor gone.
 func serving(s model.UpstreamState) bool { return finality(s) == 0 }
 
-// hashRecord returns a hash of all that a record says, but for the revision at
-// which a mark of the list was read, which may differ between readers.
+// hashRecord returns a hash of all fields of a record but the list revision, which may
+// differ between nodes that read the same status.
 func hashRecord(r wire.MemberRecord) uint64 {
 	buf := make([]byte, 0, 2*maxNameBytes)
 	buf = append(buf, r.ID...)
@@ -89,8 +90,8 @@
 	return xxhash.Sum64(buf)
 }
 
-// hashID returns the hash that decides an id's bucket (low bits) and stands for
-// the id in a bucket's summary (high bits).
+// hashID returns the hash whose low bits decide an id's bucket and whose high bits stand
+// for the id in a bucket's summary.
 func hashID(id model.InstanceID) uint64 { return xxhash.Sum64String(string(id)) }
 
 func bucketOf(id model.InstanceID) int {
@@ -99,7 +100,7 @@
 
 func shortID(id model.InstanceID) uint32 { return uint32(hashID(id) >> 32) }
 
-// wellFormed reports whether a record from a peer is within bounds.
+// wellFormed reports whether the fields of a received record are within their limits.
 func wellFormed(r wire.MemberRecord) bool {
 	switch {
 	case r.ID == "", len(r.ID) > maxNameBytes:
@@ -116,13 +117,13 @@
 	return true
 }
 
-// Bounds that leave room to raise an incarnation or a counter.
+// Limits that leave room to increase an incarnation or a counter.
 const (
 	maxIncarnation = 1 << 62
 	maxCounter     = 1 << 62
 )
 
-// instanceOf returns the blackboard's form of a record.
+// instanceOf converts a record to the blackboard's form.
 func instanceOf(r wire.MemberRecord) model.Instance {
 	return model.Instance{
 		ID: r.ID, Service: r.Service, DataCentre: r.DataCentre,
@@ -130,7 +131,7 @@
 	}
 }
 
-// recordOf returns the record of an instance's own first word.
+// recordOf returns the initial record of an instance, with counter zero.
 func recordOf(i model.Instance) wire.MemberRecord {
 	return wire.MemberRecord{
 		ID: i.ID, Service: i.Service, DataCentre: i.DataCentre,
--- a/internal/member/record_test.go
+++ b/internal/member/record_test.go
@@ -40,7 +40,7 @@
 	})
 }
 
-func TestJoinNeverTurnsBackWithinAnIncarnation(t *testing.T) {
+func TestJoinNeverRegressesWithinIncarnation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := records().Draw(t, "a"), records().Draw(t, "b")
 		j := join(a, b)
@@ -53,24 +53,24 @@
 	})
 }
 
-func TestOwnersNewerWordAlternatesColdAndLive(t *testing.T) {
+func TestJoinPrefersNewerOwnerCounter(t *testing.T) {
 	live := wire.MemberRecord{ID: "a", Incarnation: 1, State: model.StateLive, Counter: 1}
 	cold := wire.MemberRecord{ID: "a", Incarnation: 1, State: model.StateCold, Counter: 2}
 	if got := join(live, cold).State; got != model.StateCold {
-		t.Errorf("state %s after the owner said cold", got)
+		t.Errorf("state %s after the owner announced cold", got)
 	}
 }
 
 func TestTableDoesNotDependOnOrderOrRepetition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := []model.InstanceID{"a", "b", "c"}
-		said := rapid.SliceOfN(records(), 1, 20).Draw(t, "said")
-		for i := range said {
-			said[i].ID = rapid.SampledFrom(ids).Draw(t, "id")
+		drawn := rapid.SliceOfN(records(), 1, 20).Draw(t, "said")
+		for i := range drawn {
+			drawn[i].ID = rapid.SampledFrom(ids).Draw(t, "id")
 		}
-		again := append(rapid.Permutation(said).Draw(t, "order"), said...)
+		again := append(rapid.Permutation(drawn).Draw(t, "order"), drawn...)
 		one, two := newTable(), newTable()
-		for _, r := range said {
+		for _, r := range drawn {
 			one.merge(r)
 		}
 		for _, r := range again {
@@ -83,12 +83,12 @@
 			t.Fatalf("digests or counts differ: %+v, %+v", one, two)
 		}
 		if one.root != rebuilt(one).root {
-			t.Fatal("the root is not that of the records")
+			t.Fatal("the root does not match the records")
 		}
 	})
 }
 
-// rebuilt returns a table of t's records, made afresh.
+// rebuilt returns a new table with t's records.
 func rebuilt(t *table) *table {
 	out := newTable()
 	for _, id := range t.order {
--- a/internal/member/replaced_test.go
+++ b/internal/member/replaced_test.go
@@ -7,20 +7,20 @@
 	"gypsumstand/internal/model"
 )
 
-// The platform is down while most of a small fleet is replaced, all seeds
-// included: the fresh instances find each other by the seeds, those that were not
-// replaced know them as gone, and no list names anyone anew.
-func TestInstancesReplacedWhileThePlatformIsDownJoinTheOthers(t *testing.T) {
+// During a platform outage, most of a small fleet is replaced, including all seeds. No
+// list names the new instances, and the remaining ones consider their ids gone. They must
+// join by dialling the seeds.
+func TestInstancesReplacedDuringPlatformOutageJoin(t *testing.T) {
 	f := newFleet(5)
 	seeds := []string{instance(0, 3, 0).PeerAddress, instance(1, 3, 0).PeerAddress}
 	for i := range 5 {
-		f.list(instance(i, 3, model.StateLive))
+		f.setListed(instance(i, 3, model.StateLive))
 		f.start(instance(i, 3, model.StateLive), seeds...)
 	}
 	f.run(20 * time.Second)
 	for i := range 3 {
-		f.list(instance(i, 3, model.StateLeaving))
-		f.say(f.nodes[i], model.StateLeaving)
+		f.setListed(instance(i, 3, model.StateLeaving))
+		f.setState(f.nodes[i], model.StateLeaving)
 		f.run(2 * time.Second)
 		f.kill(f.nodes[i])
 	}
--- a/internal/member/scale_test.go
+++ b/internal/member/scale_test.go
@@ -16,12 +16,12 @@
 // benchLoss is the share of messages that the measured fleets lose.
 const benchLoss = 0.01
 
-// BenchmarkFleet reports, per fleet size and on a fake clock: seconds from a
-// start of all nodes at once to a common view; bytes a node sends a second at
-// rest (mean, and of the busiest node); reads of the list a second of the whole
-// fleet; seconds until a leaving and a dead instance are known by all; bytes a
-// node sends for one replaced instance; bytes a fresh node receives until it
-// knows all; seconds until all see a data centre live that restarted at once.
+// BenchmarkFleet reports, per fleet size and on a fake clock: seconds from a simultaneous
+// start of all nodes to a common view; bytes per second that a node sends at rest (mean,
+// and of the busiest node); list reads per second of the whole fleet; seconds until all
+// nodes know a leaving and a crashed instance; bytes that a node sends for one replaced
+// instance; bytes that a fresh node receives until it knows the fleet; seconds until all
+// nodes see a restarted data centre live.
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -35,34 +35,34 @@
 
 func measureFleet(b *testing.B, n int) {
 	const dcs = 9
-	f := grown(b, n, dcs, 0)
+	f := newStableFleet(b, n, dcs, 0)
 	f.loss = benchLoss
 	f.measure = true
 	began := f.now
 	var peak int
-	f.until(3*time.Minute, func() bool { peak = max(peak, f.peak(time.Second)); return f.converged(n) })
+	f.until(3*time.Minute, func() bool { peak = max(peak, f.peakBytes(time.Second)); return f.converged(n) })
 	b.ReportMetric(f.now.Sub(began).Seconds(), "s-to-view")
 	b.ReportMetric(float64(peak), "B/s-start")
 	f.run(30 * time.Second)
 
 	const span = 30 * time.Second
 	reads := f.reads
-	rest, busiest := f.sent(span)
+	rest, busiest := f.sentBytes(span)
 	b.ReportMetric(rest, "B/s-rest")
 	b.ReportMetric(busiest, "B/s-busiest")
 	b.ReportMetric(float64(f.reads-reads)/span.Seconds(), "reads/s")
 
 	b.ReportMetric(f.slowestLeaving(5).Seconds(), "s-leaving")
-	b.ReportMetric(f.slowestDeath(3).Seconds(), "s-dead")
+	b.ReportMetric(f.slowestCrashDetection(3).Seconds(), "s-dead")
 	f.run(10 * time.Second)
 
 	const replaced = 5
-	before := f.newsPerNode()
+	before := f.changeBytesPerNode()
 	for i := range replaced {
 		f.replace(i)
 	}
 	f.run(10 * time.Second)
-	b.ReportMetric((f.newsPerNode()-before)/replaced, "B/replaced")
+	b.ReportMetric((f.changeBytesPerNode()-before)/replaced, "B/replaced")
 
 	fresh := f.start(instance(2*n, dcs, model.StateLive), f.nodes[n/2].inst.PeerAddress)
 	size := f.nodes[n/2].c.FleetSize()
@@ -70,16 +70,16 @@
 	b.ReportMetric(took.Seconds(), "s-fresh")
 	b.ReportMetric(float64(fresh.received), "B-fresh")
 
-	before = f.newsPerNode()
+	before = f.changeBytesPerNode()
 	took, peak = f.restartDataCentre("dc-1")
-	b.ReportMetric(f.newsPerNode()-before, "B-dc-restart")
+	b.ReportMetric(f.changeBytesPerNode()-before, "B-dc-restart")
 	b.ReportMetric(took.Seconds(), "s-dc-restart")
 	b.ReportMetric(float64(peak), "B/s-dc-restart")
 }
 
-// restartDataCentre kills a whole data centre, starts it together 5 s later, and
-// returns the time from then until all see all of it live, and the most bytes
-// that any node sent within a second.
+// restartDataCentre kills a whole data centre and restarts it together 5 s later. It
+// returns the time from the restart until all nodes agree, and the most bytes that any
+// node sent within a second.
 func (f *fleet) restartDataCentre(dc model.DataCentre) (took time.Duration, peak int) {
 	var killed []*node
 	for _, n := range f.nodes {
@@ -94,15 +94,15 @@
 	}
 	began := f.now
 	f.until(3*time.Minute, func() bool {
-		peak = max(peak, f.peak(time.Second))
+		peak = max(peak, f.peakBytes(time.Second))
 		return f.converged(f.nodes[0].c.FleetSize())
 	})
 	return f.now.Sub(began), peak
 }
 
-// sent runs for d and returns the bytes a second that a node sent on average,
-// and the busiest.
-func (f *fleet) sent(d time.Duration) (mean, most float64) {
+// sentBytes runs for d and returns the bytes per second that a node sent, on average and
+// for the busiest node.
+func (f *fleet) sentBytes(d time.Duration) (mean, most float64) {
 	for _, n := range f.nodes {
 		n.bytes = 0
 	}
@@ -115,24 +115,24 @@
 	return float64(total) / float64(f.living()) / d.Seconds(), most
 }
 
-// newsPerNode returns the bytes that an average node has sent for news.
-func (f *fleet) newsPerNode() float64 { return float64(f.news) / float64(len(f.nodes)) }
+// changeBytesPerNode returns the mean bytes per node of messages sent because of changes.
+func (f *fleet) changeBytesPerNode() float64 { return float64(f.changeBytes) / float64(len(f.nodes)) }
 
-// slowestLeaving lets k nodes leave in turn and returns the greatest time until
-// all knew.
+// slowestLeaving makes k nodes leave in turn and returns the greatest time until all
+// nodes knew.
 func (f *fleet) slowestLeaving(k int) (slowest time.Duration) {
 	for i := range k {
 		x := f.nodes[len(f.nodes)-1-i]
-		f.say(x, model.StateLeaving)
+		f.setState(x, model.StateLeaving)
 		took := f.until(time.Minute, func() bool { return f.count(x.inst.ID, model.StateLeaving) == f.living() })
 		slowest = max(slowest, took)
 	}
 	return slowest
 }
 
-// slowestDeath kills k nodes in turn and returns the greatest time until all
-// knew. The killed are restarted.
-func (f *fleet) slowestDeath(k int) (slowest time.Duration) {
+// slowestCrashDetection kills k nodes in turn and returns the greatest time until all
+// nodes knew. Each is restarted.
+func (f *fleet) slowestCrashDetection(k int) (slowest time.Duration) {
 	for i := range k {
 		x := f.nodes[2+i]
 		f.kill(x)
@@ -145,27 +145,27 @@
 	return slowest
 }
 
-// replace lets node i leave and stop, and starts another in its place.
+// replace makes node i leave and stop, and starts another in its place.
 func (f *fleet) replace(i int) {
 	x := f.nodes[i]
-	f.say(x, model.StateLeaving)
+	f.setState(x, model.StateLeaving)
 	f.run(time.Second)
-	f.say(x, model.StateGone)
+	f.setState(x, model.StateGone)
 	f.run(time.Second)
 	f.kill(x)
 	next := x.inst
 	next.ID += "-next"
 	next.State = model.StateLive
 	next.PeerAddress += "0"
-	f.list(next)
+	f.setListed(next)
 	y := f.start(next, f.nodes[i+1].inst.PeerAddress)
 	f.nodes = f.nodes[:len(f.nodes)-1]
 	f.nodes[i] = y
 }
 
-// BenchmarkNode reports a node's time for a second at rest in a fleet of n (ten
-// ticks, and a heartbeat and a beacon on each of eight links), and its memory
-// per known instance with the published view.
+// BenchmarkNode reports a node's time for one second at rest in a fleet of n (ten ticks,
+// and a heartbeat and a beacon on each of eight links), and its memory per known
+// instance, including the published view.
 func BenchmarkNode(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -190,8 +190,8 @@
 	return m.HeapAlloc
 }
 
-// nodeInFleet returns a controller that has loaded a fleet of n, as decoded from
-// the wire, with eight links.
+// nodeInFleet returns a controller that has loaded a fleet of n, as decoded from the
+// wire, with eight links.
 func nodeInFleet(n int) (*Controller, []model.InstanceID) {
 	c := New(Config{Self: instance(0, 9, model.StateLive)}, &blackboard.Board{}, rand.New(rand.NewPCG(1, 1)))
 	c.Handle(epoch, control.Tick{})
@@ -201,7 +201,7 @@
 		if err := wire.Unmarshal(data, &r); err != nil {
 			panic(err)
 		}
-		c.learn(epoch, r, "", true)
+		c.mergeRecord(epoch, r, "", true)
 	}
 	var peers []model.InstanceID
 	for i := 1; i <= min(8, n-1); i++ {
--- a/internal/member/self.go
+++ b/internal/member/self.go
@@ -15,30 +15,31 @@
 	return r
 }
 
-// selfChanged takes this node's own life stage and tells all link peers at once.
+// selfChanged applies this node's new lifecycle state and announces it to all linked
+// peers at once.
 func (c *Controller) selfChanged(now time.Time, state model.UpstreamState) {
-	c.stage = state
+	c.ownState = state
 	r := c.self()
 	if finality(r.State) > finality(state) {
 		return
 	}
 	r.State = state
 	r.Counter++
-	c.say(now, r)
+	c.announceSelf(now, r)
 	if state == model.StateGone {
-		c.closeAll(now)
+		c.closeAllLinks(now)
 	}
 }
 
-// say merges this node's own new word and sends it without waiting for a tick.
-func (c *Controller) say(now time.Time, r wire.MemberRecord) {
-	c.learn(now, r, "", false)
+// announceSelf merges this node's new own record and sends it without waiting for a tick.
+func (c *Controller) announceSelf(now time.Time, r wire.MemberRecord) {
+	c.mergeRecord(now, r, "", false)
 	c.flush(now)
 }
 
-// contradicts reports whether a peer's record of this node is one that this
-// node's own word must overrule.
-func (c *Controller) contradicts(r wire.MemberRecord) bool {
+// mustSupersede reports whether a peer's record of this node conflicts with the node's
+// own, so that this node must publish a greater one.
+func (c *Controller) mustSupersede(r wire.MemberRecord) bool {
 	own := c.self()
 	switch {
 	case r.Incarnation > own.Incarnation:
@@ -46,7 +47,7 @@
 	case r.Incarnation < own.Incarnation:
 		return false
 	case r.State == model.StateGone:
-		return serving(c.stage)
+		return serving(c.ownState)
 	case r.Counter > own.Counter:
 		return serving(r.State)
 	}
@@ -54,29 +55,31 @@
 }
 
 const (
-	// Time between two raises of the own word, doubling, so that two processes
-	// with one name do not outbid each other without end.
-	raiseMin = time.Second
-	raiseMax = time.Minute
-	// raiseForget is the quiet time after which the next raise is not delayed.
-	raiseForget = 5 * time.Minute
+	// Minimum time between two superseding records; it doubles, so that two processes
+	// with one instance id do not supersede each other endlessly.
+	supersedeMin = time.Second
+	supersedeMax = time.Minute
+	// supersedeReset is the time without a superseding record after which the backoff
+	// restarts.
+	supersedeReset = 5 * time.Minute
 )
 
-// raises bounds how often this node raises its own word above peers'.
-type raises struct {
+// supersedeLimiter limits the rate at which this node supersedes its peers' records of
+// it.
+type supersedeLimiter struct {
 	count int
 	last  time.Time
-	// seen is the greatest contradicting record that waits.
-	seen    wire.MemberRecord
+	// pending is the join of the conflicting records that wait to be superseded.
+	pending wire.MemberRecord
 	waiting bool
 }
 
-// may reports whether a raise is due at now, and counts it.
-func (r *raises) may(now time.Time) bool {
-	if now.Sub(r.last) > raiseForget {
+// allow reports whether a superseding record may be published now, and counts it.
+func (r *supersedeLimiter) allow(now time.Time) bool {
+	if now.Sub(r.last) > supersedeReset {
 		r.count = 0
 	}
-	if r.count > 0 && now.Sub(r.last) < min(raiseMin<<min(r.count, 10), raiseMax) {
+	if r.count > 0 && now.Sub(r.last) < min(supersedeMin<<min(r.count, 10), supersedeMax) {
 		return false
 	}
 	r.count++
@@ -84,90 +87,90 @@
 	return true
 }
 
-// contradicted answers a peer's record that this node must overrule, now or as
-// soon as the bound on raises allows.
-func (c *Controller) contradicted(now time.Time, seen wire.MemberRecord) merged {
-	if c.raises.waiting {
-		seen = join(seen, c.raises.seen)
+// supersede overrides a peer's conflicting record of this node, now or as soon as the
+// rate limit allows.
+func (c *Controller) supersede(now time.Time, seen wire.MemberRecord) mergeResult {
+	if c.superseding.waiting {
+		seen = join(seen, c.superseding.pending)
 	}
-	c.raises.waiting = !c.raises.may(now)
-	c.raises.seen = seen
-	if c.raises.waiting {
-		return merged{old: c.self(), now: c.self(), known: true}
+	c.superseding.waiting = !c.superseding.allow(now)
+	c.superseding.pending = seen
+	if c.superseding.waiting {
+		return mergeResult{before: c.self(), after: c.self(), existed: true}
 	}
-	return c.raise(now, seen)
+	return c.supersedeNow(now, seen)
 }
 
-// tickSelf overrules what has waited.
+// tickSelf supersedes a pending conflicting record once the rate limit allows.
 func (c *Controller) tickSelf(now time.Time) {
-	if c.raises.waiting && c.raises.may(now) {
-		c.raises.waiting = false
-		c.raise(now, c.raises.seen)
+	if c.superseding.waiting && c.superseding.allow(now) {
+		c.superseding.waiting = false
+		c.supersedeNow(now, c.superseding.pending)
 	}
 }
 
-// raise takes a greater incarnation than peers remember, or for a newer word
-// within the same incarnation that is not this process's, a greater counter.
-func (c *Controller) raise(now time.Time, seen wire.MemberRecord) merged {
+// supersedeNow adopts a greater incarnation than peers remember. For a serving record of
+// the same incarnation with a greater counter, it only raises the counter.
+func (c *Controller) supersedeNow(now time.Time, seen wire.MemberRecord) mergeResult {
 	r := c.self()
 	r.ListRevision, r.ListStatus = join(r, seen).ListRevision, join(r, seen).ListStatus
 	if seen.Incarnation == r.Incarnation && serving(seen.State) {
 		r.Counter = seen.Counter + 1
-		c.say(now, r)
-		return merged{now: r, known: true, changed: true}
+		c.announceSelf(now, r)
+		return mergeResult{after: r, existed: true, changed: true}
 	}
-	state := c.stage
+	state := c.ownState
 	if finality(r.State) > finality(state) && r.State == model.StateLeaving {
 		state = r.State
 	}
-	c.newIncarnation(now, r, seen.Incarnation+1, state)
-	return merged{now: c.self(), known: true, changed: true}
+	c.adoptIncarnation(now, r, seen.Incarnation+1, state)
+	return mergeResult{after: c.self(), existed: true, changed: true}
 }
 
-// newIncarnation goes on as incarnation inc.
-func (c *Controller) newIncarnation(now time.Time, r wire.MemberRecord, inc model.Incarnation, state model.UpstreamState) {
+// adoptIncarnation continues this node's record under incarnation inc.
+func (c *Controller) adoptIncarnation(now time.Time, r wire.MemberRecord, inc model.Incarnation, state model.UpstreamState) {
 	r.Incarnation = inc
 	r.Counter = 0
 	r.State = state
-	c.act(control.AdoptIncarnation{Incarnation: inc})
+	c.emit(control.AdoptIncarnation{Incarnation: inc})
 	c.record(event.IncarnationRaised, string(r.ID), "")
-	c.say(now, r)
+	c.announceSelf(now, r)
 }
 
-// refute answers an accusation against this node's present record.
-func (c *Controller) refute(now time.Time, a wire.Suspicion) {
+// refute answers a suspicion of this node's current record.
+func (c *Controller) refute(now time.Time, s wire.Suspicion) {
 	own := c.self()
-	if !serving(own.State) || a.Incarnation > own.Incarnation {
+	if !serving(own.State) || s.Incarnation > own.Incarnation {
 		return
 	}
-	if a.Incarnation == own.Incarnation && a.Counter < own.Counter {
+	if s.Incarnation == own.Incarnation && s.Counter < own.Counter {
 		return
 	}
-	if a.Incarnation == own.Incarnation {
-		own.Counter = max(own.Counter, a.Counter) + 1
+	if s.Incarnation == own.Incarnation {
+		own.Counter = max(own.Counter, s.Counter) + 1
 	}
-	c.record(event.SuspicionRefuted, string(a.Observer), "")
+	c.record(event.SuspicionRefuted, string(s.Observer), "")
 	c.reaffirm(now, own)
 }
 
-// reaffirm says this node's own record again, although it may not have changed.
+// reaffirm announces this node's own record even if it has not changed.
 func (c *Controller) reaffirm(now time.Time, r wire.MemberRecord) {
-	if c.learn(now, r, "", false); c.gossip.pendingFor(r.ID) == nil {
+	if c.mergeRecord(now, r, "", false); c.gossip.pendingFor(r.ID) == nil {
 		c.gossip.queue(r, "")
 	}
 	c.flush(now)
 }
 
-// listedSelf follows up what the platform's list says of this node itself: that
-// it leaves, or again that it lives. The mark that made it leave came with the
-// state, so a mark that says live is newer.
-func (c *Controller) listedSelf(now time.Time, before, after wire.MemberRecord) {
-	if !serving(c.stage) || serving(after.State) {
+// onOwnListStatus handles the list's status of this node itself: the list names it
+// leaving, or live again. The leaving status was merged together with the leaving state,
+// so a live status is newer.
+func (c *Controller) onOwnListStatus(now time.Time, before, after wire.MemberRecord) {
+	if !serving(c.ownState) || serving(after.State) {
 		return
 	}
 	switch {
 	case after.ListStatus == wire.ListLive:
-		c.newIncarnation(now, after, after.Incarnation+1, c.stage)
+		c.adoptIncarnation(now, after, after.Incarnation+1, c.ownState)
 	case serving(before.State):
 		c.record(event.ListSaysLeaving, string(after.ID), "")
 	}
--- a/internal/member/silent_test.go
+++ b/internal/member/silent_test.go
@@ -7,12 +7,12 @@
 	"gypsumstand/internal/model"
 )
 
-// knownWithin is how long word may take among nodes that live, whoever else is listed.
-const knownWithin = 3 * time.Second
+// leavingKnownLimit is the time within which all live nodes must know that one leaves.
+const leavingKnownLimit = 3 * time.Second
 
-// Few nodes live of those that are listed; whole data centres answer nothing and are never
-// declared gone.
-func TestLeavingIsKnownByAllThatLiveWhoeverIsSilent(t *testing.T) {
+// Only few listed instances are live. Whole data centres are silent and are never
+// declared gone; updates must still reach every live node.
+func TestLeavingReachesAllLiveNodesAmongSilentOnes(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		n     int
@@ -26,7 +26,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			f := newFleet(uint64(tt.n))
 			for i := range tt.n {
-				f.list(instance(i, 5, model.StateLive))
+				f.setListed(instance(i, 5, model.StateLive))
 			}
 			for i := range tt.n {
 				if tt.lives(i, tt.n) {
@@ -35,22 +35,22 @@
 			}
 			f.run(30 * time.Second)
 			for k, x := range f.nodes[:min(len(f.nodes), 3)] {
-				f.say(x, model.StateLeaving)
+				f.setState(x, model.StateLeaving)
 				all := func() bool { return f.count(x.inst.ID, model.StateLeaving) == len(f.nodes) }
-				if took := f.until(knownWithin, all); !all() {
-					t.Errorf("leaver %d: known by %d of %d that live after %s", k, f.count(x.inst.ID, model.StateLeaving), len(f.nodes), took)
+				if took := f.until(leavingKnownLimit, all); !all() {
+					t.Errorf("leaving node %d: known by %d of %d live nodes after %s", k, f.count(x.inst.ID, model.StateLeaving), len(f.nodes), took)
 				}
 			}
 		})
 	}
 }
 
-// A fresh node learns the fleet though nearly all that the list names are silent.
-func TestAFreshNodeFindsTheFewThatLive(t *testing.T) {
+// A fresh node must find a live peer although nearly all listed instances are silent.
+func TestFreshNodeLinksToFewLiveNodes(t *testing.T) {
 	const n = 195
 	f := newFleet(n)
 	for i := range n {
-		f.list(instance(i, 5, model.StateLive))
+		f.setListed(instance(i, 5, model.StateLive))
 	}
 	f.start(instance(1, 5, model.StateLive))
 	f.start(instance(117, 5, model.StateLive))
--- a/internal/member/single_test.go
+++ b/internal/member/single_test.go
@@ -12,18 +12,18 @@
 	"gypsumstand/internal/wire"
 )
 
-// single is one controller whose peers are played by the test.
-type single struct {
+// singleNode is one controller whose peers are simulated by the test.
+type singleNode struct {
 	c       *Controller
 	board   *blackboard.Board
 	now     time.Time
 	actions []control.Action
 }
 
-// newSingle returns a controller that has links to instances 1 to linked, all of
-// one data centre.
-func newSingle(linked int) *single {
-	s := &single{board: &blackboard.Board{}, now: epoch}
+// newSingleNode returns a controller with links to instances 1 to linked, all in one data
+// centre.
+func newSingleNode(linked int) *singleNode {
+	s := &singleNode{board: &blackboard.Board{}, now: epoch}
 	s.c = New(Config{Self: instance(0, 1, model.StateLive)}, s.board, rand.New(rand.NewPCG(1, 1)))
 	s.c.sync.loaded = true
 	for i := 1; i <= linked; i++ {
@@ -34,15 +34,15 @@
 
 func id(i int) model.InstanceID { return instance(i, 1, 0).ID }
 
-func (s *single) handle(ev control.Event) []control.Action {
+func (s *singleNode) handle(ev control.Event) []control.Action {
 	out := s.c.Handle(s.now, ev)
 	s.actions = append(s.actions, out...)
 	return out
 }
 
-// run ticks for d, with a heartbeat a second from each of the peers. Probes
+// run ticks for d, with one heartbeat per second from each of the given peers. Probes
 // without a target are answered.
-func (s *single) run(d time.Duration, peers ...int) {
+func (s *singleNode) run(d time.Duration, peers ...int) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(control.TickInterval)
 		if s.now.Sub(epoch)%time.Second == 0 {
@@ -51,12 +51,12 @@
 			}
 		}
 		for _, a := range s.handle(control.Tick{}) {
-			s.answer(a)
+			s.reply(a)
 		}
 	}
 }
 
-func (s *single) answer(a control.Action) {
+func (s *singleNode) reply(a control.Action) {
 	switch a := a.(type) {
 	case control.Send:
 		if a.Message == wire.Message(wire.Probe{}) {
@@ -67,24 +67,24 @@
 	}
 }
 
-func (s *single) state(i int) model.UpstreamState { return (&node{board: s.board}).state(id(i)) }
+func (s *singleNode) state(i int) model.UpstreamState { return (&node{board: s.board}).state(id(i)) }
 
-func (s *single) accuse(by, target int) {
+func (s *singleNode) suspect(by, target int) {
 	a := wire.Suspicion{Target: id(target), Incarnation: instance(target, 1, 0).Incarnation, Observer: id(by)}
 	s.handle(control.Received{From: id(by), Message: wire.Rumours{Suspicions: []wire.Suspicion{a}}})
 }
 
 func TestNodeWithoutTheFleetServesNoSnapshot(t *testing.T) {
-	s := newSingle(3)
+	s := newSingleNode(3)
 	s.c.sync.loaded = false
 	actions := s.handle(control.Received{From: id(1), Message: wire.SnapshotRequest{}})
-	if piece := actions[0].(control.Send).Message.(wire.SnapshotChunk); !piece.Partial || len(piece.Records) > 0 {
-		t.Errorf("served %+v", piece)
+	if chunk := actions[0].(control.Send).Message.(wire.SnapshotChunk); !chunk.Partial || len(chunk.Records) > 0 {
+		t.Errorf("served %+v", chunk)
 	}
 }
 
-func TestFloodOfMalformedRecordsIsLoggedOnceInAWhile(t *testing.T) {
-	s := newSingle(1)
+func TestMalformedRecordEventsAreRateLimited(t *testing.T) {
+	s := newSingleNode(1)
 	for range 100 {
 		s.handle(control.Received{From: id(1), Message: wire.Rumours{Records: []wire.MemberRecord{{}}}})
 	}
@@ -99,19 +99,19 @@
 	}
 }
 
-func TestClosedOwnChannelKeepsThePeers(t *testing.T) {
-	s := newSingle(1)
+func TestClosingOwnLinkKeepsPeersLink(t *testing.T) {
+	s := newSingleNode(1)
 	s.handle(control.LinkUp{Peer: instance(1, 1, model.StateLive)})
 	s.c.closeLink(s.now, s.c.links.get(id(1)))
 	s.handle(control.LinkDown{Peer: id(1)})
-	s.run(closingLimit+time.Second, 1)
+	s.run(closedLinkMemory+time.Second, 1)
 	if links := s.c.Links(); len(links) != 1 || links[0].Outgoing {
 		t.Errorf("links %+v, want the one that the peer opened", links)
 	}
 }
 
-func TestLeavingInstancesAreLinkedWhenNoOtherIsLeft(t *testing.T) {
-	s := newSingle(1)
+func TestLeavingInstancesAreLinkedAsLastResort(t *testing.T) {
+	s := newSingleNode(1)
 	for _, i := range []int{2, 3} {
 		r := recordOf(instance(i, 1, model.StateLeaving))
 		s.handle(control.Received{From: id(1), Message: wire.Rumours{Records: []wire.MemberRecord{r}}})
@@ -128,8 +128,8 @@
 	}
 }
 
-func TestOneEndStandsForAllLinksToAPeer(t *testing.T) {
-	s := newSingle(1)
+func TestLinkDownEndsAllLinksToPeer(t *testing.T) {
+	s := newSingleNode(1)
 	s.handle(control.LinkUp{Peer: instance(1, 1, model.StateLive)})
 	s.handle(control.LinkDown{Peer: id(1)})
 	if links := s.c.Links(); len(links) != 0 {
@@ -137,8 +137,8 @@
 	}
 }
 
-func TestPeersOwnLinkIsUsedSoonAfterThisNodesWasClosed(t *testing.T) {
-	s := newSingle(1)
+func TestPeersLinkIsUsedAfterOwnLinkCloses(t *testing.T) {
+	s := newSingleNode(1)
 	s.c.closeLink(s.now, s.c.links.get(id(1)))
 	s.run(closingGrace+time.Second, 1)
 	if links := s.c.Links(); len(links) != 1 || links[0].Outgoing {
@@ -146,8 +146,8 @@
 	}
 }
 
-func TestHeartbeatThatOvertookALinksEndOpensNone(t *testing.T) {
-	s := newSingle(1)
+func TestLateHeartbeatAfterLinkDownOpensNoLink(t *testing.T) {
+	s := newSingleNode(1)
 	s.handle(control.LinkDown{Peer: id(1)})
 	s.handle(control.Received{From: id(1), Message: wire.Heartbeat{Clock: 1}})
 	if links := s.c.Links(); len(links) != 0 {
--- a/internal/member/accuse_test.go
+++ b/internal/member/suspicion_test.go
@@ -10,73 +10,73 @@
 	"gypsumstand/internal/wire"
 )
 
-func TestAccusersMustBeTwo(t *testing.T) {
-	s := newSingle(4)
+func TestOneObserverDeclaresNobodyGone(t *testing.T) {
+	s := newSingleNode(4)
 	for _, a := range s.handle(control.LinkDown{Peer: id(1), Failed: true}) {
-		s.answer(a)
+		s.reply(a)
 	}
 	s.run(5*time.Second, 2, 3, 4)
 	if !recorded(s.actions, event.MemberSuspected) || s.state(1) != model.StateLive {
-		t.Fatalf("one accuser, itself: state %s", s.state(1))
+		t.Fatalf("state %s with this node as the only observer", s.state(1))
 	}
-	s.accuse(2, 1)
-	s.run(refuteWindow/2, 2, 3, 4)
+	s.suspect(2, 1)
+	s.run(refutationWindow/2, 2, 3, 4)
 	if s.state(1) != model.StateLive {
-		t.Fatal("declared before it could object")
+		t.Fatal("declared gone before it could refute")
 	}
-	s.run(refuteWindow, 2, 3, 4)
+	s.run(refutationWindow, 2, 3, 4)
 	if s.state(1) != model.StateGone {
-		t.Errorf("two accusers: state %s", s.state(1))
+		t.Errorf("state %s with two observers", s.state(1))
 	}
 }
 
-func TestRepeatedAccusationOfOneObserverCountsOnce(t *testing.T) {
-	s := newSingle(4)
+func TestRepeatedSuspicionOfOneObserverCountsOnce(t *testing.T) {
+	s := newSingleNode(4)
 	for range 3 {
-		s.accuse(2, 1)
+		s.suspect(2, 1)
 	}
 	s.run(5*time.Second, 1, 2, 3, 4)
-	if s.state(1) != model.StateLive || len(s.c.checks.accusedOf(id(1)).observers) != 1 {
-		t.Errorf("state %s with one accuser", s.state(1))
+	if s.state(1) != model.StateLive || len(s.c.checks.suspicionOf(id(1)).observers) != 1 {
+		t.Errorf("state %s with one observer", s.state(1))
 	}
 }
 
-func TestOnlyObserversDeclare(t *testing.T) {
-	s := newSingle(4)
-	s.accuse(2, 1)
-	s.accuse(3, 1)
+func TestNodeThatReachesSuspectDeclaresNothing(t *testing.T) {
+	s := newSingleNode(4)
+	s.suspect(2, 1)
+	s.suspect(3, 1)
 	s.run(10*time.Second, 1, 2, 3, 4)
 	if s.state(1) != model.StateLive {
-		t.Error("declared by a node that reaches it")
+		t.Error("declared gone by a node that reaches it")
 	}
 }
 
-func TestNewerWordOfTheAccusedRefutes(t *testing.T) {
-	s := newSingle(4)
+func TestNewerRecordOfSuspectedMemberRefutes(t *testing.T) {
+	s := newSingleNode(4)
 	for _, a := range s.handle(control.LinkDown{Peer: id(1), Failed: true}) {
-		s.answer(a)
+		s.reply(a)
 	}
 	s.run(300*time.Millisecond, 2, 3, 4)
-	s.accuse(2, 1)
+	s.suspect(2, 1)
 	r := recordOf(instance(1, 1, model.StateLive))
 	r.Counter = 1
 	s.handle(control.Received{From: id(3), Message: wire.Rumours{Records: []wire.MemberRecord{r}}})
 	s.run(5*time.Second, 2, 3, 4)
 	if s.state(1) != model.StateLive {
-		t.Error("declared although it objected")
+		t.Error("declared gone although it refuted")
 	}
 }
 
-func TestAccusationAgainstItselfIsRefuted(t *testing.T) {
-	s := newSingle(2)
-	s.accuse(1, 0)
+func TestOwnSuspicionIsRefuted(t *testing.T) {
+	s := newSingleNode(2)
+	s.suspect(1, 0)
 	if got := s.c.self().Counter; got != 1 || !recorded(s.actions, event.SuspicionRefuted) {
 		t.Errorf("counter %d", got)
 	}
 }
 
-func TestWokenNodeSuspectsNobodyAndKeepsItsLinks(t *testing.T) {
-	s := newSingle(4)
+func TestPausedNodeSuspectsNobodyAndKeepsLinks(t *testing.T) {
+	s := newSingleNode(4)
 	s.run(time.Second, 1, 2, 3, 4)
 	s.now = s.now.Add(time.Minute)
 	s.actions = nil
@@ -88,28 +88,28 @@
 	}
 }
 
-func TestAccusationsWithinADataCentreAreBounded(t *testing.T) {
-	s := newSingle(2*maxSuspects + 2)
-	for target := 3; target <= 2*maxSuspects+2; target++ {
-		s.accuse(2, target)
+func TestSuspicionsPerDataCentreAreBounded(t *testing.T) {
+	s := newSingleNode(2*maxSuspectedPerDataCentre + 2)
+	for target := 3; target <= 2*maxSuspectedPerDataCentre+2; target++ {
+		s.suspect(2, target)
 	}
-	told := map[model.InstanceID]bool{}
+	gossiped := map[model.InstanceID]bool{}
 	for _, a := range s.handle(control.Tick{}) {
 		if send, ok := a.(control.Send); ok {
 			if r, ok := send.Message.(wire.Rumours); ok {
 				for _, x := range r.Suspicions {
-					told[x.Target] = true
+					gossiped[x.Target] = true
 				}
 			}
 		}
 	}
-	if len(told) != maxSuspects {
-		t.Errorf("%d accused were told on, want %d", len(told), maxSuspects)
+	if len(gossiped) != maxSuspectedPerDataCentre {
+		t.Errorf("%d suspicions were gossiped, want %d", len(gossiped), maxSuspectedPerDataCentre)
 	}
 }
 
-func TestTwoProcessesOfOneNameDoNotOutbidEachOtherWithoutEnd(t *testing.T) {
-	s := newSingle(2)
+func TestDuplicateInstanceIDsSupersedeAtBoundedRate(t *testing.T) {
+	s := newSingleNode(2)
 	const minutes = 3
 	for range minutes * 60 {
 		ghost := s.c.self()
@@ -117,19 +117,19 @@
 		s.handle(control.Received{From: id(1), Message: wire.Rumours{Records: []wire.MemberRecord{ghost}}})
 		s.run(time.Second, 1, 2)
 	}
-	raised := 0
+	adopted := 0
 	for _, a := range s.actions {
 		if _, ok := a.(control.AdoptIncarnation); ok {
-			raised++
+			adopted++
 		}
 	}
-	if raised < 2 || raised > 10 {
-		t.Errorf("raised %d times in %d minutes", raised, minutes)
+	if adopted < 2 || adopted > 10 {
+		t.Errorf("adopted %d incarnations in %d minutes", adopted, minutes)
 	}
 }
 
-func TestListsAbsenceConfirmsWhatObserversSay(t *testing.T) {
-	s := newSingle(4)
+func TestUnlistedSuspectIsDeclaredGoneDespitePartitionLimit(t *testing.T) {
+	s := newSingleNode(4)
 	var all []model.Instance
 	for i := range 5 {
 		all = append(all, instance(i, 1, model.StateLive))
@@ -139,23 +139,23 @@
 	s.handle(control.ListRead{Revision: 2, Instances: all[1:2]})
 	for _, target := range []int{1, 2} {
 		for _, a := range s.handle(control.LinkDown{Peer: id(target), Failed: true}) {
-			s.answer(a)
+			s.reply(a)
 		}
 		s.run(300*time.Millisecond, 3, 4)
-		s.accuse(3, target)
+		s.suspect(3, target)
 	}
 	s.run(5*time.Second, 3, 4)
 	if s.state(1) != model.StateGone || s.state(2) != model.StateLive {
-		t.Errorf("states %s and %s of two accused among four, want gone and live", s.state(1), s.state(2))
+		t.Errorf("states %s and %s of two suspected among four, want gone and live", s.state(1), s.state(2))
 	}
 }
 
-func TestEndOfAPeersShortLinkIsNoCauseForSuspicion(t *testing.T) {
+func TestShortIncomingLinkEndStartsNoCheck(t *testing.T) {
 	for _, c := range []struct {
 		age  time.Duration
 		want bool
-	}{{shortLink / 2, false}, {2 * shortLink, true}} {
-		s := newSingle(2)
+	}{{shortLinkAge / 2, false}, {2 * shortLinkAge, true}} {
+		s := newSingleNode(2)
 		s.handle(control.LinkUp{Peer: instance(3, 1, model.StateLive)})
 		s.run(c.age, 1, 2, 3)
 		s.handle(control.LinkDown{Peer: id(3), Failed: true})
--- a/internal/member/sync.go
+++ b/internal/member/sync.go
@@ -10,32 +10,35 @@
 )
 
 const (
-	// Time between two digest exchanges that this node opens.
+	// Interval between two digest exchanges that this node starts.
 	digestMin = 5 * time.Second
 	digestMax = 10 * time.Second
-	// Time to the next exchange after one that found more than it could compare.
+	// Delay before the next exchange when one found more differences than it could
+	// compare.
 	repairMin = time.Second
 	repairMax = 2 * time.Second
-	// greetWithin is the time within which a new link has a first exchange.
-	greetWithin = 3 * time.Second
-	// snapshotPieceRecords is the number of records of one piece.
-	snapshotPieceRecords = 512
-	// snapshotPace is the least time between a piece and the request for the next
+	// firstDigestSpread is the time within which a new link has its first digest
+	// exchange.
+	firstDigestSpread = 3 * time.Second
+	// snapshotChunkRecords is the number of records in one snapshot chunk.
+	snapshotChunkRecords = 512
+	// snapshotInterval is the minimum time between a chunk and the request for the next
 	// one.
-	snapshotPace = 150 * time.Millisecond
-	// snapshotWait is the time after which an unanswered request is repeated.
-	snapshotWait = time.Second
-	// snapshotTries bounds the peers without the whole fleet that a node asks;
-	// then all have started together, and digests do the rest.
-	snapshotTries = 5
-	// snapshotsPerSecond bounds the pieces that a node serves.
+	snapshotInterval = 150 * time.Millisecond
+	// snapshotTimeout is the time after which an unanswered request is repeated.
+	snapshotTimeout = time.Second
+	// maxPartialReplies bounds the replies from peers without the whole fleet. When it is
+	// reached, all nodes are assumed to have started together, and digests complete the
+	// view.
+	maxPartialReplies = 5
+	// snapshotsPerSecond bounds the rate of chunks that a node serves.
 	snapshotsPerSecond = 2
-	// digestsPerSecond bounds the digests with another root that a node answers,
-	// so that a healed partition is repaired steadily and not all at once.
+	// digestsPerSecond bounds the differing digests that a node answers, so that a healed
+	// partition is repaired steadily and not all at once.
 	digestsPerSecond = 2
-	// recordsPerExchange bounds the records that one exchange compares (by the
-	// number of buckets, at least minSummaries) and sends; the next one goes on
-	// with what is left.
+	// recordsPerExchange bounds the records that one exchange sends and, as a number of
+	// buckets (at least minSummaries), compares. The next exchange continues with the
+	// rest.
 	recordsPerExchange = 128
 	minSummaries       = 4
 	// shortHashBytes is the size of a hash in a summary.
@@ -43,38 +46,38 @@
 	entryBytes     = 2 * shortHashBytes
 )
 
-// synchronizer loads a peer's view at the start and repairs later what rumours
-// missed.
+// synchronizer loads a peer's view at startup and later repairs what rumours missed.
 type synchronizer struct {
-	// next is the time of the next digest.
+	// next is the time of the next digest exchange.
 	next time.Time
-	// loaded says that the whole fleet has been taken over from peers.
+	// loaded reports whether the snapshot is complete.
 	loaded bool
-	// linked is when this node first had a link to ask; zero before.
-	linked time.Time
-	// after is the last id taken over; tries counts the peers that had nothing.
-	after    model.InstanceID
-	tries    int
-	askAgain time.Time
-	served   budget
-	answered budget
+	// startedAt is when this node first had a link to request chunks over; zero before.
+	startedAt time.Time
+	// lastID is the last id received; partialReplies counts the replies of peers without
+	// the whole fleet.
+	lastID          model.InstanceID
+	partialReplies  int
+	nextRequest     time.Time
+	snapshotLimiter rateLimiter
+	digestLimiter   rateLimiter
 }
 
-// budget counts uses within a second.
-type budget struct {
-	since time.Time
-	used  int
+// rateLimiter counts events within a one-second window.
+type rateLimiter struct {
+	windowStart time.Time
+	used        int
 }
 
-// take reports whether one more use is within limit a second, and counts it.
-func (b *budget) take(now time.Time, limit int) bool {
-	if now.Sub(b.since) >= time.Second {
-		*b = budget{since: now}
+// allow reports whether one more event is within limit a second, and counts it.
+func (r *rateLimiter) allow(now time.Time, limit int) bool {
+	if now.Sub(r.windowStart) >= time.Second {
+		*r = rateLimiter{windowStart: now}
 	}
-	if b.used >= limit {
+	if r.used >= limit {
 		return false
 	}
-	b.used++
+	r.used++
 	return true
 }
 
@@ -84,100 +87,101 @@
 		return
 	}
 	for _, l := range c.links.open() {
-		if !l.greet.IsZero() && now.After(l.greet) {
-			l.greet = time.Time{}
+		if !l.firstDigestAt.IsZero() && now.After(l.firstDigestAt) {
+			l.firstDigestAt = time.Time{}
 			c.send(l.peer, wire.Digest{Root: c.table.root})
 		}
 	}
 	if now.Before(c.sync.next) {
 		return
 	}
-	c.sync.next = now.Add(c.between(digestMin, digestMax))
+	c.sync.next = now.Add(c.randomBetween(digestMin, digestMax))
 	if open := c.links.open(); len(open) > 0 {
 		l := open[c.rng.IntN(len(open))]
 		c.send(l.peer, wire.Digest{Root: c.table.root})
 	}
 }
 
-// startSnapshot begins to take over peers' views when this node has none yet.
+// startSnapshot requests the first snapshot chunk, once.
 func (c *Controller) startSnapshot(now time.Time) {
-	if c.sync.loaded || !c.sync.linked.IsZero() {
+	if c.sync.loaded || !c.sync.startedAt.IsZero() {
 		return
 	}
-	c.sync.linked = now
-	c.askPiece(now)
+	c.sync.startedAt = now
+	c.requestChunk(now)
 }
 
-// askPiece asks a random peer for the next piece. Pieces go by the order of ids,
-// so that any peer can go on where another stopped.
-func (c *Controller) askPiece(now time.Time) {
-	c.sync.askAgain = now.Add(snapshotWait + c.between(0, snapshotWait))
+// requestChunk requests the next chunk from a random peer. Chunks are ordered by id, so
+// any peer can continue where another stopped.
+func (c *Controller) requestChunk(now time.Time) {
+	c.sync.nextRequest = now.Add(snapshotTimeout + c.randomBetween(0, snapshotTimeout))
 	open := c.links.open()
 	if len(open) == 0 {
 		return
 	}
 	peer := open[c.rng.IntN(len(open))].peer
-	c.send(peer, wire.SnapshotRequest{After: c.sync.after})
+	c.send(peer, wire.SnapshotRequest{After: c.sync.lastID})
 }
 
-// tickSnapshot asks for the next piece when it is time to.
+// tickSnapshot requests the next chunk when it is due.
 func (c *Controller) tickSnapshot(now time.Time) {
-	if !c.sync.linked.IsZero() && !now.Before(c.sync.askAgain) {
-		c.askPiece(now)
+	if !c.sync.startedAt.IsZero() && !now.Before(c.sync.nextRequest) {
+		c.requestChunk(now)
 	}
 }
 
-// serveSnapshot answers with one piece; requests over the rate are dropped, and
-// repeated by the peer at another node. A node without the whole fleet says so.
+// serveSnapshot replies with one chunk. Requests over the rate limit are dropped; the
+// requester repeats them, possibly to another node. A node without the whole fleet
+// replies that its view is partial.
 func (c *Controller) serveSnapshot(now time.Time, l *link, m wire.SnapshotRequest) {
 	if !c.sync.loaded {
 		c.send(l.peer, wire.SnapshotChunk{After: m.After, Partial: true})
 		return
 	}
-	if !c.sync.served.take(now, snapshotsPerSecond) {
+	if !c.sync.snapshotLimiter.allow(now, snapshotsPerSecond) {
 		return
 	}
-	records, last := c.table.after(m.After, snapshotPieceRecords)
+	records, last := c.table.after(m.After, snapshotChunkRecords)
 	c.send(l.peer, wire.SnapshotChunk{After: m.After, Records: records, Last: last})
 }
 
-// snapshotPiece takes a piece over. It is no news to others, so it starts no
-// rumour.
-func (c *Controller) snapshotPiece(now time.Time, l *link, m wire.SnapshotChunk) {
-	if c.sync.loaded || m.After != c.sync.after {
+// receiveSnapshotChunk merges a chunk. The fleet knows its records already, so they are
+// not gossiped.
+func (c *Controller) receiveSnapshotChunk(now time.Time, l *link, m wire.SnapshotChunk) {
+	if c.sync.loaded || m.After != c.sync.lastID {
 		return
 	}
 	if len(m.Records) > wire.MaxMemberRecords {
-		c.recordRarely(now, event.MemberMalformed, string(l.peer), "snapshot piece too long")
+		c.recordRateLimited(now, event.MemberMalformed, string(l.peer), "snapshot chunk has too many records")
 		return
 	}
 	for _, r := range m.Records {
-		c.takeOver(now, l, r)
-		c.sync.after = r.ID
+		c.mergeQuietly(now, l, r)
+		c.sync.lastID = r.ID
 	}
 	if m.Partial {
-		c.sync.tries++
+		c.sync.partialReplies++
 	}
-	if !m.Last && c.sync.tries < snapshotTries {
-		c.sync.askAgain = now.Add(c.between(snapshotPace, 2*snapshotPace))
+	if !m.Last && c.sync.partialReplies < maxPartialReplies {
+		c.sync.nextRequest = now.Add(c.randomBetween(snapshotInterval, 2*snapshotInterval))
 		return
 	}
 	c.sync.loaded = true
-	c.sync.next = now.Add(c.between(repairMin, repairMax))
+	c.sync.next = now.Add(c.randomBetween(repairMin, repairMax))
 	c.record(event.SnapshotLoaded, string(l.peer), "")
 }
 
-// takeOver merges a record that is no news to the fleet.
-func (c *Controller) takeOver(now time.Time, l *link, r wire.MemberRecord) {
+// mergeQuietly merges a record without gossiping it.
+func (c *Controller) mergeQuietly(now time.Time, l *link, r wire.MemberRecord) {
 	if !wellFormed(r) {
-		c.recordRarely(now, event.MemberMalformed, string(l.peer), "record out of bounds")
+		c.recordRateLimited(now, event.MemberMalformed, string(l.peer), "record has an invalid field")
 		return
 	}
-	c.learn(now, r, l.peer, true)
+	c.mergeRecord(now, r, l.peer, true)
 }
 
-func (c *Controller) digest(now time.Time, l *link, m wire.Digest) {
-	if !c.sync.loaded || m.Root == c.table.root || !c.sync.answered.take(now, digestsPerSecond) {
+func (c *Controller) receiveDigest(now time.Time, l *link, m wire.Digest) {
+	if !c.sync.loaded || m.Root == c.table.root || !c.sync.digestLimiter.allow(now, digestsPerSecond) {
 		return
 	}
 	hashes := make([]byte, 0, wire.DigestBucketCount*shortHashBytes)
@@ -187,10 +191,11 @@
 	c.send(l.peer, wire.DigestBuckets{Hashes: hashes})
 }
 
-// digestBuckets sends summaries of buckets that differ, from a random one on.
-func (c *Controller) digestBuckets(now time.Time, l *link, m wire.DigestBuckets) {
+// receiveDigestBuckets replies with summaries of the buckets that differ, starting at a
+// random one.
+func (c *Controller) receiveDigestBuckets(now time.Time, l *link, m wire.DigestBuckets) {
 	if len(m.Hashes) != wire.DigestBucketCount*shortHashBytes {
-		c.recordRarely(now, event.MemberMalformed, string(l.peer), "digest of the wrong length")
+		c.recordRateLimited(now, event.MemberMalformed, string(l.peer), "digest has the wrong length")
 		return
 	}
 	var marked bucketSet
@@ -209,12 +214,12 @@
 		return
 	}
 	if n == limit {
-		c.sync.next = now.Add(c.between(repairMin, repairMax))
+		c.sync.next = now.Add(c.randomBetween(repairMin, repairMax))
 	}
 	c.send(l.peer, wire.BucketSummaries{Buckets: c.summaries(&marked)})
 }
 
-// summariesPerExchange returns the number of buckets to compare in full.
+// summariesPerExchange returns the number of buckets that one exchange compares in full.
 func (c *Controller) summariesPerExchange() int {
 	n := recordsPerExchange * wire.DigestBucketCount / c.FleetSize()
 	return min(max(n, minSummaries), wire.MaxSummaries)
@@ -236,18 +241,18 @@
 	return out
 }
 
-// bucketSummaries sends the records that the peer lacks or has otherwise, and
-// asks for those that this node lacks or has otherwise.
-func (c *Controller) bucketSummaries(now time.Time, l *link, m wire.BucketSummaries) {
+// receiveBucketSummaries sends the records that the peer is missing or has in another
+// version, and requests those that this node is missing or has in another version.
+func (c *Controller) receiveBucketSummaries(now time.Time, l *link, m wire.BucketSummaries) {
 	if len(m.Buckets) > wire.MaxSummaries {
-		c.recordRarely(now, event.MemberMalformed, string(l.peer), "too many bucket summaries")
+		c.recordRateLimited(now, event.MemberMalformed, string(l.peer), "too many bucket summaries")
 		return
 	}
 	var marked bucketSet
 	theirs := map[uint32]uint32{}
 	for _, b := range m.Buckets {
 		if int(b.Index) >= wire.DigestBucketCount || len(b.Entries)%entryBytes != 0 {
-			c.recordRarely(now, event.MemberMalformed, string(l.peer), "bucket summary out of bounds")
+			c.recordRateLimited(now, event.MemberMalformed, string(l.peer), "bucket summary has an invalid index or length")
 			return
 		}
 		marked[b.Index] = true
@@ -256,11 +261,11 @@
 		}
 	}
 	same := c.sendDiffering(l, &marked, theirs)
-	c.askFor(l, m, same)
+	c.requestDiffering(l, m, same)
 }
 
-// sendDiffering sends the records of marked buckets that theirs lacks or has
-// otherwise, and returns the hashes of ids that both have alike.
+// sendDiffering sends the records of marked buckets that are missing from theirs or
+// differ, and returns the short ids of the records that are equal on both sides.
 func (c *Controller) sendDiffering(l *link, marked *bucketSet, theirs map[uint32]uint32) map[uint32]bool {
 	same := map[uint32]bool{}
 	var records []wire.MemberRecord
@@ -277,8 +282,8 @@
 	return same
 }
 
-func (c *Controller) askFor(l *link, m wire.BucketSummaries, same map[uint32]bool) {
-	var want wire.RecordRequest
+func (c *Controller) requestDiffering(l *link, m wire.BucketSummaries, same map[uint32]bool) {
+	var request wire.RecordRequest
 	n := 0
 	for _, b := range m.Buckets {
 		var ids []byte
@@ -290,21 +295,21 @@
 			}
 		}
 		if len(ids) > 0 {
-			want.Buckets = append(want.Buckets, wire.RecordRequestBucket{Index: b.Index, IDs: ids})
+			request.Buckets = append(request.Buckets, wire.RecordRequestBucket{Index: b.Index, IDs: ids})
 		}
 	}
 	if n > 0 {
-		c.send(l.peer, want)
+		c.send(l.peer, request)
 	}
 }
 
-// want answers with the records asked for.
-func (c *Controller) want(now time.Time, l *link, m wire.RecordRequest) {
+// receiveRecordRequest replies with the requested records.
+func (c *Controller) receiveRecordRequest(now time.Time, l *link, m wire.RecordRequest) {
 	var marked bucketSet
 	ids := map[uint32]bool{}
 	for _, b := range m.Buckets {
 		if int(b.Index) >= wire.DigestBucketCount || len(b.IDs)%shortHashBytes != 0 || len(ids) > wire.MaxRequestedIDs {
-			c.recordRarely(now, event.MemberMalformed, string(l.peer), "wanted records out of bounds")
+			c.recordRateLimited(now, event.MemberMalformed, string(l.peer), "record request has an invalid index or length")
 			return
 		}
 		marked[b.Index] = true
@@ -321,7 +326,7 @@
 	c.sendRecords(l, records)
 }
 
-// sendRecords sends up to one exchange's worth of records.
+// sendRecords sends up to recordsPerExchange records.
 func (c *Controller) sendRecords(l *link, records []wire.MemberRecord) {
 	if len(records) == 0 {
 		return
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -8,27 +8,28 @@
 	"gypsumstand/internal/wire"
 )
 
-// maxInstances bounds the table; the target is a fleet of 10,000.
+// maxInstances bounds the table; the design target is a fleet of 10,000.
 const maxInstances = 1 << 16
 
-// entry is one known instance with its record's hash.
+// entry is one known instance with the hash of its record.
 type entry struct {
 	rec    wire.MemberRecord
 	hash   uint64
 	bucket uint16
 }
 
-// table holds the records of all known instances and tombstones, in the order
-// of their ids, with the hashes that digests compare.
+// table holds the records of all known instances, tombstones included, sorted by id, with
+// the hashes that digests compare.
 type table struct {
 	entries map[model.InstanceID]*entry
 	order   []model.InstanceID
-	// buckets hold the exclusive or of the hashes of records that are not gone.
+	// buckets hold the XOR of the hashes of records that are not gone; root is the XOR of
+	// all buckets.
 	buckets [wire.DigestBucketCount]uint64
 	root    uint64
 	// present counts the records that are not gone.
 	present int
-	// serving counts the records per data centre that are neither leaving nor gone.
+	// serving counts, per data centre, the records that are neither leaving nor gone.
 	serving map[model.DataCentre]int
 }
 
@@ -39,81 +40,82 @@
 	}
 }
 
-// merged tells what a merge did.
-type merged struct {
-	// old is the record before; known tells whether there was one.
-	old   wire.MemberRecord
-	known bool
-	now   wire.MemberRecord
-	// changed says that the table says something new.
+// mergeResult describes the effect of a merge.
+type mergeResult struct {
+	// before is the previous record; existed reports whether there was one.
+	before  wire.MemberRecord
+	existed bool
+	after   wire.MemberRecord
+	// changed reports whether the hashed part of the record changed.
 	changed bool
-	// behind says that the table knew a newer word of the owner than was merged.
-	behind bool
-	// refused says that the table is full.
-	refused bool
+	// stale reports whether the table had a newer record from the owner than the merged
+	// one.
+	stale bool
+	// tableFull reports whether the record was refused because the table is full.
+	tableFull bool
 }
 
-// merge joins r into the table.
-func (t *table) merge(r wire.MemberRecord) merged {
+// merge joins r with the table's record of the same instance.
+func (t *table) merge(r wire.MemberRecord) mergeResult {
 	e := t.entries[r.ID]
 	if e == nil {
 		return t.add(r)
 	}
-	m := merged{old: e.rec, known: true}
-	m.behind = compareOwn(e.rec, r) > 0
-	m.now = join(e.rec, r)
-	if m.now == e.rec {
+	m := mergeResult{before: e.rec, existed: true}
+	m.stale = compareOwnerFields(e.rec, r) > 0
+	m.after = join(e.rec, r)
+	if m.after == e.rec {
 		return m
 	}
-	hash := hashRecord(m.now)
+	hash := hashRecord(m.after)
 	m.changed = hash != e.hash
-	t.discount(e)
-	e.rec, e.hash = m.now, hash
-	t.count(e)
+	t.removeCounts(e)
+	e.rec, e.hash = m.after, hash
+	t.addCounts(e)
 	return m
 }
 
-func (t *table) add(r wire.MemberRecord) merged {
+func (t *table) add(r wire.MemberRecord) mergeResult {
 	if len(t.entries) >= maxInstances {
-		return merged{now: r, refused: true}
+		return mergeResult{after: r, tableFull: true}
 	}
 	e := &entry{rec: r, hash: hashRecord(r), bucket: uint16(bucketOf(r.ID))}
 	t.entries[r.ID] = e
 	at, _ := slices.BinarySearch(t.order, r.ID)
 	t.order = slices.Insert(t.order, at, r.ID)
-	t.count(e)
-	return merged{now: r, changed: true}
+	t.addCounts(e)
+	return mergeResult{after: r, changed: true}
 }
 
-// remove forgets an instance.
+// remove deletes an instance's record.
 func (t *table) remove(id model.InstanceID) {
 	e := t.entries[id]
 	if e == nil {
 		return
 	}
-	t.discount(e)
+	t.removeCounts(e)
 	delete(t.entries, id)
 	at, _ := slices.BinarySearch(t.order, id)
 	t.order = slices.Delete(t.order, at, at+1)
 }
 
-func (t *table) count(e *entry) {
+func (t *table) addCounts(e *entry) {
 	if e.rec.State == model.StateGone {
 		return
 	}
 	t.present++
-	t.toggle(e)
+	t.toggleHash(e)
 	if serving(e.rec.State) {
 		t.serving[e.rec.DataCentre]++
 	}
 }
 
-func (t *table) discount(e *entry) {
+func (t *table) removeCounts(e *entry) {
 	if e.rec.State == model.StateGone {
 		return
 	}
 	t.present--
-	t.toggle(e)
+	t.toggleHash(e)
 	if !serving(e.rec.State) {
 		return
 	}
@@ -123,7 +125,7 @@
 	}
 }
 
-func (t *table) toggle(e *entry) {
+func (t *table) toggleHash(e *entry) {
 	t.buckets[e.bucket] ^= e.hash
 	t.root ^= e.hash
 }
@@ -148,7 +150,8 @@
 	return out
 }
 
-// after returns up to limit records whose id comes after id, tombstones too.
+// after returns up to limit records, tombstones included, whose ids follow id; last
+// reports whether none follow them.
 func (t *table) after(id model.InstanceID, limit int) (records []wire.MemberRecord, last bool) {
 	at, found := slices.BinarySearch(t.order, id)
 	if found {
@@ -164,7 +167,7 @@
 // bucketSet marks buckets by their index.
 type bucketSet [wire.DigestBucketCount]bool
 
-// inBuckets returns the entries of the marked buckets that are not gone, by id.
+// inBuckets returns the entries of the marked buckets that are not gone, sorted by id.
 func (t *table) inBuckets(marked *bucketSet) []*entry {
 	var out []*entry
 	for _, id := range t.order {
@@ -176,23 +179,23 @@
 	return out
 }
 
-// sampleTries is how often pick draws at random before it looks at all.
-const sampleTries = 32
+// maxSamples is how many random records pick tries before it scans the whole table.
+const maxSamples = 32
 
-// pick returns a random record that suits; ok is false when none does.
-func (t *table) pick(rng *rand.Rand, suits func(wire.MemberRecord) bool) (r wire.MemberRecord, ok bool) {
+// pick returns a random record that matches; ok is false when none does.
+func (t *table) pick(rng *rand.Rand, match func(wire.MemberRecord) bool) (r wire.MemberRecord, ok bool) {
 	if len(t.order) == 0 {
 		return wire.MemberRecord{}, false
 	}
-	for range sampleTries {
+	for range maxSamples {
 		id := t.order[rng.IntN(len(t.order))]
-		if r := t.entries[id].rec; suits(r) {
+		if r := t.entries[id].rec; match(r) {
 			return r, true
 		}
 	}
 	var all []wire.MemberRecord
 	for _, id := range t.order {
-		if r := t.entries[id].rec; suits(r) {
+		if r := t.entries[id].rec; match(r) {
 			all = append(all, r)
 		}
 	}
