--- a/internal/spread/accept.go
+++ b/internal/spread/accept.go
@@ -11,85 +11,85 @@
 	"gypsumstand/internal/model"
 )
 
-// badPeerPause is how long a peer that sent a bad body is not asked.
-const badPeerPause = 30 * time.Second
+// badPeerPeriod is how long no body is requested from a peer that sent a bad one.
+const badPeerPeriod = 30 * time.Second
 
-// platformSource names the configuration service in logs.
-const platformSource = "configuration service"
+// configSource names the configuration service in logs.
+const configSource = "configuration service"
 
-// offered is a body as it came.
-type offered struct {
+// receivedBody is a bundle body that has not been checked yet.
+type receivedBody struct {
 	name model.BundleName
 	raw  []byte
-	// packed is the form that peers are sent; nil when it has yet to be made.
+	// packed is the form that is sent to peers; nil until it is made.
 	packed []byte
 	// peer is the sender; empty for the configuration service.
 	peer model.InstanceID
-	// late says that another source was faster, so that a newer version in force
-	// is no sign of a stale source.
-	late bool
+	// superseded reports whether another source delivered first. A newer version in force
+	// then does not indicate that this source is stale.
+	superseded bool
 }
 
-func (o *offered) source() string {
-	if o.peer == "" {
-		return platformSource
+func (b *receivedBody) source() string {
+	if b.peer == "" {
+		return configSource
 	}
-	return "peer " + string(o.peer)
+	return "peer " + string(b.peer)
 }
 
-// verdict is what became of an offered body.
-type verdict uint8
+// acceptResult is the outcome of checking a received body.
+type acceptResult uint8
 
 const (
-	accepted verdict = iota
+	accepted acceptResult = iota
 	duplicate
 	rejected
 )
 
-// take checks a body and puts it in force, or refuses it and keeps what is.
-func (c *Controller) take(o *offered) verdict {
-	got, err := c.open(string(o.name), o.raw)
-	if err == nil && got.bundle.Name != o.name {
+// acceptOrRefuse checks a body and either puts it in force or refuses it.
+func (c *Controller) acceptOrRefuse(body *receivedBody) acceptResult {
+	got, err := c.checkBody(string(body.name), body.raw)
+	if err == nil && got.bundle.Name != body.name {
 		err = &refusal{ReasonWrongName, fmt.Errorf("name %q: %w", got.bundle.Name, errWrongName)}
 	}
 	if err != nil {
-		c.refuseBody(o, err)
+		c.recordRefusal(body, err)
 		return rejected
 	}
-	old := c.held.items[o.name]
+	old := c.inForce.items[body.name]
 	switch {
 	case old == nil || old.bundle.Version < got.bundle.Version:
-		c.putInForce(o, got)
+		c.putInForce(body, got)
 		return accepted
-	case old.bundle.Version > got.bundle.Version && !o.late:
-		c.refuseOlder(o, got.bundle.VersionID(), old.bundle.Version)
+	case old.bundle.Version > got.bundle.Version && !body.superseded:
+		c.recordOlder(body, got.bundle.VersionID(), old.bundle.Version)
 		return rejected
 	case old.bundle.Version == got.bundle.Version && old.content != got.content:
-		c.conflict(got.bundle.VersionID(), o.source())
+		c.recordConflict(got.bundle.VersionID(), body.source())
 		return rejected
 	}
 	c.counters.Duplicates++
 	return duplicate
 }
 
-func (c *Controller) putInForce(o *offered, got opened) {
-	if o.packed == nil {
-		o.packed = c.packed(o.raw)
+func (c *Controller) putInForce(body *receivedBody, got checkedBundle) {
+	if body.packed == nil {
+		body.packed = c.packOrNil(body.raw)
 	}
 	id := got.bundle.VersionID()
-	it := &item{bundle: got.bundle, content: got.content, packed: o.packed, since: c.now}
-	if !c.held.put(it) {
+	it := &item{bundle: got.bundle, content: got.content, packed: body.packed, since: c.now}
+	if !c.inForce.put(it) {
 		c.record(event.BundleNotForwarded, id.String(), "", nil)
 	}
-	c.confirm.holds(c.held.digest)
-	c.do(control.Record{Event: event.BundleInForce, Subject: id.String(), Detail: "from " + o.source()})
-	c.announceVersion(id, o.peer)
-	c.satisfy(id)
+	c.confirmation.setDigest(c.inForce.digest)
+	c.emit(control.Record{Event: event.BundleInForce, Subject: id.String(), Detail: "from " + body.source()})
+	c.announceVersion(id, body.peer)
+	c.completeFetch(id)
 	c.dirty = true
 }
 
-// packed returns nil on a fault, so the bundle is in force but not passed on.
-func (c *Controller) packed(raw []byte) []byte {
+// packOrNil returns nil if packing fails; the bundle is then in force but not forwarded.
+func (c *Controller) packOrNil(raw []byte) []byte {
 	out, err := packed.Pack(raw)
 	if err != nil {
 		return nil
@@ -97,25 +97,25 @@
 	return out
 }
 
-func (c *Controller) refuseBody(o *offered, err error) {
+func (c *Controller) recordRefusal(body *receivedBody, err error) {
 	reason := ReasonMalformed
 	var r *refusal
 	if errors.As(err, &r) {
 		reason = r.reason
 	}
 	c.counters.Refused[reason]++
-	subject := model.BundleVersion{Name: o.name, Version: c.wants.target(o.name)}
-	c.record(event.BundleRefused, subject.String(), reason.String()+", from "+o.source(), err)
+	subject := model.BundleVersion{Name: body.name, Version: c.fetches.target(body.name)}
+	c.record(event.BundleRefused, subject.String(), reason.String()+", from "+body.source(), err)
 }
 
-func (c *Controller) refuseOlder(o *offered, got model.BundleVersion, inForce uint64) {
+func (c *Controller) recordOlder(body *receivedBody, got model.BundleVersion, inForce uint64) {
 	c.counters.Refused[ReasonOlder]++
-	detail := fmt.Sprintf("%s offered it, version %d is in force", o.source(), inForce)
+	detail := fmt.Sprintf("received from %s, but version %d is in force", body.source(), inForce)
 	c.record(event.BundleOlder, got.String(), detail, nil)
 }
 
-// conflict raises the alarm about two sign-offs of one version.
-func (c *Controller) conflict(v model.BundleVersion, source string) {
+// recordConflict raises the alert about two different bundles signed under one version.
+func (c *Controller) recordConflict(v model.BundleVersion, source string) {
 	c.counters.Refused[ReasonConflict]++
-	c.record(event.BundleConflict, v.String(), source+" holds other bytes; the first stays in force here", nil)
+	c.record(event.BundleConflict, v.String(), source+" has different content; the version received first stays in force", nil)
 }
--- a/internal/spread/compare.go
+++ b/internal/spread/compare.go
@@ -10,87 +10,88 @@
 
 // Timing of comparisons.
 const (
-	// compareInterval is the time between comparisons with one random peer,
-	// jittered by half of it.
+	// compareInterval is the mean time between comparisons with a random peer; each is
+	// drawn from half to one and a half times this.
 	compareInterval = 5 * time.Second
-	// compareSooner is the time when a reading shows that others hold something
-	// else and nothing is on its way.
-	compareSooner = 1500 * time.Millisecond
-	// compareTimeout ends a comparison that got no answer.
+	// earlyCompareDelay is the mean delay when a reading shows that other nodes hold
+	// different versions and none is being fetched.
+	earlyCompareDelay = 1500 * time.Millisecond
+	// compareTimeout is how long a comparison waits for a reply.
 	compareTimeout = 2 * time.Second
 )
 
-// comparison is the state of asking one peer what it holds.
+// comparison is the state of comparing versions with one peer.
 type comparison struct {
-	// nonce is the question's; zero when none is open.
-	nonce uint64
-	at    time.Time
-	// open are the parts that differ and are not listed yet.
-	open uint64
+	// nonce identifies the request; zero when no comparison is open.
+	nonce  uint64
+	sentAt time.Time
+	// openParts is the set of buckets that differ and have not been listed yet.
+	openParts uint64
 }
 
-// compareWith opens a comparison, replacing an open one.
+// compareWith starts a comparison and replaces an open one.
 func (c *Controller) compareWith(l *link) {
 	c.counters.Comparisons++
 	l.compareAt = time.Time{}
-	l.compare = comparison{nonce: c.rng.Uint64() | 1, at: c.now}
-	c.do(send(l.id, wire.BundleCompare{Nonce: l.compare.nonce, Digest: c.held.digest}))
+	l.compare = comparison{nonce: c.rng.Uint64() | 1, sentAt: c.now}
+	c.emit(send(l.id, wire.BundleCompare{Nonce: l.compare.nonce, Digest: c.inForce.digest}))
 }
 
-// compareWhenDue opens the regular comparison and those over new links, and
-// repeats those whose answer this node cannot do without.
+// compareWhenDue starts the regular comparison and those over new links, and repeats
+// those whose reply this node needs to become ready or to trust a link.
 func (c *Controller) compareWhenDue() {
 	for _, l := range c.links.list {
-		needed := !l.fresh || (!c.start.ready && !l.answered)
+		needed := !l.fresh || (!c.startup.ready && !l.compared)
 		due := !l.compareAt.IsZero() && !c.now.Before(l.compareAt)
-		if due || needed && c.now.Sub(l.compare.at) >= compareTimeout {
+		if due || needed && c.now.Sub(l.compare.sentAt) >= compareTimeout {
 			c.compareWith(l)
 		}
 	}
-	if c.behindAReading() {
-		c.compareBy(c.now.Add(compareSooner/2 + c.jitter(compareSooner)))
+	if c.missesReadVersions() {
+		c.compareNoLaterThan(c.now.Add(earlyCompareDelay/2 + c.jitter(earlyCompareDelay)))
 	}
 	if c.now.Before(c.nextCompare) {
 		return
 	}
 	c.nextCompare = c.now.Add(compareInterval/2 + c.jitter(compareInterval))
-	l := c.links.pick(c.rng, func(l *link) bool { return l.compare.nonce == 0 || c.now.Sub(l.compare.at) >= compareTimeout })
+	l := c.links.pick(c.rng, func(l *link) bool { return l.compare.nonce == 0 || c.now.Sub(l.compare.sentAt) >= compareTimeout })
 	if l != nil {
 		c.compareWith(l)
 	}
 }
 
-// compareBy brings the next comparison forward.
-func (c *Controller) compareBy(at time.Time) {
+// compareNoLaterThan moves the next regular comparison forward.
+func (c *Controller) compareNoLaterThan(at time.Time) {
 	if at.Before(c.nextCompare) {
 		c.nextCompare = at
 	}
 }
 
-// behindAReading reports whether a reading showed other versions than this node
-// has ever had, and none is on its way.
-func (c *Controller) behindAReading() bool {
-	return len(c.confirm.waiting) > 0 && len(c.wants.list) == 0
+// missesReadVersions reports whether a reading showed other versions than this node has
+// ever held, and none is being fetched.
+func (c *Controller) missesReadVersions() bool {
+	return len(c.confirmation.waiting) > 0 && len(c.fetches.list) == 0
 }
 
-// answerCompare answers a peer's question from what is in force.
-func (c *Controller) answerCompare(to model.InstanceID, m wire.BundleCompare) {
-	reply := wire.BundleCompareReply{Nonce: m.Nonce, Digest: c.held.digest, Ready: c.start.ready}
-	if m.Digest != c.held.digest {
-		reply.Buckets = append(reply.Buckets, c.held.buckets[:]...)
+// replyCompare replies to a peer's comparison with this node's digest.
+func (c *Controller) replyCompare(to model.InstanceID, m wire.BundleCompare) {
+	reply := wire.BundleCompareReply{Nonce: m.Nonce, Digest: c.inForce.digest, Ready: c.startup.ready}
+	if m.Digest != c.inForce.digest {
+		reply.Buckets = append(reply.Buckets, c.inForce.buckets[:]...)
 	}
-	c.do(send(to, reply))
+	c.emit(send(to, reply))
 }
 
-// compared takes the answer; parts that differ are asked for.
-func (c *Controller) compared(l *link, m wire.BundleCompareReply) {
+// receiveCompareReply handles the reply to a comparison and requests the lists of the
+// buckets that differ.
+func (c *Controller) receiveCompareReply(l *link, m wire.BundleCompareReply) {
 	if m.Nonce != l.compare.nonce || m.Nonce == 0 {
 		return
 	}
 	l.fresh = true
-	l.settled = m.Ready
-	if m.Digest == c.held.digest {
-		c.endCompare(l)
+	l.wasReady = m.Ready
+	if m.Digest == c.inForce.digest {
+		c.finishCompare(l)
 		return
 	}
 	if len(m.Buckets) != wire.BundleBuckets {
@@ -99,34 +100,34 @@
 	}
 	c.counters.Repairs++
 	for i, sum := range m.Buckets {
-		if sum != c.held.buckets[i] {
-			l.compare.open |= 1 << i
+		if sum != c.inForce.buckets[i] {
+			l.compare.openParts |= 1 << i
 		}
 	}
-	c.askList(l)
+	c.requestList(l)
 }
 
-// askList asks for the parts that are still open, or ends the comparison.
-func (c *Controller) askList(l *link) {
-	if l.compare.open == 0 {
-		c.endCompare(l)
+// requestList requests the buckets that are still open, or ends the comparison.
+func (c *Controller) requestList(l *link) {
+	if l.compare.openParts == 0 {
+		c.finishCompare(l)
 		return
 	}
-	l.compare.at = c.now
-	c.do(send(l.id, wire.BundleListRequest{Nonce: l.compare.nonce, Buckets: l.compare.open}))
+	l.compare.sentAt = c.now
+	c.emit(send(l.id, wire.BundleListRequest{Nonce: l.compare.nonce, Buckets: l.compare.openParts}))
 }
 
-func (c *Controller) endCompare(l *link) {
+func (c *Controller) finishCompare(l *link) {
 	l.compare.nonce = 0
-	l.answered = true
-	if c.start.ready {
-		c.start.alone = false
+	l.compared = true
+	if c.startup.ready {
+		c.startup.readyWithoutPeers = false
 	}
 }
 
-// answerList lists whole parts, lowest first, up to the bound of a message, at
-// least one.
-func (c *Controller) answerList(to model.InstanceID, m wire.BundleListRequest) {
+// replyList lists complete buckets, lowest first, up to maxVersions but at least one
+// bucket.
+func (c *Controller) replyList(to model.InstanceID, m wire.BundleListRequest) {
 	byBucket := c.heldByBucket(m.Buckets)
 	reply := wire.BundleList{Nonce: m.Nonce}
 	for i := range wire.BundleBuckets {
@@ -141,13 +142,13 @@
 		reply.Held = append(reply.Held, byBucket[i]...)
 	}
 	if reply.Buckets != 0 {
-		c.do(send(to, reply))
+		c.emit(send(to, reply))
 	}
 }
 
-// heldByBucket returns what is in force in the given parts, in order of name.
+// heldByBucket returns the bundles in force in the given buckets, sorted by name.
 func (c *Controller) heldByBucket(mask uint64) (out [wire.BundleBuckets][]wire.HeldBundle) {
-	for name, it := range c.held.items {
+	for name, it := range c.inForce.items {
 		i := bucketOf(name)
 		if mask&(1<<i) != 0 {
 			out[i] = append(out[i], wire.HeldBundle{Name: name, Version: it.bundle.Version, Content: it.content})
@@ -159,35 +160,35 @@
 	return out
 }
 
-// listed takes some parts of a peer's list: what is newer there is wanted, and
-// the peer is told of what is newer here.
-func (c *Controller) listed(l *link, m wire.BundleList) {
-	covered := m.Buckets & l.compare.open
+// receiveList handles some buckets of a peer's list. Versions that are newer there are
+// fetched, and the peer is sent the versions that are newer here.
+func (c *Controller) receiveList(l *link, m wire.BundleList) {
+	covered := m.Buckets & l.compare.openParts
 	if m.Nonce != l.compare.nonce || covered == 0 {
 		return
 	}
-	newerHere := c.heldInOrder(covered)
+	newerLocally := c.heldInOrder(covered)
 	for _, h := range m.Held {
 		v := model.BundleVersion{Name: h.Name, Version: h.Version}
-		if !plausible(v) {
+		if !withinBounds(v) {
 			c.counters.Malformed++
 			continue
 		}
-		here := c.held.items[h.Name]
-		if here != nil && here.bundle.Version == h.Version && here.content != h.Content {
-			c.conflict(v, "peer "+string(l.id))
+		local := c.inForce.items[h.Name]
+		if local != nil && local.bundle.Version == h.Version && local.content != h.Content {
+			c.recordConflict(v, "peer "+string(l.id))
 		}
-		if c.held.version(h.Name) <= h.Version {
-			newerHere = without(newerHere, h.Name)
+		if c.inForce.version(h.Name) <= h.Version {
+			newerLocally = without(newerLocally, h.Name)
 		}
-		c.wantFrom(v, l.id)
+		c.fetchFrom(v, l.id)
 	}
-	c.notify(l.id, newerHere)
-	l.compare.open &^= covered
-	c.askList(l)
+	c.sendVersions(l.id, newerLocally)
+	l.compare.openParts &^= covered
+	c.requestList(l)
 }
 
-// heldInOrder returns the versions in force in the given parts.
+// heldInOrder returns the versions in force in the given buckets.
 func (c *Controller) heldInOrder(mask uint64) []model.BundleVersion {
 	var out []model.BundleVersion
 	for _, part := range c.heldByBucket(mask) {
--- a/internal/spread/confirm.go
+++ b/internal/spread/confirm.go
@@ -10,45 +10,46 @@
 const (
 	// maxReadings bounds the readings that this node has yet to catch up with.
 	maxReadings = 4
-	// maxDigests bounds the digests that this node remembers to have had.
+	// maxDigests bounds the digests of its own past states that this node stores.
 	maxDigests = 32
-	// unconfirmedAlarm is the age of the last confirmation that raises an alarm.
-	unconfirmedAlarm = time.Minute
+	// unconfirmedAlertAge is the age of the last confirmation above which an alert is
+	// raised.
+	unconfirmedAlertAge = time.Minute
 )
 
-// reading is a reading of the index whose versions were all in force at its
-// reader, with the digest of what the reader then held.
+// reading is an index read whose versions were all in force at its reader, with the
+// digest of what the reader then held.
 type reading struct {
 	at     time.Time
 	digest uint64
 }
 
-// confirmation tells as of when this node is known to hold what the platform
-// does. Versions never decrease, so a node that has had a reader's digest at any
-// time holds everything that the reader had found.
+// confirmation computes as of when this node is known to hold what the configuration
+// service does. Versions never decrease, so a node that has had a reader's digest at any
+// time holds everything that the reader found.
 type confirmation struct {
-	// newest is the newest reading known; beacons pass it on.
+	// newest is the newest known reading; beacons pass it on.
 	newest reading
-	// waiting are readings of digests that this node has not had, oldest first.
+	// waiting holds readings with digests that this node has not had, oldest first.
 	waiting []reading
-	// past is a ring of the digests that this node has had.
-	past [maxDigests]uint64
-	next int
-	size int
-	at   time.Time
-	// doubted is when everything was last forgotten.
-	doubted time.Time
+	// pastDigests is a ring of the digests that this node has had.
+	pastDigests [maxDigests]uint64
+	next        int
+	size        int
+	at          time.Time
+	// resetAt is when reset was last called.
+	resetAt time.Time
 }
 
-// heard takes a reading.
-func (f *confirmation) heard(r reading) {
+// addReading handles a reading of this node or of a peer.
+func (f *confirmation) addReading(r reading) {
 	if r.at.After(f.newest.at) {
 		f.newest = r
 	}
 	if !r.at.After(f.at) {
 		return
 	}
-	if f.had(r.digest) {
+	if f.hasHeld(r.digest) {
 		f.at = r.at
 		return
 	}
@@ -64,9 +65,9 @@
 	f.waiting = append(f.waiting, r)
 }
 
-// holds notes that this node now has digest.
-func (f *confirmation) holds(digest uint64) {
-	f.past[f.next] = digest
+// setDigest notes that this node now has digest.
+func (f *confirmation) setDigest(digest uint64) {
+	f.pastDigests[f.next] = digest
 	f.next = (f.next + 1) % maxDigests
 	f.size = min(f.size+1, maxDigests)
 	kept := f.waiting[:0]
@@ -80,8 +81,8 @@
 	f.waiting = kept
 }
 
-func (f *confirmation) had(digest uint64) bool {
-	for _, d := range f.past[:f.size] {
+func (f *confirmation) hasHeld(digest uint64) bool {
+	for _, d := range f.pastDigests[:f.size] {
 		if d == digest {
 			return true
 		}
@@ -89,49 +90,51 @@
 	return false
 }
 
-// reset forgets every reading, not what this node holds.
+// reset discards all readings but keeps the digests that this node has had.
 func (f *confirmation) reset(now time.Time) {
-	f.doubted = now
+	f.resetAt = now
 	f.newest = reading{}
 	f.waiting = nil
 	f.at = time.Time{}
 }
 
-// ownReading is this node's last good reading of the index until all that it
-// listed is in force or refused.
-type ownReading struct {
-	at   time.Time
-	open []model.BundleVersion
+// indexReading is this node's last successful index read until all versions that it
+// listed are in force or refused.
+type indexReading struct {
+	at      time.Time
+	missing []model.BundleVersion
 }
 
-// resolveReading turns the own reading into a confirmation once nothing is open.
-func (c *Controller) resolveReading() {
-	r := c.platform.reading
+// confirmOwnReading turns the own index read into a reading once none of its versions is
+// missing.
+func (c *Controller) confirmOwnReading() {
+	r := c.configReads.ownReading
 	if r == nil {
 		return
 	}
-	kept := r.open[:0]
-	for _, v := range r.open {
-		if c.held.version(v.Name) < v.Version && !c.refused.holds(c.now, v) {
+	kept := r.missing[:0]
+	for _, v := range r.missing {
+		if c.inForce.version(v.Name) < v.Version && !c.refused.holds(c.now, v) {
 			kept = append(kept, v)
 		}
 	}
-	r.open = kept
-	if len(r.open) > 0 {
+	r.missing = kept
+	if len(r.missing) > 0 {
 		return
 	}
-	c.platform.reading = nil
-	c.confirm.heard(reading{at: r.at, digest: c.held.digest})
+	c.configReads.ownReading = nil
+	c.confirmation.addReading(reading{at: r.at, digest: c.inForce.digest})
 }
 
-// alarmWhenUnconfirmed logs that nothing has confirmed this node for long.
-func (c *Controller) alarmWhenUnconfirmed() {
-	if !c.start.ready {
+// alertWhenUnconfirmed logs that this node has not been confirmed for
+// unconfirmedAlertAge.
+func (c *Controller) alertWhenUnconfirmed() {
+	if !c.startup.ready {
 		return
 	}
-	since := latest(c.confirm.at, latest(c.start.readyAt, c.confirm.doubted))
+	since := latest(c.confirmation.at, latest(c.startup.readyAt, c.confirmation.resetAt))
 	age := c.now.Sub(since)
-	if age < unconfirmedAlarm {
+	if age < unconfirmedAlertAge {
 		c.log.reset(event.ConfigUnconfirmed, "")
 		return
 	}
--- a/internal/spread/counters.go
+++ b/internal/spread/counters.go
@@ -10,45 +10,48 @@
 type Counters struct {
 	// Refused counts refused bodies by reason.
 	Refused [reasonCount]uint64
-	// RefusedAgain counts reads that found the same refused bytes.
+	// RefusedAgain counts value reads that returned the same refused bytes again.
 	RefusedAgain uint64
-	// ValueReads counts this node's own reads of values.
+	// ValueReads counts this node's own value reads.
 	ValueReads uint64
-	// IndexFailures counts own index reads that failed, StaleIndexes those that
-	// were behind what is in force.
+	// IndexFailures counts own index reads that failed, StaleIndexes those that were
+	// older than what is in force.
 	IndexFailures uint64
 	StaleIndexes  uint64
-	// Requests counts versions asked of peers, RequestTimeouts those not answered in time.
+	// Requests counts versions requested from peers, RequestTimeouts those without a
+	// timely response.
 	Requests        uint64
 	RequestTimeouts uint64
-	// BodiesSent and BytesSent count what was sent to peers that asked, Declined
-	// what was not, for lack of it or of room.
+	// BodiesSent and BytesSent count what was sent to peers on request. Declined counts
+	// requested versions that were not sent, because they are not held or exceed the
+	// upload limit.
 	BodiesSent uint64
 	BytesSent  uint64
 	Declined   uint64
-	// BodiesReceived counts bodies from peers, Duplicates those not needed (any
-	// source).
+	// BodiesReceived counts bodies from peers, Duplicates bodies from any source that
+	// were not needed.
 	BodiesReceived uint64
 	Duplicates     uint64
-	// Comparisons counts digest comparisons begun, Repairs those that found a
+	// Comparisons counts digest comparisons started, Repairs those that found a
 	// difference.
 	Comparisons uint64
 	Repairs     uint64
-	// Malformed counts messages whose content is out of bounds.
+	// Malformed counts messages with content outside its limits.
 	Malformed uint64
-	// FetchesDropped counts versions not pursued: too many, or not to be had.
+	// FetchesDropped counts fetches given up: too many at once, or unobtainable.
 	FetchesDropped uint64
-	// Contradictions counts those between bundles in force, at every change.
+	// Contradictions counts contradictions between bundles in force, at every change.
 	Contradictions uint64
-	// LogsSuppressed counts log lines that would have repeated.
+	// LogsSuppressed counts log lines suppressed as repetitions.
 	LogsSuppressed uint64
 }
 
-// Bounds of the log.
+// Limits on the log.
 const (
-	// logInterval is the least time between two lines of one event and subject.
+	// logInterval is the minimum time between two lines of one event and subject.
 	logInterval = 10 * time.Minute
-	// maxLogSubjects bounds the memory of lines; above it none is written.
+	// maxLogSubjects bounds the stored events and subjects; above it, new ones are not
+	// logged.
 	maxLogSubjects = 2048
 )
 
@@ -57,12 +60,12 @@
 	subject string
 }
 
-// logLimiter holds back lines that repeat.
+// logLimiter suppresses repeated log lines.
 type logLimiter struct{ last map[logKey]time.Time }
 
 func newLogLimiter() logLimiter { return logLimiter{last: map[logKey]time.Time{}} }
 
-// allow reports whether a line may be written, and takes it as written.
+// allow reports whether a line may be written, and counts it as written.
 func (l logLimiter) allow(now time.Time, id event.ID, subject string) bool {
 	key := logKey{event: id, subject: subject}
 	at, known := l.last[key]
@@ -76,7 +79,7 @@
 	return true
 }
 
-// forget drops what has run out and reports whether there is room.
+// forget drops expired entries and reports whether there is room for another.
 func (l logLimiter) forget(now time.Time) bool {
 	for key, at := range l.last {
 		if now.Sub(at) >= logInterval {
@@ -86,21 +89,21 @@
 	return len(l.last) < maxLogSubjects
 }
 
-// reset lets the next line of this event and subject through.
+// reset allows the next line of this event and subject.
 func (l logLimiter) reset(id event.ID, subject string) {
 	delete(l.last, logKey{event: id, subject: subject})
 }
 
-// bucket is a token bucket that may go into debt by one withdrawal.
-type bucket struct {
+// tokenBucket is a token bucket that one withdrawal may overdraw.
+type tokenBucket struct {
 	rate   float64 // per second
 	burst  float64
 	tokens float64
 	at     time.Time
 }
 
-// refill adds what has come since the last call; the first call fills it.
-func (b *bucket) refill(now time.Time) {
+// refill adds the tokens since the last call; the first call fills the bucket.
+func (b *tokenBucket) refill(now time.Time) {
 	if b.at.IsZero() {
 		b.tokens = b.burst
 	} else if d := now.Sub(b.at); d > 0 {
@@ -109,8 +112,8 @@
 	b.at = now
 }
 
-// take withdraws n when the bucket is not in debt.
-func (b *bucket) take(now time.Time, n float64) bool {
+// take withdraws n unless the bucket is overdrawn.
+func (b *tokenBucket) take(now time.Time, n float64) bool {
 	b.refill(now)
 	if b.tokens <= 0 {
 		return false
@@ -119,14 +122,14 @@
 	return true
 }
 
-// takeAt withdraws one at a new rate and burst.
-func (b *bucket) takeAt(now time.Time, rate, burst float64) bool {
+// takeAt sets a new rate and burst and withdraws one token.
+func (b *tokenBucket) takeAt(now time.Time, rate, burst float64) bool {
 	b.rate, b.burst = rate, burst
 	return b.take(now, 1)
 }
 
 // wait returns the time until take succeeds again.
-func (b *bucket) wait() time.Duration {
+func (b *tokenBucket) wait() time.Duration {
 	if b.tokens > 0 {
 		return 0
 	}
--- a/internal/spread/faults_test.go
+++ b/internal/spread/faults_test.go
@@ -11,8 +11,9 @@
 	"gypsumstand/internal/wire"
 )
 
-// bound is the promised time from publication to force everywhere.
-const bound = 7 * time.Second
+// rollOutLimit is the guaranteed time from publication until a version is in force
+// everywhere.
+const rollOutLimit = 7 * time.Second
 
 func TestNewVersionIsInForceEverywhereWithinSevenSeconds(t *testing.T) {
 	for _, loss := range []float64{0, 0.1} {
@@ -20,44 +21,44 @@
 		f.loss = loss
 		f.publish("a", 1, 5000)
 		f.linkAll(4)
-		f.settle(t)
+		f.runUntilReady(t)
 		for version := uint64(2); version < 8; version++ {
-			f.wantRolledOut(t, fmt.Sprintf("loss %.1f", loss), version, 5000)
+			f.checkRollOut(t, fmt.Sprintf("loss %.1f", loss), version, 5000)
 		}
 	}
 }
 
-// wantRolledOut publishes a version of a and fails unless it is in force everywhere within the
-// bound; when says what is played.
-func (f *fleet) wantRolledOut(t *testing.T, when string, version uint64, size int) {
+// checkRollOut publishes a version of a and fails unless it is in force everywhere within
+// rollOutLimit; when describes the scenario.
+func (f *fleet) checkRollOut(t *testing.T, when string, version uint64, size int) {
 	t.Helper()
 	times := f.rollOut(t, "a", version, size)
 	last := times[len(times)-1]
-	if last > bound {
+	if last > rollOutLimit {
 		t.Errorf("%s: version %d was in force everywhere after %s", when, version, last)
 	}
 	t.Logf("%s: version %d after %s", when, version, last)
 }
 
-// settledFleet is n ready nodes with a@1 in force.
-func settledFleet(t *testing.T, n int) *fleet {
+// newReadyFleet returns a fleet of n ready nodes with a@1 in force.
+func newReadyFleet(t *testing.T, n int) *fleet {
 	f := newFleet(n, 7)
 	f.publish("a", 1, 1000)
 	f.linkAll(4)
-	f.settle(t)
+	f.runUntilReady(t)
 	return f
 }
 
-// wantAll fails unless the nodes have the version in force within d.
-func (f *fleet) wantAll(t *testing.T, nodes []*node, version uint64, d time.Duration) {
+// checkInForce fails unless the nodes have the version in force within d.
+func (f *fleet) checkInForce(t *testing.T, nodes []*node, version uint64, d time.Duration) {
 	t.Helper()
 	if !f.runUntil(f.now.Add(d), func() bool { return allHave(nodes, "a", version) }) {
 		t.Errorf("a@%d is not in force on all of %d nodes after %s", version, len(nodes), d)
 	}
 }
 
-func TestOutageOfAnHour(t *testing.T) {
-	f := settledFleet(t, 12)
+func TestConfigOutageOfAnHour(t *testing.T) {
+	f := newReadyFleet(t, 12)
 	f.platform.down = true
 	before := f.platform.reads
 	f.run(50 * time.Minute)
@@ -66,7 +67,7 @@
 	}
 	for _, nd := range f.nodes {
 		if age := f.now.Sub(nd.c.Confirmed()); age < 49*time.Minute || nd.records[event.ConfigUnconfirmed] == 0 {
-			t.Fatalf("%s counts itself confirmed %s ago, %d alarms", nd.id, age, nd.records[event.ConfigUnconfirmed])
+			t.Fatalf("%s was confirmed %s ago, %d alerts", nd.id, age, nd.records[event.ConfigUnconfirmed])
 		}
 		if n := nd.records[event.ConfigUnreachable]; n > 6 {
 			t.Errorf("%s logged the outage %d times", nd.id, n)
@@ -77,15 +78,15 @@
 	f.linkSome(fresh, 4, f.nodes)
 	f.run(10 * time.Minute)
 	if !fresh.c.Ready() || fresh.inForce("a") != 1 {
-		t.Errorf("a node that started in the outage lacks %v", fresh.c.Missing())
+		t.Errorf("a node that started in the outage is missing %v", fresh.c.Missing())
 	}
 	f.publish("a", 2, 1000)
 	f.platform.down = false
-	f.wantAll(t, f.nodes, 2, 15*time.Second)
+	f.checkInForce(t, f.nodes, 2, 15*time.Second)
 }
 
-func TestStaleConfigurationServiceTurnsNothingBack(t *testing.T) {
-	f := settledFleet(t, 30)
+func TestStaleConfigServiceRevertsNoVersion(t *testing.T) {
+	f := newReadyFleet(t, 30)
 	f.platform.stale = map[model.BundleName]platformValue{"a": f.platform.values["a"]}
 	old := f.platform.stale
 	f.platform.stale = nil
@@ -107,7 +108,7 @@
 			t.Errorf("%s has a@%d in force", nd.id, nd.inForce("a"))
 		}
 		if nd.c.Confirmed().After(turned) {
-			t.Errorf("%s counts a stale answer as a confirmation", nd.id)
+			t.Errorf("%s counts a stale response as a confirmation", nd.id)
 		}
 	}
 	if logged == 0 || logged > len(f.nodes) {
@@ -116,78 +117,78 @@
 }
 
 func TestPartitionHeals(t *testing.T) {
-	f := settledFleet(t, 40)
+	f := newReadyFleet(t, 40)
 	for _, nd := range f.nodes {
 		half := nd.at / 20 * 20
 		f.linkSome(nd, 2, f.nodes[half:half+20])
 	}
 	f.run(time.Second)
 	left := func(nd *node) bool { return nd.at < 20 }
-	f.cut = func(a, b *node) bool { return left(a) != left(b) }
+	f.partitioned = func(a, b *node) bool { return left(a) != left(b) }
 	f.platform.values["a"] = platformValue{version: 2, raw: signed("a", 2, 1000)}
-	f.wantAll(t, f.nodes, 2, bound)
+	f.checkInForce(t, f.nodes, 2, rollOutLimit)
 	f.publish("a", 3, 1000)
-	f.wantAll(t, f.nodes, 3, bound)
+	f.checkInForce(t, f.nodes, 3, rollOutLimit)
 	f.platform.down = true
 	f.nodes[0].c.Handle(f.now, control.ValueRead{Name: "a", Data: signed("a", 4, 1000)})
-	f.wantAll(t, f.nodes[:20], 4, bound)
+	f.checkInForce(t, f.nodes[:20], 4, rollOutLimit)
 	f.run(time.Minute)
 	if f.nodes[30].inForce("a") != 3 {
-		t.Fatal("the partition does not separate")
+		t.Fatal("the partition does not separate the nodes")
 	}
-	f.cut = func(a, b *node) bool { return false }
-	f.wantAll(t, f.nodes, 4, 2*compareInterval)
+	f.partitioned = func(a, b *node) bool { return false }
+	f.checkInForce(t, f.nodes, 4, 2*compareInterval)
 }
 
-func TestReaderIsLostBeforeItTellsAnyone(t *testing.T) {
-	f := settledFleet(t, 30)
+func TestVersionSpreadsAfterReaderFails(t *testing.T) {
+	f := newReadyFleet(t, 30)
 	f.publish("a", 2, 1000)
 	for range 3 {
 		reads := f.platform.reads
 		f.runUntil(f.now.Add(time.Minute), func() bool { return f.platform.reads > reads })
 		for _, nd := range f.nodes {
-			if len(nd.c.platform.indexBegun) > 0 {
-				f.stop(nd)
+			if len(nd.c.configReads.indexReadsStarted) > 0 {
+				f.pauseNode(nd)
 			}
 		}
 	}
 	var alive []*node
 	for _, nd := range f.nodes {
-		if !nd.stopped {
+		if !nd.paused {
 			alive = append(alive, nd)
 		}
 	}
 	if len(alive) == len(f.nodes) {
-		t.Fatal("no reader was stopped")
+		t.Fatal("no reader was paused")
 	}
-	f.wantAll(t, alive, 2, bound)
+	f.checkInForce(t, alive, 2, rollOutLimit)
 }
 
-func TestPausedNodeConfirmsAnew(t *testing.T) {
-	f := settledFleet(t, 20)
+func TestPausedNodeReconfirms(t *testing.T) {
+	f := newReadyFleet(t, 20)
 	nd := f.nodes[5]
-	f.stop(nd)
+	f.pauseNode(nd)
 	f.run(5 * time.Second)
 	f.platform.down = true
 	f.run(5 * time.Minute)
 	f.publish("a", 2, 1000)
-	f.wake(nd)
+	f.resumeNode(nd)
 	if got := nd.c.Confirmed(); !got.IsZero() {
-		t.Errorf("confirmed at %s by what waited through the pause", got)
+		t.Errorf("confirmed at %s by events that waited through the pause", got)
 	}
 	f.run(10 * time.Second)
 	if age := f.now.Sub(nd.c.Confirmed()); age < 5*time.Minute {
-		t.Errorf("confirmed %s ago, while nobody could read", age)
+		t.Errorf("confirmed %s ago, during the outage", age)
 	}
 	f.platform.down = false
-	f.wantAll(t, f.nodes, 2, 15*time.Second)
+	f.checkInForce(t, f.nodes, 2, 15*time.Second)
 	f.run(5 * time.Second)
 	if age := f.now.Sub(nd.c.Confirmed()); age > 5*time.Second {
 		t.Errorf("confirmed %s ago", age)
 	}
 }
 
-func TestDataCentreStartsAtOnce(t *testing.T) {
+func TestDataCentreStartIsBounded(t *testing.T) {
 	f := newFleet(90, 3)
 	for i := range 60 {
 		f.publish(fmt.Sprintf("b%02d", i), 1, 5000)
@@ -195,27 +196,27 @@
 	f.showFleet()
 	old, fresh := f.nodes[:60], f.nodes[60:]
 	for _, nd := range fresh {
-		f.stop(nd)
+		f.pauseNode(nd)
 	}
 	for _, nd := range old {
 		f.linkSome(nd, 4, old)
 	}
 	f.run(20 * time.Second)
 	for _, nd := range fresh {
-		nd.held = nil
+		nd.pausedDeliveries = nil
 		f.restart(nd)
-		nd.stopped = false
+		nd.paused = false
 	}
 	for _, nd := range fresh {
 		f.linkSome(nd, 2, old)
 		f.linkSome(nd, 2, fresh)
 	}
 	reads := f.platform.reads
-	if !f.runUntil(f.now.Add(bound), f.allReady) {
-		t.Errorf("not ready after %s: %v", bound, fresh[0].c.Missing())
+	if !f.runUntil(f.now.Add(rollOutLimit), f.allReady) {
+		t.Errorf("not ready after %s: %v", rollOutLimit, fresh[0].c.Missing())
 	}
 	if got := f.platform.reads - reads; got > 100 {
-		t.Errorf("%d reads of the platform for 30 nodes of 60 bundles", got)
+		t.Errorf("%d reads of the configuration service for 30 nodes of 60 bundles", got)
 	}
 	for _, nd := range fresh {
 		if n, _ := nd.c.HeldSize(); n != 60 {
@@ -224,14 +225,14 @@
 	}
 }
 
-func TestManyChangesAfterAnOutageStayUnderThePlatformsRate(t *testing.T) {
+func TestManyChangesStayWithinConfigReadRate(t *testing.T) {
 	f := newFleet(30, 4)
 	name := func(i int) string { return fmt.Sprintf("b%03d", i) }
 	for i := range 150 {
 		f.publish(name(i), 1, 300)
 	}
 	f.linkAll(4)
-	f.settle(t)
+	f.runUntilReady(t)
 	for i := range 150 {
 		f.publish(name(i), 2, 300)
 	}
@@ -255,85 +256,85 @@
 	}
 }
 
-func TestVersionOnACallIsAskedOfItsSender(t *testing.T) {
+func TestVersionOnCallIsRequestedFromSender(t *testing.T) {
 	seen := control.VersionSeen{From: "p", Version: model.BundleVersion{Name: "a", Version: 6}}
-	ask := wire.BundleRequest{Versions: []model.BundleVersion{{Name: "a", Version: 6}}}
+	request := wire.BundleRequest{Versions: []model.BundleVersion{{Name: "a", Version: 6}}}
 
-	s := newSingle(t, "p", "q")
-	if got := sentTo[wire.BundleRequest](s.handle(seen), "p"); len(got) != 1 || got[0].Versions[0] != ask.Versions[0] {
-		t.Errorf("linked sender was asked %v", got)
+	s := newSingleNode(t, "p", "q")
+	if got := sentTo[wire.BundleRequest](s.handle(seen), "p"); len(got) != 1 || got[0].Versions[0] != request.Versions[0] {
+		t.Errorf("requested %v from the linked sender", got)
 	}
-	s = newSingle(t, "q")
+	s = newSingleNode(t, "q")
 	if got := sentTo[wire.BundleRequest](s.handle(seen), "q"); len(got) != 1 {
-		t.Errorf("another link was asked %v", got)
+		t.Errorf("requested %v from another link", got)
 	}
-	s = newSingle(t)
+	s = newSingleNode(t)
 	s.handle(seen)
-	if !hasAction(s.wait(2*platformGrace), control.ReadValue{Name: "a"}) {
-		t.Error("without a link the platform was not asked")
+	if !hasAction(s.wait(2*peersFirst), control.ReadValue{Name: "a"}) {
+		t.Error("the configuration service was not read although there is no link")
 	}
 }
 
-func TestWantGoesToAnotherPeerAfterSilence(t *testing.T) {
-	s := newSingle(t, "p", "q")
+func TestRequestTimeoutTriesAnotherPeer(t *testing.T) {
+	s := newSingleNode(t, "p", "q")
 	var versions []model.BundleVersion
 	for i := range 8 {
 		versions = append(versions, model.BundleVersion{Name: model.BundleName(fmt.Sprint(i)), Version: 1})
 	}
-	asks := func(out []control.Action) (p, q []wire.BundleRequest) {
+	requestsTo := func(out []control.Action) (p, q []wire.BundleRequest) {
 		return sentTo[wire.BundleRequest](out, "p"), sentTo[wire.BundleRequest](out, "q")
 	}
-	p, q := asks(append(s.from("p", wire.BundleAnnouncement{Versions: versions}), s.from("q", wire.BundleAnnouncement{Versions: versions})...))
+	p, q := requestsTo(append(s.receive("p", wire.BundleAnnouncement{Versions: versions}), s.receive("q", wire.BundleAnnouncement{Versions: versions})...))
 	if len(p) != 1 || len(p[0].Versions) != 8 || len(q) != 0 {
-		t.Fatalf("asked %v and %v, want all of the first peer", p, q)
+		t.Fatalf("requested %v and %v, want all from the first peer", p, q)
 	}
-	p, q = asks(s.wait(askTimeout + askJitter))
+	p, q = requestsTo(s.wait(requestTimeout + requestJitter))
 	again := 0
 	for _, m := range q {
 		again += len(m.Versions)
 	}
 	if len(p) != 0 || again != 8 {
-		t.Errorf("after silence asked the same peer %v, the other for %d versions", p, again)
+		t.Errorf("after the timeout, requested %v from the same peer and %d versions from the other", p, again)
 	}
 }
 
-func TestWantGoesToAnotherPeerWhenTheLinkEnds(t *testing.T) {
+func TestLinkDownTriesAnotherPeer(t *testing.T) {
 	newest := []model.BundleVersion{{Name: "a", Version: 6}}
-	s := newSingle(t, "p", "q")
-	s.from("p", wire.BundleAnnouncement{Versions: newest})
-	s.from("q", wire.BundleAnnouncement{Versions: newest})
+	s := newSingleNode(t, "p", "q")
+	s.receive("p", wire.BundleAnnouncement{Versions: newest})
+	s.receive("q", wire.BundleAnnouncement{Versions: newest})
 	if out := s.handle(control.LinkDown{Peer: "p"}); len(sentTo[wire.BundleRequest](out, "q")) != 1 {
-		t.Error("the other peer was not asked")
+		t.Error("no request to the other peer")
 	}
 }
 
-func TestDeclinedWantIsNotRepeatedAtOnce(t *testing.T) {
+func TestDeclinedRequestIsDelayed(t *testing.T) {
 	newest := []model.BundleVersion{{Name: "a", Version: 6}}
-	s := newSingle(t, "p")
-	s.from("p", wire.BundleAnnouncement{Versions: newest})
-	if out := s.from("p", wire.BundleDecline{Versions: newest}); len(sentTo[wire.BundleRequest](out, "p")) > 0 {
-		t.Error("asked again at once")
+	s := newSingleNode(t, "p")
+	s.receive("p", wire.BundleAnnouncement{Versions: newest})
+	if out := s.receive("p", wire.BundleDecline{Versions: newest}); len(sentTo[wire.BundleRequest](out, "p")) > 0 {
+		t.Error("requested again at once")
 	}
-	if out := s.wait(2 * declinePause); len(sentTo[wire.BundleRequest](out, "p")) == 0 {
-		t.Error("never asked again")
+	if out := s.wait(2 * declineDelay); len(sentTo[wire.BundleRequest](out, "p")) == 0 {
+		t.Error("never requested again")
 	}
 }
 
-// A version rode on a call of a node that there is no link to, so that another is asked, which
-// lacks it too and says so. The two asked and declined as fast as the way allowed, and where
-// messages were repeated ever more often: a plan of the proof came to 1.2 million of them
-// within 0.2 s, and to 14 GB.
-func TestAPeerThatDeclinedIsNotAskedAgainAtOnceForOneWithoutALink(t *testing.T) {
+// A call names a version whose sender has no link here, so another peer is asked, which
+// is missing the version too and declines. Without a delay, request and decline repeated
+// as fast as the network allowed: with duplicated messages, 1.2 million of them within
+// 0.2 s took 14 GB.
+func TestDeclinedRequestIsDelayedWhenHolderHasNoLink(t *testing.T) {
 	newest := []model.BundleVersion{{Name: "a", Version: 6}}
-	s := newSingle(t, "q")
+	s := newSingleNode(t, "q")
 	if out := s.handle(control.VersionSeen{From: "stranger", Version: newest[0]}); len(sentTo[wire.BundleRequest](out, "q")) != 1 {
-		t.Fatal("the peer was not asked")
+		t.Fatal("no request to the peer")
 	}
-	if out := s.from("q", wire.BundleDecline{Versions: newest}); len(sentTo[wire.BundleRequest](out, "q")) > 0 {
-		t.Error("asked again at once")
+	if out := s.receive("q", wire.BundleDecline{Versions: newest}); len(sentTo[wire.BundleRequest](out, "q")) > 0 {
+		t.Error("requested again at once")
 	}
-	if out := s.wait(2 * declinePause); len(sentTo[wire.BundleRequest](out, "q")) == 0 {
-		t.Error("never asked again")
+	if out := s.wait(2 * declineDelay); len(sentTo[wire.BundleRequest](out, "q")) == 0 {
+		t.Error("never requested again")
 	}
 }
 
@@ -347,8 +348,8 @@
 	return names
 }
 
-// readsFailing lets every read of a value fail for d and counts them.
-func (s *single) readsFailing(out []control.Action, d time.Duration) (reads int) {
+// failReads fails every value read for d and counts the reads.
+func (s *singleNode) failReads(out []control.Action, d time.Duration) (reads int) {
 	open := valueReads(out)
 	for end := s.now.Add(d); s.now.Before(end); open = valueReads(s.wait(control.TickInterval)) {
 		for ; len(open) > 0; open = open[1:] {
@@ -359,47 +360,47 @@
 	return reads
 }
 
-func TestReaderOfManyChangesIsBounded(t *testing.T) {
+func TestValueReadsOfManyChangesAreBounded(t *testing.T) {
 	versions := []model.BundleVersion{{Name: "a", Version: 5}}
 	for i := range 1000 {
 		versions = append(versions, model.BundleVersion{Name: model.BundleName(fmt.Sprint(i)), Version: 1})
 	}
-	silent := newSingle(t)
+	silent := newSingleNode(t)
 	if got := valueReads(append(silent.readIndex(versions...), silent.wait(2*time.Second)...)); len(got) != maxValueReads {
 		t.Errorf("%d reads at once", len(got))
 	}
-	s := newSingle(t)
-	reads := s.readsFailing(s.readIndex(versions...), time.Second)
-	if reads < findingsBurst || reads > findingsBurst+findingsPerSecond+maxValueReads {
+	s := newSingleNode(t)
+	reads := s.failReads(s.readIndex(versions...), time.Second)
+	if reads < listedReadsBurst || reads > listedReadsBurst+listedReadsPerSecond+maxValueReads {
 		t.Errorf("%d reads in a second", reads)
 	}
 }
 
-func TestFleetThatLacksBodiesReadsSlowly(t *testing.T) {
-	s := newSingle(t)
+func TestFleetMissingBodiesLimitsValueReads(t *testing.T) {
+	s := newSingleNode(t)
 	s.board.Fleet.Put(fleetOf(10_000))
 	for i := range 100 {
 		s.handle(control.VersionSeen{From: "p", Version: model.BundleVersion{Name: model.BundleName(fmt.Sprint(i)), Version: 1}})
 	}
 	before := s.c.Counters().ValueReads
-	s.wait(wantLife)
-	most := valuesBurst + valuesPerSecond*wantLife.Seconds()/10_000 + 1
+	s.wait(fetchExpiry)
+	most := otherReadsBurst + fleetReadsPerSecond*fetchExpiry.Seconds()/10_000 + 1
 	if got := s.c.Counters().ValueReads - before; got == 0 || float64(got) > most {
 		t.Errorf("%d reads in a minute, want at most %.0f", got, most)
 	}
 }
 
-func TestFalseVersionBlocksNoTrueOne(t *testing.T) {
-	s := newSingle(t, "liar", "p")
-	s.from("liar", wire.BundleAnnouncement{Versions: []model.BundleVersion{{Name: "a", Version: 1 << 60}}})
-	s.from("p", wire.BundleAnnouncement{Versions: []model.BundleVersion{{Name: "a", Version: 6}}})
+func TestFalseVersionDoesNotBlockGenuineOne(t *testing.T) {
+	s := newSingleNode(t, "liar", "p")
+	s.receive("liar", wire.BundleAnnouncement{Versions: []model.BundleVersion{{Name: "a", Version: 1 << 60}}})
+	s.receive("p", wire.BundleAnnouncement{Versions: []model.BundleVersion{{Name: "a", Version: 6}}})
 	out := s.wait(5 * time.Second)
 	if len(sentTo[wire.BundleRequest](out, "p")) == 0 {
-		t.Fatal("the honest peer was not asked")
+		t.Fatal("no request to the honest peer")
 	}
-	s.from("p", packedBody("a", 6, signed("a", 6, 0)))
-	out = s.wait(2 * wantLife)
-	if s.inForce() != 6 || len(s.c.wants.list) > 0 || recorded(out, event.BundleUnobtainable) != 1 {
-		t.Errorf("a@%d in force, %d wants, %d alarms", s.inForce(), len(s.c.wants.list), recorded(out, event.BundleUnobtainable))
+	s.receive("p", packedBody("a", 6, signed("a", 6, 0)))
+	out = s.wait(2 * fetchExpiry)
+	if s.inForce() != 6 || len(s.c.fetches.list) > 0 || recorded(out, event.BundleUnobtainable) != 1 {
+		t.Errorf("a@%d in force, %d fetches, %d alerts", s.inForce(), len(s.c.fetches.list), recorded(out, event.BundleUnobtainable))
 	}
 }
--- a/internal/spread/fixture_test.go
+++ b/internal/spread/fixture_test.go
@@ -21,7 +21,7 @@
 	trusted = []bundle.Signer{{Name: "ana", Key: testKey.Public().(ed25519.PublicKey)}}
 )
 
-// bundleText returns a sound bundle of about size bytes.
+// bundleText returns a valid bundle of about size bytes.
 func bundleText(name string, version uint64, size int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = %q\nversion = %d\n\n", name, version)
@@ -36,7 +36,7 @@
 	return []byte(b.String())
 }
 
-// signed returns a signed bundle's CBOR form.
+// signed returns the CBOR form of a signed bundle.
 func signed(name string, version uint64, size int) []byte {
 	return signedText(bundleText(name, version, size))
 }
@@ -49,7 +49,7 @@
 	return raw
 }
 
-// fakePlatform is the configuration service.
+// fakePlatform simulates the configuration service.
 type fakePlatform struct {
 	values map[model.BundleName]platformValue
 	stale  map[model.BundleName]platformValue
--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -16,56 +16,58 @@
 	"gypsumstand/internal/wire"
 )
 
-// framingBytes is what a message costs beside its CBOR: IP, TCP with timestamps,
-// and the WebSocket frame.
+// framingBytes is the overhead of a message beyond its CBOR: IP, TCP with timestamps, and
+// the WebSocket frame.
 const framingBytes = 60
 
-// delivery is an event on its way to a node.
+// delivery is an event in transit to a node.
 type delivery struct {
 	to *node
-	// life is the node's when the event was sent; another life does not get it.
-	life int
-	ev   control.Event
+	// incarnation is the node's when the event was sent; a restarted node does not
+	// receive it.
+	incarnation int
+	ev          control.Event
 }
 
-// node is one controller of a fleet with its links.
+// node is one controller of a fleet, with its links.
 type node struct {
-	id     model.InstanceID
-	at     int
-	c      *Controller
-	board  *blackboard.Board
-	peers  map[model.InstanceID]bool
-	nextAt time.Time
-	life   int
-	// stopped nodes get nothing until they are woken.
-	stopped   bool
-	stoppedAt time.Time
-	held      []delivery
+	id          model.InstanceID
+	at          int
+	c           *Controller
+	board       *blackboard.Board
+	peers       map[model.InstanceID]bool
+	nextAt      time.Time
+	incarnation int
+	// Paused nodes receive nothing until they are resumed.
+	paused           bool
+	pausedAt         time.Time
+	pausedDeliveries []delivery
 
 	sentBytes, gotBytes int
-	// hops is the number of links that the newest body passed to come here.
+	// hops is the number of links that the newest body passed on its way here.
 	hops    int
 	records map[event.ID]int
 }
 
-// fleet joins controllers by a queue on a fake clock.
+// fleet connects controllers by an event queue on a fake clock.
 type fleet struct {
-	now      time.Time
-	rng      *rand.Rand
-	nodes    []*node
-	byID     map[model.InstanceID]*node
-	queue    eventqueue.Queue[delivery]
-	loss     float64
-	cut      func(a, b *node) bool
-	platform *fakePlatform
-	opened   map[uint64]opened
-	view     *model.Fleet
-	// shareChecks lets all nodes share the result of checking one body.
+	now         time.Time
+	rng         *rand.Rand
+	nodes       []*node
+	byID        map[model.InstanceID]*node
+	queue       eventqueue.Queue[delivery]
+	loss        float64
+	partitioned func(a, b *node) bool
+	platform    *fakePlatform
+	checked     map[uint64]checkedBundle
+	view        *model.Fleet
+	// shareChecks makes all nodes share the result of checking one body.
 	shareChecks bool
-	// bytes of one body are shared by all nodes, and counted by kind of message.
+	// packed shares the bytes of equal bodies among all nodes; kinds counts bytes by
+	// message type.
 	packed map[uint64][]byte
 	kinds  map[string]int
-	// minDelay and maxDelay bound the time of a message on its way.
+	// minDelay and maxDelay bound the transit time of a message.
 	minDelay, maxDelay time.Duration
 }
 
@@ -74,9 +76,9 @@
 		now:         epoch,
 		rng:         rand.New(rand.NewPCG(seed, 99)),
 		byID:        map[model.InstanceID]*node{},
-		cut:         func(a, b *node) bool { return false },
+		partitioned: func(a, b *node) bool { return false },
 		platform:    &fakePlatform{values: map[model.BundleName]platformValue{}, perSec: map[int64]int{}},
-		opened:      map[uint64]opened{},
+		checked:     map[uint64]checkedBundle{},
 		view:        &model.Fleet{},
 		shareChecks: true,
 		packed:      map[uint64][]byte{},
@@ -99,38 +101,38 @@
 	return nd
 }
 
-// restart gives a node a fresh controller and no links.
+// restart gives a node a fresh controller without links.
 func (f *fleet) restart(nd *node) {
 	for id := range nd.peers {
 		delete(f.byID[id].peers, nd.id)
 		f.post(f.byID[id], 0, control.LinkDown{Peer: nd.id, Failed: true})
 	}
-	nd.life++
+	nd.incarnation++
 	nd.peers = map[model.InstanceID]bool{}
 	nd.records = map[event.ID]int{}
 	nd.board = &blackboard.Board{}
 	nd.board.Fleet.Put(f.view)
-	rng := rand.New(rand.NewPCG(uint64(nd.at), uint64(nd.life)))
+	rng := rand.New(rand.NewPCG(uint64(nd.at), uint64(nd.incarnation)))
 	nd.c = New(Config{Self: model.Instance{ID: nd.id}, Trusted: trusted}, nd.board, rng)
 	if f.shareChecks {
-		nd.c.open = f.openShared
+		nd.c.checkBody = f.checkShared
 	}
 	nd.nextAt = f.now.Add(time.Duration(f.rng.Int64N(int64(control.TickInterval))))
 }
 
-func (f *fleet) openShared(file string, raw []byte) (opened, error) {
+func (f *fleet) checkShared(file string, raw []byte) (checkedBundle, error) {
 	key := xxhash.Sum64(raw)
-	if got, ok := f.opened[key]; ok {
+	if got, ok := f.checked[key]; ok {
 		return got, nil
 	}
-	got, err := openSigned(file, raw, trusted)
+	got, err := checkSigned(file, raw, trusted)
 	if err == nil {
-		f.opened[key] = got
+		f.checked[key] = got
 	}
 	return got, err
 }
 
-// showFleet lets all nodes know the size of the fleet.
+// showFleet publishes the fleet's members to all nodes.
 func (f *fleet) showFleet() {
 	for _, nd := range f.nodes {
 		nd.board.Fleet.Put(f.view)
@@ -172,16 +174,17 @@
 }
 
 func (f *fleet) post(to *node, after time.Duration, ev control.Event) {
-	f.queue.Add(f.now.Add(after), delivery{to: to, life: to.life, ev: ev})
+	f.queue.Add(f.now.Add(after), delivery{to: to, incarnation: to.incarnation, ev: ev})
 }
 
-// run moves the clock by d in steps of ten milliseconds of ticks.
+// run advances the clock by d.
 func (f *fleet) run(d time.Duration) {
 	end := f.now.Add(d)
 	f.runUntil(end, func() bool { return false })
 }
 
-// runUntil stops at end, or when done after a step.
+// runUntil advances the clock in steps of 10 ms to end, or until done returns true, and
+// returns whether it did.
 func (f *fleet) runUntil(end time.Time, done func() bool) bool {
 	const step = 10 * time.Millisecond
 	for f.now.Before(end) {
@@ -199,11 +202,11 @@
 func (f *fleet) deliverUntil(until time.Time) {
 	for at, d := range f.queue.Until(until) {
 		f.now = at
-		if d.life != d.to.life {
+		if d.incarnation != d.to.incarnation {
 			continue
 		}
-		if d.to.stopped {
-			d.to.held = append(d.to.held, d)
+		if d.to.paused {
+			d.to.pausedDeliveries = append(d.to.pausedDeliveries, d)
 			continue
 		}
 		f.handle(d.to, d.ev)
@@ -212,7 +215,7 @@
 
 func (f *fleet) tickAll() {
 	for _, nd := range f.nodes {
-		if nd.stopped || f.now.Before(nd.nextAt) {
+		if nd.paused || f.now.Before(nd.nextAt) {
 			continue
 		}
 		nd.nextAt = nd.nextAt.Add(control.TickInterval)
@@ -220,17 +223,17 @@
 	}
 }
 
-// stop freezes a node; wake lets it go on with what waited.
-func (f *fleet) stop(nd *node) { nd.stopped, nd.stoppedAt = true, f.now }
+// pauseNode freezes a node; resumeNode lets it continue with the events that waited.
+func (f *fleet) pauseNode(nd *node) { nd.paused, nd.pausedAt = true, f.now }
 
-func (f *fleet) wake(nd *node) {
-	nd.stopped = false
+func (f *fleet) resumeNode(nd *node) {
+	nd.paused = false
 	nd.nextAt = f.now
-	f.handle(nd, control.Paused{For: f.now.Sub(nd.stoppedAt)})
-	held := nd.held
-	nd.held = nil
+	f.handle(nd, control.Paused{For: f.now.Sub(nd.pausedAt)})
+	held := nd.pausedDeliveries
+	nd.pausedDeliveries = nil
 	for _, d := range held {
-		if d.life == nd.life {
+		if d.incarnation == nd.incarnation {
 			f.handle(nd, d.ev)
 		}
 	}
@@ -260,7 +263,7 @@
 	from.sentBytes += size
 	f.kinds[fmt.Sprintf("%T", a.Message)] += size
 	to := f.byID[a.To]
-	if !from.peers[a.To] || f.cut(from, to) || f.rng.Float64() < f.loss {
+	if !from.peers[a.To] || f.partitioned(from, to) || f.rng.Float64() < f.loss {
 		return
 	}
 	m, err := wire.Decode(data)
@@ -275,7 +278,7 @@
 	f.post(to, f.delay(), control.Received{From: from.id, Message: m})
 }
 
-// shared lets equal bodies share their bytes.
+// shared makes equal bodies share their bytes.
 func (f *fleet) shared(m wire.BundleBody) wire.BundleBody {
 	key := xxhash.Sum64(m.Packed)
 	if old, ok := f.packed[key]; ok {
@@ -289,7 +292,7 @@
 	return f.minDelay + time.Duration(f.rng.Int64N(int64(f.maxDelay-f.minDelay)))
 }
 
-// inForce returns the version that a node's blackboard shows.
+// inForce returns the version on a node's blackboard; zero for none.
 func (nd *node) inForce(name string) uint64 {
 	set := nd.board.Bundles.Get()
 	if set == nil {
@@ -302,7 +305,7 @@
 	return b.Version
 }
 
-// allHave reports whether the given nodes all have the version in force.
+// allHave reports whether all given nodes have the version in force.
 func allHave(nodes []*node, name string, version uint64) bool {
 	for _, nd := range nodes {
 		if nd.inForce(name) != version {
@@ -321,8 +324,8 @@
 	return true
 }
 
-// settle runs until all nodes are ready, and some time more.
-func (f *fleet) settle(t testing.TB) {
+// runUntilReady runs until all nodes are ready, and another 10 s.
+func (f *fleet) runUntilReady(t testing.TB) {
 	t.Helper()
 	if !f.runUntil(f.now.Add(2*time.Minute), f.allReady) {
 		t.Fatalf("not all ready after 2 min: %v", f.nodes[0].c.Missing())
@@ -330,8 +333,8 @@
 	f.run(10 * time.Second)
 }
 
-// rollOut publishes a version and returns the times after which the nodes had it
-// in force, sorted.
+// rollOut publishes a version and returns, sorted, the times until it was in force on
+// each node.
 func (f *fleet) rollOut(t testing.TB, name string, version uint64, size int) []time.Duration {
 	t.Helper()
 	f.publish(name, version, size)
--- a/internal/spread/links.go
+++ b/internal/spread/links.go
@@ -10,28 +10,28 @@
 	"gypsumstand/internal/wire"
 )
 
-// maxBadPeers bounds the memory of peers that sent bad bodies.
+// maxBadPeers bounds the stored peers that sent bad bodies.
 const maxBadPeers = 256
 
 // link is an open control link to a peer.
 type link struct {
 	id model.InstanceID
-	// fresh says that what the peer says cannot have waited through a pause of
+	// fresh reports whether the peer's messages cannot have waited through a pause of
 	// this node.
 	fresh bool
-	// told holds the newest times that the peer is known to know.
-	told     beaconTimes
-	beaconAt time.Time
-	// busyUntil is when the peer may be asked again, by its own word.
+	// knownTimes holds the newest times that the peer is known to know.
+	knownTimes beaconTimes
+	beaconAt   time.Time
+	// busyUntil is when the peer may be asked again, as it requested itself.
 	busyUntil time.Time
-	// inFlight counts bodies asked of the peer.
-	inFlight int
-	// answered says that a comparison with the peer ended; settled that the peer
-	// was ready then.
-	answered bool
-	settled  bool
+	// requestsInFlight counts bodies requested from the peer.
+	requestsInFlight int
+	// compared reports whether a comparison with the peer has ended; wasReady whether the
+	// peer was ready then.
+	compared bool
+	wasReady bool
 	compare  comparison
-	// compareAt is when a new link is compared over; zero for never.
+	// compareAt is when to compare over a new link; zero for never.
 	compareAt time.Time
 }
 
@@ -72,21 +72,21 @@
 	return sort.Search(len(t.list), func(i int) bool { return t.list[i].id >= id })
 }
 
-// asks counts the bodies asked of all peers.
-func (t *linkTable) asks() int {
+// requestsInFlight counts the bodies requested from all peers.
+func (t *linkTable) requestsInFlight() int {
 	sum := 0
 	for _, l := range t.list {
-		sum += l.inFlight
+		sum += l.requestsInFlight
 	}
 	return sum
 }
 
-// pick returns one of the links that fit, at random; nil when none does.
-func (t *linkTable) pick(rng *rand.Rand, fits func(*link) bool) *link {
+// pick returns a random link that matches; nil when none does.
+func (t *linkTable) pick(rng *rand.Rand, match func(*link) bool) *link {
 	var chosen *link
 	seen := 0
 	for _, l := range t.list {
-		if !fits(l) {
+		if !match(l) {
 			continue
 		}
 		seen++
@@ -97,12 +97,12 @@
 	return chosen
 }
 
-// distrust keeps a peer from being asked for bodies for a while.
-func (t *linkTable) distrust(now time.Time, id model.InstanceID) {
+// markBad excludes a peer from requests for badPeerPeriod.
+func (t *linkTable) markBad(now time.Time, id model.InstanceID) {
 	if len(t.bad) >= maxBadPeers {
 		clear(t.bad)
 	}
-	t.bad[id] = now.Add(badPeerPause)
+	t.bad[id] = now.Add(badPeerPeriod)
 }
 
 func (t *linkTable) isBad(now time.Time, id model.InstanceID) bool {
@@ -110,14 +110,15 @@
 	return known && now.Before(until)
 }
 
-// linkUp opens the talk with a peer: each tells the other its ages, and they
-// compare what they hold, at once when this node is not ready and otherwise
-// within the usual interval, so that parts of a split fleet join without a storm.
+// linkUp starts the exchange with a peer: each sends its ages, and they compare versions.
+// A node that is not ready compares at once; otherwise the comparison falls within the
+// usual interval, so that the parts of a healed partition do not all compare at the same
+// time.
 func (c *Controller) linkUp(id model.InstanceID) {
 	l := c.links.add(id)
-	l.told = beaconTimes{}
+	l.knownTimes = beaconTimes{}
 	l.beaconAt = time.Time{}
-	if !c.start.ready {
+	if !c.startup.ready {
 		c.compareWith(l)
 		return
 	}
@@ -126,41 +127,41 @@
 
 func (c *Controller) linkDown(id model.InstanceID) {
 	c.links.remove(id)
-	for _, w := range c.wants.list {
-		w.dropPeer(id)
-		if w.asked == id {
-			w.release(c.now)
+	for _, f := range c.fetches.list {
+		f.removeHolder(id)
+		if f.requestedFrom == id {
+			f.cancelPending(c.now)
 		}
 	}
 }
 
-// received hands a message to its part.
+// received dispatches a message to its handler.
 func (c *Controller) received(from model.InstanceID, m wire.Message) {
 	switch m := m.(type) {
 	case wire.BundleBeacon:
-		c.beacon(c.linkOf(from), m)
+		c.receiveBeacon(c.linkOf(from), m)
 	case wire.BundleAnnouncement:
-		c.notice(c.linkOf(from), m)
+		c.receiveAnnouncement(c.linkOf(from), m)
 	case wire.BundleRequest:
-		c.serve(from, m)
+		c.serveRequest(from, m)
 	case wire.BundleBody:
-		c.body(c.linkOf(from), m)
+		c.receiveBody(c.linkOf(from), m)
 	case wire.BundleDecline:
-		c.declined(c.linkOf(from), m)
+		c.receiveDecline(c.linkOf(from), m)
 	case wire.BundleCompare:
-		c.answerCompare(from, m)
+		c.replyCompare(from, m)
 	case wire.BundleCompareReply:
-		c.compared(c.linkOf(from), m)
+		c.receiveCompareReply(c.linkOf(from), m)
 	case wire.BundleListRequest:
-		c.answerList(from, m)
+		c.replyList(from, m)
 	case wire.BundleList:
-		c.listed(c.linkOf(from), m)
+		c.receiveList(c.linkOf(from), m)
 	}
 }
 
-// linkOf returns the link to a peer. A message proves a link whose opening was
-// not told, or whose end was told wrongly (a second one that could not be
-// opened); the peer has to answer a question before its ages count.
+// linkOf returns the link to a peer. A message proves a link whose opening was not
+// reported, or whose end was reported wrongly because a second link failed to open. The
+// peer must then reply to a comparison before its ages count.
 func (c *Controller) linkOf(id model.InstanceID) *link {
 	if l := c.links.byID[id]; l != nil {
 		return l
--- a/internal/spread/measure_test.go
+++ b/internal/spread/measure_test.go
@@ -16,8 +16,8 @@
 	"gypsumstand/internal/model"
 )
 
-// The fleets below run on a fake clock, so what they report is the same in every
-// run; -benchtime 1x is enough. Each node opens four links to random others.
+// The fleets below run on a fake clock, so their results are the same in every run and
+// -benchtime 1x is enough. Each node opens four links to random others.
 
 const (
 	services      = 630
@@ -25,12 +25,12 @@
 	dataCentres   = 9
 )
 
-// size of the i-th bundle, 5 to 20 KB.
+// size returns the size of the i-th bundle, 5 to 20 KB.
 func size(i int) int { return 5000 + (i*7919)%15_000 }
 
 func serviceName(i int) string { return fmt.Sprintf("svc%03d", i) }
 
-// forSizes runs a benchmark at each size of fleet, reporting no wall-clock time.
+// forSizes runs a benchmark at each fleet size without reporting wall-clock time.
 func forSizes(b *testing.B, sizes []int, run func(b *testing.B, n int)) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("nodes=%d", n), func(b *testing.B) {
@@ -42,19 +42,19 @@
 	}
 }
 
-// measured is a ready fleet with bundles of a few services in force.
-func measured(b *testing.B, n, bundles int) *fleet {
+// newMeasuredFleet returns a ready fleet with the given number of bundles in force.
+func newMeasuredFleet(b *testing.B, n, bundles int) *fleet {
 	f := newFleet(n, uint64(n))
 	for i := range bundles {
 		f.publish(serviceName(i), 1, size(i))
 	}
 	f.linkAll(4)
-	f.settle(b)
+	f.runUntilReady(b)
 	return f
 }
 
-// traffic reports the bytes sent per node and second since a mark, and the reads
-// of the platform.
+// traffic reports bytes sent per node and second, and reads of the configuration service
+// per second, since a mark.
 type traffic struct {
 	f           *fleet
 	at          time.Time
@@ -82,8 +82,8 @@
 	b.ReportMetric(times[len(times)-1].Seconds(), label+"-max-s")
 }
 
-// rollOuts publishes versions at random moments and reports when they were in
-// force, over all nodes.
+// rollOuts publishes versions at random moments and reports the times until they were in
+// force on each node.
 func (f *fleet) rollOuts(b *testing.B, label string, times int) {
 	var all []time.Duration
 	hops := 0
@@ -101,7 +101,7 @@
 
 func BenchmarkRollOut(b *testing.B) {
 	forSizes(b, []int{10, 100, 1000, 10_000}, func(b *testing.B, n int) {
-		f := measured(b, n, 10)
+		f := newMeasuredFleet(b, n, 10)
 		f.rollOuts(b, "sound", 8)
 		f.loss = 0.1
 		f.rollOuts(b, "loss", 8)
@@ -112,7 +112,7 @@
 
 func BenchmarkTraffic(b *testing.B) {
 	forSizes(b, []int{10, 100, 1000, 10_000}, func(b *testing.B, n int) {
-		f := measured(b, n, 20)
+		f := newMeasuredFleet(b, n, 20)
 		rest := f.mark()
 		f.run(30 * time.Second)
 		rest.report(b, "rest")
@@ -129,7 +129,7 @@
 
 func BenchmarkOutage(b *testing.B) {
 	forSizes(b, []int{10, 100, 500}, func(b *testing.B, n int) {
-		f := measured(b, n, 10)
+		f := newMeasuredFleet(b, n, 10)
 		f.platform.down = true
 		f.run(time.Minute)
 		outage := f.mark()
@@ -142,7 +142,7 @@
 
 func BenchmarkStalePlatform(b *testing.B) {
 	forSizes(b, []int{10, 100, 1000}, func(b *testing.B, n int) {
-		f := measured(b, n, 10)
+		f := newMeasuredFleet(b, n, 10)
 		old := map[model.BundleName]platformValue{}
 		for name, v := range f.platform.values {
 			old[name] = v
@@ -164,16 +164,16 @@
 
 func BenchmarkPartitionHeals(b *testing.B) {
 	forSizes(b, []int{10, 100, 1000}, func(b *testing.B, n int) {
-		f := measured(b, n, 10)
+		f := newMeasuredFleet(b, n, 10)
 		left := func(nd *node) bool { return nd.at < n/2 }
-		f.cut = func(x, y *node) bool { return left(x) != left(y) }
+		f.partitioned = func(x, y *node) bool { return left(x) != left(y) }
 		f.platform.down = true
 		f.run(time.Minute)
 		for i := range 10 {
 			f.handle(f.nodes[0], control.ValueRead{Name: model.BundleName(serviceName(i)), Data: signed(serviceName(i), 2, 12_000)})
 		}
 		f.run(time.Minute)
-		f.cut = func(x, y *node) bool { return false }
+		f.partitioned = func(x, y *node) bool { return false }
 		healed, mark := f.now, f.mark()
 		f.runUntil(f.now.Add(time.Minute), func() bool { return allHave(f.nodes, serviceName(9), 2) })
 		b.ReportMetric(f.now.Sub(healed).Seconds(), "converged-s")
@@ -181,15 +181,15 @@
 	})
 }
 
-// preload makes a node ready with what donor holds.
+// preload makes a node ready with the bundles of donor.
 func (f *fleet) preload(nd, donor *node) {
-	for _, it := range donor.c.held.inOrder() {
+	for _, it := range donor.c.inForce.inOrder() {
 		copied := *it
-		nd.c.held.put(&copied)
+		nd.c.inForce.put(&copied)
 	}
 	nd.c.now = f.now
-	nd.c.begin()
-	nd.c.start.ready = true
+	nd.c.startOnce()
+	nd.c.startup.ready = true
 }
 
 func BenchmarkDataCentreStart(b *testing.B) {
@@ -200,7 +200,7 @@
 		fresh, old := f.nodes[:n/dataCentres], f.nodes[n/dataCentres:]
 		for name, v := range f.platform.values {
 			old[0].c.now = f.now
-			old[0].c.take(&offered{name: name, raw: v.raw})
+			old[0].c.acceptOrRefuse(&receivedBody{name: name, raw: v.raw})
 		}
 		for _, nd := range old {
 			if nd != old[0] {
@@ -210,13 +210,13 @@
 		}
 		f.preload(old[0], old[0])
 		for _, nd := range fresh {
-			f.stop(nd)
+			f.pauseNode(nd)
 		}
 		f.run(20 * time.Second)
 		begun, mark := f.now, f.mark()
 		for _, nd := range fresh {
 			f.restart(nd)
-			nd.stopped, nd.held = false, nil
+			nd.paused, nd.pausedDeliveries = false, nil
 		}
 		for _, nd := range fresh {
 			f.linkSome(nd, 3, fresh)
@@ -257,14 +257,14 @@
 	})
 }
 
-// stopReaders waits until nodes have told of a reading and fetch what it found,
-// and stops them before they have it.
-func (f *fleet) stopReaders() (lost []*node) {
+// pauseReaders waits until nodes have announced an index read and are fetching what it
+// found, and pauses them before they receive it.
+func (f *fleet) pauseReaders() (lost []*node) {
 	f.runUntil(f.now.Add(time.Minute), func() bool {
 		for _, nd := range f.nodes {
-			if nd.c.platform.inFlight > 0 {
+			if nd.c.configReads.inFlight > 0 {
 				lost = append(lost, nd)
-				f.stop(nd)
+				f.pauseNode(nd)
 			}
 		}
 		return len(lost) > 0
@@ -274,15 +274,15 @@
 
 func BenchmarkReaderLost(b *testing.B) {
 	forSizes(b, []int{10, 100, 1000}, func(b *testing.B, n int) {
-		f := measured(b, n, 10)
+		f := newMeasuredFleet(b, n, 10)
 		var all []time.Duration
 		for i := range 8 {
 			f.publish(serviceName(0), uint64(i+2), 12_000)
 			begun := f.now
-			lost := f.stopReaders()
+			lost := f.pauseReaders()
 			f.runUntil(f.now.Add(time.Minute), func() bool {
 				for _, nd := range f.nodes {
-					if !nd.stopped && nd.inForce(serviceName(0)) != uint64(i+2) {
+					if !nd.paused && nd.inForce(serviceName(0)) != uint64(i+2) {
 						return false
 					}
 				}
@@ -290,7 +290,7 @@
 			})
 			all = append(all, f.now.Sub(begun))
 			for _, nd := range lost {
-				f.wake(nd)
+				f.resumeNode(nd)
 			}
 			f.run(5 * time.Second)
 		}
@@ -298,7 +298,7 @@
 	})
 }
 
-// BenchmarkCheck compares the whole check of a 12 KB bundle with the signature's
+// BenchmarkCheck compares the complete check of a 12 KB bundle with the signature's
 // alone.
 func BenchmarkCheck(b *testing.B) {
 	raw := signed("svc", 1, 12_000)
@@ -312,7 +312,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			if _, err := openSigned("svc", raw, trusted); err != nil {
+			if _, err := checkSigned("svc", raw, trusted); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -336,8 +336,8 @@
 	})
 }
 
-// BenchmarkHeld reports the memory of 630 bundles and the cost of showing a new
-// set of them, and of a tick at rest.
+// BenchmarkHeld reports the memory of 630 bundles, and the cost of publishing a new set
+// of them and of a tick at rest.
 func BenchmarkHeld(b *testing.B) {
 	all := allServices()
 	before := liveBytes()
@@ -348,9 +348,9 @@
 		rawBytes += len(v.raw)
 		c.Handle(epoch, control.ValueRead{Name: name, Data: v.raw})
 	}
-	c.start.ready = true
+	c.startup.ready = true
 	c.Handle(epoch.Add(time.Second), control.Tick{})
-	c.announce = nil
+	c.announcements = nil
 	memory := liveBytes() - before
 	_, packed := c.HeldSize()
 	b.Run("memory", func(b *testing.B) {
@@ -361,7 +361,7 @@
 	})
 	b.Run("publish", func(b *testing.B) {
 		for range b.N {
-			bundles := c.held.bundles()
+			bundles := c.inForce.bundles()
 			bundle.CheckSet(bundles)
 			bundle.NewSet(bundles)
 		}
--- a/internal/spread/ready.go
+++ b/internal/spread/ready.go
@@ -11,141 +11,143 @@
 	"gypsumstand/internal/model"
 )
 
-// Rules of readiness. A fresh node publishes nothing before it is ready, and is
-// ready once it holds every version that anybody named to it (but see hearsay) and
+// Rules of readiness. A fresh node publishes nothing before it is ready. It is ready once
+// it holds every version that was named to it (except unconfirmed listings) and one of
+// these conditions holds:
 //
-//   - enough ready peers have told it what they hold: peerQuorum, or all that are
-//     linked once peerWait has passed, or one once quorumWait has passed; and the
-//     platform has been read, by this node or a peer, or has failed, or
-//     sourceWait has passed; or
-//   - no ready peer has answered by aloneWait and the platform's word is in force
-//     (its own reading or another fresh node's). When nobody at all answered, the
-//     node is ready alone: Confirmed stays zero until a peer has compared.
+//   - Enough ready peers have completed a comparison with it: peerQuorum, or all linked
+//     peers once peerWait has passed, or one once quorumWait has passed. In addition, the
+//     configuration service has been read by this node or a peer, or a read has failed,
+//     or configWait has passed.
+//   - No ready peer has compared within noPeerWait, and the versions of the configuration
+//     service are in force, read by this node or another fresh one. If no peer compared
+//     at all, the node is ready without peers, and Confirmed stays zero until one has.
 //
-// With neither peers nor the platform it is not ready, for as long as that lasts.
+// With neither peers nor the configuration service, it never becomes ready.
 const (
 	peerQuorum = 3
 	peerWait   = 2 * time.Second
 	quorumWait = 5 * time.Second
-	sourceWait = 3 * time.Second
-	aloneWait  = 5 * time.Second
-	// freshHold is how long a fresh node at least, and twice as long at most,
-	// leaves the index to others: its links open meanwhile, so that of many nodes
-	// that start together a few read.
-	freshHold = 1500 * time.Millisecond
-	// hearsayTries is how often a version that no peer holds is tried in vain.
-	hearsayTries = 2
+	configWait = 3 * time.Second
+	noPeerWait = 5 * time.Second
+	// firstReadDelay is the minimum time, and half the maximum, for which a fresh node
+	// leaves index reads to others. Its links open meanwhile, so that of many nodes
+	// starting together only a few read.
+	firstReadDelay = 1500 * time.Millisecond
+	// unconfirmedListingTries is the number of failed attempts after which a version that
+	// no peer has named no longer delays readiness.
+	unconfirmedListingTries = 2
 )
 
-// startState is the way from the first event to readiness.
-type startState struct {
-	begun   time.Time
-	ready   bool
-	readyAt time.Time
-	// alone says that no peer has compared with this node yet.
-	alone bool
+// startupState tracks the startup from the first event to readiness.
+type startupState struct {
+	startedAt time.Time
+	ready     bool
+	readyAt   time.Time
+	// readyWithoutPeers reports whether the node became ready before any peer compared
+	// with it.
+	readyWithoutPeers bool
 }
 
-// begin notes the time of the first event.
-func (c *Controller) begin() {
-	if !c.start.begun.IsZero() {
+// startOnce initializes the controller at its first event.
+func (c *Controller) startOnce() {
+	if !c.startup.startedAt.IsZero() {
 		return
 	}
-	c.start.begun = c.now
+	c.startup.startedAt = c.now
 	c.nextCompare = c.now.Add(c.jitter(compareInterval))
-	c.confirm.holds(c.held.digest)
-	c.timer.Postpone(c.now, freshHold)
+	c.confirmation.setDigest(c.inForce.digest)
+	c.timer.Postpone(c.now, firstReadDelay)
 }
 
 func (c *Controller) becomeReady() {
-	if c.start.ready || len(c.Missing()) > 0 {
+	if c.startup.ready || len(c.Missing()) > 0 {
 		return
 	}
-	c.start.ready = true
-	c.start.readyAt = c.now
-	c.start.alone = c.links.answers(false) == 0
+	c.startup.ready = true
+	c.startup.readyAt = c.now
+	c.startup.readyWithoutPeers = c.links.comparedLinks(false) == 0
 	c.dirty = true
-	if c.start.alone && c.fleetSize() > 1 {
-		c.record(event.BundlesReadyUnconfirmed, "", fmt.Sprintf("%d bundles", len(c.held.items)), nil)
+	if c.startup.readyWithoutPeers && c.fleetSize() > 1 {
+		c.record(event.BundlesReadyUnconfirmed, "", fmt.Sprintf("%d bundles", len(c.inForce.items)), nil)
 		return
 	}
-	c.record(event.BundlesReady, "", fmt.Sprintf("%d bundles", len(c.held.items)), nil)
+	c.record(event.BundlesReady, "", fmt.Sprintf("%d bundles", len(c.inForce.items)), nil)
 }
 
-// Missing says in words what keeps this node from being ready; nothing when it
-// is.
+// Missing describes what keeps this node from being ready; empty when it is ready.
 func (c *Controller) Missing() []string {
-	if c.start.ready {
+	if c.startup.ready {
 		return nil
 	}
 	var out []string
-	for _, w := range c.wants.list {
-		if c.hearsay(w) {
+	for _, f := range c.fetches.list {
+		if c.unconfirmedListing(f) {
 			continue
 		}
-		out = append(out, "bundle "+model.BundleVersion{Name: w.name, Version: w.target}.String())
+		out = append(out, "bundle "+model.BundleVersion{Name: f.name, Version: f.target}.String())
 	}
-	if c.links.answers(true) > 0 {
-		return append(out, c.missingBesidePeers()...)
+	if c.links.comparedLinks(true) > 0 {
+		return append(out, c.pendingWithPeers()...)
 	}
-	return append(out, c.missingAlone()...)
+	return append(out, c.pendingWithoutPeers()...)
 }
 
-// hearsay tells whether a version is known by the index alone, cannot be had, and
-// was named by no peer: it must not keep a fresh node from serving what ready
-// peers serve for as long as the platform is down. A version that a peer has
-// named is waited for, also when that peer falls silent.
-func (c *Controller) hearsay(w *want) bool {
-	return !w.named && w.tries >= hearsayTries && c.links.answers(true) > 0
+// unconfirmedListing reports whether a version is known from the index alone, could not
+// be obtained, and was named by no peer. It must not keep a fresh node from serving what
+// ready peers serve during an outage of the configuration service. A version that a peer
+// has named is waited for, even if that peer becomes silent.
+func (c *Controller) unconfirmedListing(f *fetch) bool {
+	return !f.namedByPeer && f.tries >= unconfirmedListingTries && c.links.comparedLinks(true) > 0
 }
 
-// missingBesidePeers is what is missing when ready peers answer.
-func (c *Controller) missingBesidePeers() []string {
+// pendingWithPeers returns what is missing when a ready peer has compared.
+func (c *Controller) pendingWithPeers() []string {
 	var out []string
-	age := c.now.Sub(c.start.begun)
-	settled, answered := c.links.answers(true), c.links.answers(false)
-	all := answered == len(c.links.list) && age >= peerWait
-	if settled < peerQuorum && !all && age < quorumWait {
-		out = append(out, fmt.Sprintf("peers: %d of %d have told their bundles", answered, len(c.links.list)))
+	age := c.now.Sub(c.startup.startedAt)
+	ready, compared := c.links.comparedLinks(true), c.links.comparedLinks(false)
+	all := compared == len(c.links.list) && age >= peerWait
+	if ready < peerQuorum && !all && age < quorumWait {
+		out = append(out, fmt.Sprintf("peers: %d of %d have compared bundles", compared, len(c.links.list)))
 	}
-	if !c.platform.tried && c.confirm.at.IsZero() && age < sourceWait {
+	if !c.configReads.attempted && c.confirmation.at.IsZero() && age < configWait {
 		out = append(out, "configuration service: not read yet")
 	}
 	return out
 }
 
-// missingAlone is what is missing when no ready peer has answered.
-func (c *Controller) missingAlone() []string {
+// pendingWithoutPeers returns what is missing when no ready peer has compared.
+func (c *Controller) pendingWithoutPeers() []string {
 	var out []string
-	if c.confirm.at.IsZero() {
-		out = append(out, "configuration: neither a ready peer nor the configuration service has told it")
+	if c.confirmation.at.IsZero() {
+		out = append(out, "configuration: received from neither a ready peer nor the configuration service")
 	}
-	if c.now.Sub(c.start.begun) < aloneWait {
-		out = append(out, "peers: none that is ready has answered yet")
+	if c.now.Sub(c.startup.startedAt) < noPeerWait {
+		out = append(out, "peers: no ready peer has replied yet")
 	}
 	return out
 }
 
-// answers counts the links whose peers have told what they hold; with settled,
-// only those that were ready.
-func (t *linkTable) answers(settled bool) int {
+// comparedLinks counts the links whose peers have completed a comparison; with onlyReady,
+// only peers that were ready.
+func (t *linkTable) comparedLinks(onlyReady bool) int {
 	n := 0
 	for _, l := range t.list {
-		if l.answered && (l.settled || !settled) {
+		if l.compared && (l.wasReady || !onlyReady) {
 			n++
 		}
 	}
 	return n
 }
 
-// publish puts what is in force on the blackboard, at most once a tick.
+// publish writes the bundles in force to the blackboard, at most once a tick.
 func (c *Controller) publish() {
-	if !c.dirty || !c.start.ready || c.now.Sub(c.publishedAt) < control.TickInterval {
+	if !c.dirty || !c.startup.ready || c.now.Sub(c.publishedAt) < control.TickInterval {
 		return
 	}
 	c.dirty = false
 	c.publishedAt = c.now
-	bundles := c.held.bundles()
+	bundles := c.inForce.bundles()
 	for _, f := range bundle.CheckSet(bundles) {
 		c.counters.Contradictions++
 		c.record(event.BundlesContradict, f.File, f.Key, errors.New(f.Message))
--- a/internal/spread/refuse.go
+++ b/internal/spread/refuse.go
@@ -11,7 +11,7 @@
 	"gypsumstand/internal/model"
 )
 
-// Reason is why a body was refused.
+// Reason classifies why a body was refused.
 type Reason uint8
 
 // The reasons, in the order of the checks.
@@ -50,8 +50,8 @@
 	return all
 }
 
-// errWrongName is the fault of a bundle under another bundle's name.
-var errWrongName = errors.New("bundle has another name than the one it is published under")
+// errWrongName is the error of a bundle published under another bundle's name.
+var errWrongName = errors.New("bundle name differs from the name that it is published under")
 
 // refusal is the error of a refused body.
 type refusal struct {
@@ -62,34 +62,34 @@
 func (r *refusal) Error() string { return r.reason.String() + ": " + r.err.Error() }
 func (r *refusal) Unwrap() error { return r.err }
 
-// opened is a body that passed all checks of its own.
-type opened struct {
+// checkedBundle is a bundle whose form, size, signature and content are valid.
+type checkedBundle struct {
 	bundle  *bundle.Bundle
 	content uint64
 }
 
-// opener checks the CBOR form of a signed bundle. Its error is a *refusal.
-type opener func(file string, raw []byte) (opened, error)
+// checkFunc checks the CBOR form of a signed bundle. Its error is a *refusal.
+type checkFunc func(file string, raw []byte) (checkedBundle, error)
 
-// openSigned checks form and size, then the signature over the exact bytes, and
-// only then reads the bundle.
-func openSigned(file string, raw []byte, trusted []bundle.Signer) (opened, error) {
+// checkSigned checks form and size, then the signature over the exact bytes, and parses
+// the bundle only after that.
+func checkSigned(file string, raw []byte, trusted []bundle.Signer) (checkedBundle, error) {
 	s, err := bundle.Unmarshal(raw)
 	if err != nil {
-		return opened{}, refuse(err, ReasonMalformed)
+		return checkedBundle{}, classifyRefusal(err, ReasonMalformed)
 	}
 	if err := s.Verify(trusted); err != nil {
-		return opened{}, refuse(err, ReasonAltered)
+		return checkedBundle{}, classifyRefusal(err, ReasonAltered)
 	}
 	b, err := bundle.Parse(file, s.Bundle)
 	if err != nil {
-		return opened{}, refuse(err, ReasonMalformed)
+		return checkedBundle{}, classifyRefusal(err, ReasonMalformed)
 	}
-	return opened{bundle: b, content: xxhash.Sum64(s.Bundle)}, nil
+	return checkedBundle{bundle: b, content: xxhash.Sum64(s.Bundle)}, nil
 }
 
-// refuse classifies an error; other is the reason of errors with no type.
-func refuse(err error, other Reason) error {
+// classifyRefusal wraps an error in a refusal; fallback is the reason for untyped errors.
+func classifyRefusal(err error, fallback Reason) error {
 	var findings finding.List
 	switch {
 	case errors.Is(err, bundle.ErrTooLarge):
@@ -103,29 +103,28 @@
 	case errors.As(err, &findings):
 		return &refusal{ReasonContradictory, err}
 	}
-	return &refusal{other, err}
+	return &refusal{fallback, err}
 }
 
-// Memory of refused values of the platform.
+// Memory of refused values of the configuration service.
 const (
 	maxRefusedValues = 1024
-	// refusedPause is how long this node does not read a refused value again. It
-	// is short, since the same version may be published again with a sound
-	// signature, and must then be in force within seconds.
-	refusedPause = 3 * time.Second
+	// refusedReadDelay is how long this node does not read a refused value again. It is
+	// short because the same version may be republished with a valid signature, and must
+	// then be in force within seconds.
+	refusedReadDelay = 3 * time.Second
 )
 
-// refusedValue is a listed version whose value failed a check or was not to be
-// had.
+// refusedValue is a listed version whose value failed a check or could not be obtained.
 type refusedValue struct {
 	version uint64
-	// content is a hash of the refused bytes, zero for none.
+	// content is a hash of the refused bytes; zero for none.
 	content uint64
 	until   time.Time
 }
 
-// refusedValues remembers what the platform lists but may not come into force,
-// so that the rest can be confirmed, and the same bytes are not checked again.
+// refusedValues stores the listed versions that may not come into force. The other
+// versions can then be confirmed, and the same bytes are not checked again.
 type refusedValues struct {
 	byName map[model.BundleName]*refusedValue
 }
@@ -134,31 +133,31 @@
 	return &refusedValues{byName: map[model.BundleName]*refusedValue{}}
 }
 
-// add notes a refusal of the listed version; raw may be nil.
+// add stores a refusal of the listed version; raw may be nil.
 func (r *refusedValues) add(now time.Time, v model.BundleVersion, raw []byte) {
 	if r.byName[v.Name] == nil {
 		r.makeRoom(now)
 	}
-	refused := &refusedValue{version: v.Version, until: now.Add(refusedPause)}
+	refused := &refusedValue{version: v.Version, until: now.Add(refusedReadDelay)}
 	if raw != nil {
 		refused.content = xxhash.Sum64(raw)
 	}
 	r.byName[v.Name] = refused
 }
 
-// holds reports whether this version is not to be read for now.
+// holds reports whether this version must not be read at the moment.
 func (r *refusedValues) holds(now time.Time, v model.BundleVersion) bool {
 	old := r.byName[v.Name]
 	return old != nil && old.version == v.Version && now.Before(old.until)
 }
 
-// same reports whether these bytes were refused last.
+// same reports whether exactly these bytes were refused last.
 func (r *refusedValues) same(name model.BundleName, raw []byte) bool {
 	old := r.byName[name]
 	return old != nil && old.content != 0 && old.content == xxhash.Sum64(raw)
 }
 
-// makeRoom drops what has run out; when that is not enough, everything.
+// makeRoom drops expired refusals, or all of them if that is not enough.
 func (r *refusedValues) makeRoom(now time.Time) {
 	if len(r.byName) < maxRefusedValues {
 		return
--- a/internal/spread/silent_test.go
+++ b/internal/spread/silent_test.go
@@ -8,9 +8,9 @@
 	"gypsumstand/internal/model"
 )
 
-// Nearly all that are listed are silent: readings are shared out over the listed, and the few
-// that live read all the same.
-func TestANewVersionIsInForceInTimeWhereMostListedNodesAreSilent(t *testing.T) {
+// Nearly all listed nodes are silent. Reads are shared among all listed nodes, yet the
+// few live ones must still read in time.
+func TestRollOutAmongMostlySilentNodes(t *testing.T) {
 	for _, living := range []int{2, 3, 40} {
 		f := newFleet(0, 5)
 		for i := range 195 {
@@ -24,9 +24,9 @@
 		}
 		f.publish("a", 1, 1000)
 		f.linkAll(4)
-		f.settle(t)
+		f.runUntilReady(t)
 		for version := uint64(2); version < 6; version++ {
-			f.wantRolledOut(t, fmt.Sprintf("%d live", living), version, 1000)
+			f.checkRollOut(t, fmt.Sprintf("%d live", living), version, 1000)
 			f.run(time.Second)
 		}
 	}
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -1,29 +1,30 @@
-// Package spread brings every signed-off bundle into force on this node within
-// seconds and never backwards: few nodes read the configuration service, the
-// rest hear it from peers, and each checks the signature itself. It writes the
-// blackboard's Bundles section. Design: docs/DESIGN.md, "Bundle spread".
+// Package spread distributes signed bundles among the nodes and brings each new version
+// into force on this node within seconds. Few nodes read the configuration service; the
+// others receive versions from peers, and every node verifies the signature itself. The
+// package writes the blackboard's Bundles section. Design: docs/DESIGN.md, "Bundle
+// spread".
 //
-// # Ways of a new version
+// # Sources of a new version
 //
-//   - The index of the configuration service, read by whichever node's
-//     suppressed timer fires; the reader fetches the value.
-//   - A notice from a peer that has put the version in force; it floods over the
-//     links, and who lacks the version asks for its body.
-//   - A version that rode on a call.
-//   - A comparison of digests with one peer every few seconds, which repairs
-//     what notices missed and heals partitions.
+//   - The index of the configuration service, read by any node whose suppressed timer
+//     fires; the reader then fetches the value.
+//   - An announcement from a peer that has put the version in force. Announcements flood
+//     over the links, and a node that is missing the version requests its body.
+//   - A version named by a call from a peer.
+//   - A comparison of digests with one peer every few seconds, which repairs lost
+//     announcements and heals partitions.
 //
-// # Never backwards
+// # Versions only increase
 //
-// A version is replaced only by a greater one, whatever the source. Of two
-// sign-offs of one version a node keeps the one that it had first and raises an
-// alarm; replacing it would change a version's meaning under running requests,
-// and the greater version that operators must then publish ends the split.
+// A version is only replaced by a greater one, whatever the source. When two different
+// bundles are signed under the same version, a node keeps the one that it received first
+// and raises an alert: replacing it would change the meaning of a version under running
+// requests. The operators must publish a greater version, which ends the conflict.
 //
 // # A fresh node
 //
-// Nothing is published to the blackboard before the node is ready, so a restart
-// with no memory cannot act on an old version. See ready.go for the rules.
+// Nothing is published to the blackboard before the node is ready, so that a restarted
+// node, which has no memory, cannot act on an old version. See ready.go for the rules.
 package spread
 
 import (
@@ -38,41 +39,42 @@
 	"gypsumstand/internal/suppress"
 )
 
-// Config is a controller's fixed setting.
+// Config holds the fixed settings of a Controller.
 type Config struct {
 	Self    model.Instance
 	Trusted []bundle.Signer
 }
 
-// Controller implements control.Controller.
+// Controller implements control.Controller. It is not safe for concurrent use.
 type Controller struct {
 	cfg   Config
 	board *blackboard.Board
 	rng   *rand.Rand
 	timer *suppress.Timer
-	// open checks a signed bundle; tests of many nodes share its results.
-	open opener
-
-	held     *holdings
-	links    *linkTable
-	wants    *wantList
-	platform platformState
-	refused  *refusedValues
-	upload   bucket
-	confirm  confirmation
-	start    startState
-	log      logLimiter
-	counters Counters
-
-	// announce lists what has come into force since the last notices.
-	announce    []announcement
-	announcedAt time.Time
-	nextCompare time.Time
-	// dirty says that the blackboard does not show what is in force.
+	// checkBody verifies a signed bundle. Tests of many nodes share its results.
+	checkBody checkFunc
+
+	inForce      *bundleStore
+	links        *linkTable
+	fetches      *fetchList
+	configReads  configReadState
+	refused      *refusedValues
+	upload       tokenBucket
+	confirmation confirmation
+	startup      startupState
+	log          logLimiter
+	counters     Counters
+
+	// announcements lists what has come into force since the last announcements were
+	// sent.
+	announcements []announcement
+	lastAnnounced time.Time
+	nextCompare   time.Time
+	// dirty is set while the blackboard does not show all that is in force.
 	dirty       bool
 	publishedAt time.Time
 
-	// now and out belong to the event in hand.
+	// now and out belong to the event being handled.
 	now time.Time
 	out []control.Action
 }
@@ -82,17 +84,17 @@
 // New returns a controller with no bundle in force.
 func New(cfg Config, board *blackboard.Board, rng *rand.Rand) *Controller {
 	return &Controller{
-		cfg:     cfg,
-		board:   board,
-		rng:     rng,
-		timer:   suppress.New(rng),
-		open:    func(file string, raw []byte) (opened, error) { return openSigned(file, raw, cfg.Trusted) },
-		held:    newHoldings(),
-		links:   newLinkTable(),
-		wants:   newWantList(),
-		refused: newRefusedValues(),
-		upload:  bucket{rate: uploadBytesPerSecond, burst: uploadBurstBytes},
-		log:     newLogLimiter(),
+		cfg:       cfg,
+		board:     board,
+		rng:       rng,
+		timer:     suppress.New(rng),
+		checkBody: func(file string, raw []byte) (checkedBundle, error) { return checkSigned(file, raw, cfg.Trusted) },
+		inForce:   newBundleStore(),
+		links:     newLinkTable(),
+		fetches:   newFetchList(),
+		refused:   newRefusedValues(),
+		upload:    tokenBucket{rate: uploadBytesPerSecond, burst: uploadBurstBytes},
+		log:       newLogLimiter(),
 	}
 }
 
@@ -100,7 +102,7 @@
 func (c *Controller) Handle(now time.Time, ev control.Event) []control.Action {
 	c.now = now
 	c.out = nil
-	c.begin()
+	c.startOnce()
 	switch e := ev.(type) {
 	case control.Tick:
 		c.tick()
@@ -115,11 +117,11 @@
 	case control.IndexRead:
 		c.indexRead(e.Versions)
 	case control.IndexReadFailed:
-		c.indexFailed(e.Err)
+		c.indexReadFailed(e.Err)
 	case control.ValueRead:
 		c.valueRead(e.Name, e.Data)
 	case control.ValueReadFailed:
-		c.valueFailed(e.Name)
+		c.valueReadFailed(e.Name)
 	case control.VersionSeen:
 		c.versionSeen(e.From, e.Version)
 	default:
@@ -129,54 +131,55 @@
 	return c.out
 }
 
-// tick does what waits for time.
+// tick does the work that becomes due with time.
 func (c *Controller) tick() {
 	if c.timer.Due(c.now, c.assumedFleet()) {
 		c.readIndex()
 	}
 	c.expireReads()
-	c.expireAsks()
-	c.expireWants()
+	c.expireRequests()
+	c.expireFetches()
 	c.compareWhenDue()
-	c.alarmWhenUnconfirmed()
+	c.alertWhenUnconfirmed()
 }
 
-// finish does what any event may have made possible.
+// finish does the work that any event may have made possible.
 func (c *Controller) finish() {
-	c.askForWants()
-	c.resolveReading()
+	c.requestMissing()
+	c.confirmOwnReading()
 	c.becomeReady()
 	c.publish()
-	c.sendNotices()
+	c.sendAnnouncements()
 	c.sendBeacons()
 }
 
-// paused doubts everything that waited while the process stood still: what links
-// deliver counts again once a peer has answered a question asked now.
+// paused handles a process pause of length d. Messages and reads that may have waited
+// during the pause confirm nothing. A link's ages count again once its peer has replied
+// to a comparison sent after the pause.
 func (c *Controller) paused(d time.Duration) {
 	c.timer.Paused(c.now, d)
-	c.confirm.reset(c.now)
-	c.platform.paused()
-	for _, w := range c.wants.list {
-		w.release(c.now)
+	c.confirmation.reset(c.now)
+	c.configReads.onPause()
+	for _, f := range c.fetches.list {
+		f.cancelPending(c.now)
 	}
 	for _, l := range c.links.list {
-		l.inFlight = 0
+		l.requestsInFlight = 0
 		l.fresh = false
 		c.compareWith(l)
 	}
 }
 
-// versionSeen takes a version that rode on a call: the peer that sent it has it.
+// versionSeen handles a version named by a call: the calling peer holds it.
 func (c *Controller) versionSeen(from model.InstanceID, v model.BundleVersion) {
-	if !plausible(v) {
+	if !withinBounds(v) {
 		c.counters.Malformed++
 		return
 	}
-	c.wantFrom(v, from)
+	c.fetchFrom(v, from)
 }
 
-// fleetSize is the number of known instances, at least one.
+// fleetSize returns the number of known instances, at least one.
 func (c *Controller) fleetSize() int {
 	fleet := c.board.Fleet.Get()
 	if fleet == nil {
@@ -185,18 +188,18 @@
 	return max(len(fleet.Instances), 1)
 }
 
-func (c *Controller) do(a control.Action) { c.out = append(c.out, a) }
+func (c *Controller) emit(a control.Action) { c.out = append(c.out, a) }
 
-// record logs an event unless the same was logged lately.
+// record logs an event unless the same event and subject were logged recently.
 func (c *Controller) record(id event.ID, subject, detail string, err error) {
 	if !c.log.allow(c.now, id, subject) {
 		c.counters.LogsSuppressed++
 		return
 	}
-	c.do(control.Record{Event: id, Subject: subject, Detail: detail, Err: err})
+	c.emit(control.Record{Event: id, Subject: subject, Detail: detail, Err: err})
 }
 
-// jitter returns a random time below d.
+// jitter returns a random duration in [0, d).
 func (c *Controller) jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
@@ -205,28 +208,28 @@
 }
 
 // Ready reports whether this node has put in force everything that peers and the
-// platform named since its start. Once ready it stays ready.
-func (c *Controller) Ready() bool { return c.start.ready }
+// configuration service have named since its start. Once ready, it stays ready.
+func (c *Controller) Ready() bool { return c.startup.ready }
 
-// Confirmed returns the time as of which what is in force here was known to be
-// what the configuration service holds, by this node's own reading or a peer's.
-// It is zero before the first confirmation, from a pause until the next one, and
-// while the node is ready on the platform's word alone.
+// Confirmed returns the time as of which the bundles in force here were known to match
+// the configuration service, by a read of this node or of a peer. It is zero before the
+// first confirmation, after a pause until the next one, and while the node became ready
+// from the configuration service alone although it has peers.
 func (c *Controller) Confirmed() time.Time {
-	if c.start.alone && c.fleetSize() > 1 {
+	if c.startup.readyWithoutPeers && c.fleetSize() > 1 {
 		return time.Time{}
 	}
-	return c.confirm.at
+	return c.confirmation.at
 }
 
-// IndexReads counts this node's own readings of the index.
+// IndexReads returns the number of index reads that this node has started.
 func (c *Controller) IndexReads() uint64 { return c.timer.ReadCount() }
 
-// Counters returns what has been counted since the start.
+// Counters returns the totals since the start.
 func (c *Controller) Counters() Counters { return c.counters }
 
-// HeldSize returns the number of bundles in force and the bytes kept for passing
-// them on.
+// HeldSize returns the number of bundles in force and the packed bytes kept to serve
+// peers.
 func (c *Controller) HeldSize() (bundles, packedBytes int) {
-	return len(c.held.items), c.held.packedBytes
+	return len(c.inForce.items), c.inForce.packedBytes
 }
--- a/internal/spread/hearsay_test.go
+++ b/internal/spread/unobtainable_test.go
@@ -8,13 +8,13 @@
 	"gypsumstand/internal/model"
 )
 
-// The configuration service listed a version and went down before anyone had
-// read it.
-func TestAListedVersionThatNobodyHasKeepsNoFreshNodeFromServing(t *testing.T) {
+// The configuration service lists a new version and goes down before any node has read
+// it. The version must not keep a fresh node from serving what its peers have.
+func TestUnobtainableListedVersionDoesNotBlockReadiness(t *testing.T) {
 	f := newFleet(5, 3)
 	f.publish("a", 1, 100)
 	f.linkAll(3)
-	f.settle(t)
+	f.runUntilReady(t)
 	f.platform.down = true
 	fresh := f.nodes[2]
 	f.restart(fresh)
