--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,7 +1,7 @@
-// Package link carries control messages between nodes over WebSocket (RFC 6455)
-// with CBOR. It holds no logic: what opens and closes links is decided by the
-// controllers. Queues are bounded; a message that finds its queue full is
-// dropped and counted, which the controllers' protocols allow for.
+// Package link carries CBOR-encoded control messages between nodes over WebSocket (RFC
+// 6455). It contains no policy: the controllers decide which links to open and close.
+// Queues are bounded; a message that finds its queue full is dropped and counted, which
+// the controllers' protocols tolerate.
 package link
 
 import (
@@ -23,46 +23,47 @@
 	"gypsumstand/internal/wire"
 )
 
-// Path is the peer port's path of control links.
+// Path is the URL path of control links on the peer port.
 const Path = "/v1/link"
 
-// Bounds of a link.
+// Limits of a link. transientIdleTimeout is how long an outgoing transient link may stay
+// unused.
 const (
-	queueLength  = 256
-	dialTimeout  = 3 * time.Second
-	writeTimeout = 5 * time.Second
-	helloTimeout = 3 * time.Second
-	briefIdle    = 30 * time.Second
+	queueCapacity        = 256
+	dialTimeout          = 3 * time.Second
+	writeTimeout         = 5 * time.Second
+	helloTimeout         = 3 * time.Second
+	transientIdleTimeout = 30 * time.Second
 )
 
-// ErrNoLink says that no link to the peer could be had.
+// ErrNoLink is returned when no link to the peer exists or could be opened.
 var ErrNoLink = errors.New("no link to peer")
 
-// Sink takes events; it is called from many goroutines and must not block long.
+// Sink receives events. It is called from many goroutines and must not block for long.
 type Sink func(control.Event)
 
-// Config is a manager's fixed setting.
+// Config holds the fixed settings of a Manager.
 type Config struct {
-	// Self returns this node's instance as it is now, for the greeting.
+	// Self returns this node's current instance, which is sent in the Hello.
 	Self func() model.Instance
 	// Sink receives LinkUp, LinkDown and Received.
 	Sink Sink
-	// OnPanic is told a panic in a goroutine of the manager's.
+	// OnPanic receives a panic in one of the manager's goroutines as an error.
 	OnPanic func(error)
-	// TLS, when set, secures links that this node opens.
+	// TLS, when set, secures the links that this node opens.
 	TLS *tls.Config
 	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// MaxAccepted bounds the links that peers opened.
+	// MaxAccepted bounds the links opened by peers.
 	MaxAccepted int
 }
 
-// Counters counts a manager's traffic since its start.
+// Counters counts a manager's traffic since its start, in messages and encoded bytes.
 type Counters struct {
 	MessagesIn, MessagesOut, BytesIn, BytesOut, Dropped, Unknown, Malformed atomic.Uint64
 }
 
-// Manager keeps the open links. Safe for concurrent use.
+// Manager maintains the open links. It is safe for concurrent use.
 type Manager struct {
 	cfg      Config
 	client   *http.Client
@@ -77,21 +78,22 @@
 	closed   bool
 }
 
-// connection is one open WebSocket.
+// connection is one open WebSocket. A transient one carries single messages and is not
+// reported as a peer link.
 type connection struct {
-	peer     model.Instance
-	ws       *websocket.Conn
-	queue    chan []byte
-	brief    bool
-	outgoing bool
-	cancel   context.CancelFunc
-	lastUse  atomic.Int64
-	planned  atomic.Bool
+	peer          model.Instance
+	ws            *websocket.Conn
+	queue         chan []byte
+	transient     bool
+	outgoing      bool
+	cancel        context.CancelFunc
+	lastUsed      atomic.Int64
+	closedLocally atomic.Bool
 	// unsent counts the messages that are queued or being written.
 	unsent atomic.Int64
 }
 
-// New returns a manager; Close ends it.
+// New returns a manager, which must be closed with Close.
 func New(cfg Config) *Manager {
 	ctx, cancel := context.WithCancel(context.Background())
 	transport := &http.Transport{Proxy: nil, DialContext: cfg.Dial, TLSClientConfig: cfg.TLS, DisableCompression: true}
@@ -104,13 +106,13 @@
 	}
 }
 
-// Close ends all links and waits for their goroutines.
+// Close closes all links and waits for their goroutines.
 func (m *Manager) Close() {
 	m.mu.Lock()
 	m.closed = true
 	for _, list := range m.links {
 		for _, c := range list {
-			c.planned.Store(true)
+			c.closedLocally.Store(true)
 		}
 	}
 	m.mu.Unlock()
@@ -119,17 +121,17 @@
 	m.client.CloseIdleConnections()
 }
 
-// Open opens a peer link; LinkUp or LinkDown follows at the sink. It does not block.
+// Open opens a peer link without blocking; the sink then receives LinkUp or LinkDown.
 func (m *Manager) Open(peer model.InstanceID, address string) {
-	m.goRun(func() {
+	m.runUnlessClosed(func() {
 		if _, err := m.dial(m.ctx, address, false); err != nil {
 			m.cfg.Sink(control.LinkDown{Peer: peer, Failed: true})
 		}
 	})
 }
 
-// goRun runs f unless the manager is closed.
-func (m *Manager) goRun(f func()) {
+// runUnlessClosed runs f in a goroutine unless the manager is closed.
+func (m *Manager) runUnlessClosed(f func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
@@ -139,7 +141,7 @@
 	m.run(f)
 }
 
-// run runs f in a goroutine that wg counts already.
+// run runs f in a goroutine that wg already counts, and reports its panic.
 func (m *Manager) run(f func()) {
 	go func() {
 		defer m.wg.Done()
@@ -154,15 +156,15 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, c := range m.links[peer] {
-		if c.outgoing && !c.brief {
-			c.planned.Store(true)
+		if c.outgoing && !c.transient {
+			c.closedLocally.Store(true)
 			c.cancel()
 		}
 	}
 }
 
-// Send queues a message on an open link to peer; false when there is none or
-// its queue is full. It does not block.
+// Send queues a message on an open link to peer without blocking. It returns false when
+// there is no link or all queues to the peer are full.
 func (m *Manager) Send(peer model.InstanceID, msg wire.Message) bool {
 	data, err := wire.Encode(msg)
 	if err != nil {
@@ -175,7 +177,7 @@
 		c.unsent.Add(1)
 		select {
 		case c.queue <- data:
-			c.lastUse.Store(time.Now().UnixNano())
+			c.lastUsed.Store(time.Now().UnixNano())
 			return true
 		default:
 			c.unsent.Add(-1)
@@ -185,14 +187,14 @@
 	return false
 }
 
-// flushInterval is the pace at which Flush looks again.
-const flushInterval = 2 * time.Millisecond
+// flushPollInterval is how often Flush checks for unsent messages.
+const flushPollInterval = 2 * time.Millisecond
 
-// Flush waits until what was queued so far has been written, or ctx ends.
+// Flush waits until all queued messages have been written, or ctx ends.
 func (m *Manager) Flush(ctx context.Context) {
-	ticker := time.NewTicker(flushInterval)
+	ticker := time.NewTicker(flushPollInterval)
 	defer ticker.Stop()
-	for m.unsent() > 0 {
+	for m.unsentMessages() > 0 {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -201,7 +203,7 @@
 	}
 }
 
-func (m *Manager) unsent() int64 {
+func (m *Manager) unsentMessages() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	total := int64(0)
@@ -213,10 +215,10 @@
 	return total
 }
 
-// SendTo queues a message to peer and opens a brief link first when there is
-// none. It blocks for the time of dialling at most.
+// SendTo queues a message to peer and opens a transient link first if none exists. It
+// blocks at most for dialTimeout.
 func (m *Manager) SendTo(ctx context.Context, peer model.Instance, msg wire.Message) error {
-	if m.has(peer.ID) {
+	if m.hasLink(peer.ID) {
 		if m.Send(peer.ID, msg) {
 			return nil
 		}
@@ -226,7 +228,7 @@
 		return fmt.Errorf("%w %s: %w", ErrNoLink, peer.ID, err)
 	}
 	if c.peer.ID != peer.ID {
-		return fmt.Errorf("%w %s: %s answered there", ErrNoLink, peer.ID, c.peer.ID)
+		return fmt.Errorf("%w %s: instance %s answered at its address", ErrNoLink, peer.ID, c.peer.ID)
 	}
 	if !m.Send(peer.ID, msg) {
 		return fmt.Errorf("%w %s: queue is full", ErrNoLink, peer.ID)
@@ -234,14 +236,14 @@
 	return nil
 }
 
-func (m *Manager) has(peer model.InstanceID) bool {
+func (m *Manager) hasLink(peer model.InstanceID) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.links[peer]) > 0
 }
 
-// dial opens a WebSocket and starts its pumps.
-func (m *Manager) dial(ctx context.Context, address string, brief bool) (*connection, error) {
+// dial opens a WebSocket and starts its read and write goroutines.
+func (m *Manager) dial(ctx context.Context, address string, transient bool) (*connection, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	scheme := "ws"
@@ -253,7 +255,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("dial %s: %w", address, err)
 	}
-	c, err := m.greet(ctx, ws, brief, true)
+	c, err := m.handshake(ctx, ws, transient, true)
 	if err != nil {
 		ws.CloseNow()
 		return nil, err
@@ -265,30 +267,30 @@
 	return c, nil
 }
 
-// Handler serves Path on the peer port.
+// Handler accepts links; it serves Path on the peer port.
 func (m *Manager) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !m.admit() {
+		if !m.reserveAccepted() {
 			http.Error(w, "too many links", http.StatusServiceUnavailable)
 			return
 		}
 		ws, err := websocket.Accept(w, r, &websocket.AcceptOptions{CompressionMode: websocket.CompressionDisabled})
 		if err != nil {
-			m.release()
+			m.releaseAccepted()
 			return
 		}
 		ctx, cancel := context.WithTimeout(m.ctx, helloTimeout)
 		defer cancel()
-		c, err := m.greet(ctx, ws, false, false)
+		c, err := m.handshake(ctx, ws, false, false)
 		if err != nil || !m.start(c) {
-			m.release()
+			m.releaseAccepted()
 			ws.CloseNow()
 		}
 	})
 }
 
-// admit takes one of the places for accepted links.
-func (m *Manager) admit() bool {
+// reserveAccepted reserves one of the MaxAccepted links.
+func (m *Manager) reserveAccepted() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed || m.accepted >= m.cfg.MaxAccepted {
@@ -298,16 +300,16 @@
 	return true
 }
 
-func (m *Manager) release() {
+func (m *Manager) releaseAccepted() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.accepted--
 }
 
-// greet exchanges Hello messages.
-func (m *Manager) greet(ctx context.Context, ws *websocket.Conn, brief, outgoing bool) (*connection, error) {
+// handshake exchanges Hello messages.
+func (m *Manager) handshake(ctx context.Context, ws *websocket.Conn, transient, outgoing bool) (*connection, error) {
 	ws.SetReadLimit(wire.MaxMessageBytes)
-	data, err := wire.Encode(wire.Hello{Instance: m.cfg.Self(), Transient: brief})
+	data, err := wire.Encode(wire.Hello{Instance: m.cfg.Self(), Transient: transient})
 	if err != nil {
 		return nil, err
 	}
@@ -324,22 +326,22 @@
 	}
 	hello, ok := msg.(wire.Hello)
 	if !ok || hello.Instance.ID == "" {
-		return nil, errors.New("first message is no hello")
+		return nil, errors.New("first message is not a valid Hello")
 	}
 	return &connection{
-		peer:     hello.Instance,
-		ws:       ws,
-		queue:    make(chan []byte, queueLength),
-		brief:    brief || hello.Transient,
-		outgoing: outgoing,
+		peer:      hello.Instance,
+		ws:        ws,
+		queue:     make(chan []byte, queueCapacity),
+		transient: transient || hello.Transient,
+		outgoing:  outgoing,
 	}, nil
 }
 
-// start registers c and runs its pumps; false when the manager is closed.
+// start registers c and starts its goroutines; false when the manager is closed.
 func (m *Manager) start(c *connection) bool {
 	ctx, cancel := context.WithCancel(m.ctx)
 	c.cancel = cancel
-	c.lastUse.Store(time.Now().UnixNano())
+	c.lastUsed.Store(time.Now().UnixNano())
 	m.mu.Lock()
 	if m.closed {
 		m.mu.Unlock()
@@ -349,7 +351,7 @@
 	m.links[c.peer.ID] = append(m.links[c.peer.ID], c)
 	m.wg.Add(2)
 	m.mu.Unlock()
-	if !c.brief {
+	if !c.transient {
 		m.cfg.Sink(control.LinkUp{Peer: c.peer, Outgoing: c.outgoing})
 	}
 	m.run(func() { m.writePump(ctx, c) })
@@ -359,7 +361,7 @@
 
 func (m *Manager) writePump(ctx context.Context, c *connection) {
 	defer c.cancel()
-	idle := time.NewTicker(briefIdle)
+	idle := time.NewTicker(transientIdleTimeout)
 	defer idle.Stop()
 	for {
 		select {
@@ -372,7 +374,7 @@
 				return
 			}
 		case now := <-idle.C:
-			if c.brief && c.outgoing && now.UnixNano()-c.lastUse.Load() > int64(briefIdle) {
+			if c.transient && c.outgoing && now.UnixNano()-c.lastUsed.Load() > int64(transientIdleTimeout) {
 				return
 			}
 		}
@@ -399,12 +401,12 @@
 		}
 		m.Counters.MessagesIn.Add(1)
 		m.Counters.BytesIn.Add(uint64(len(data)))
-		c.lastUse.Store(time.Now().UnixNano())
+		c.lastUsed.Store(time.Now().UnixNano())
 		m.deliver(c, data)
 	}
 }
 
-// deliver decodes one message; what cannot be read is counted and dropped.
+// deliver decodes one message; an undecodable one is counted and dropped.
 func (m *Manager) deliver(c *connection, data []byte) {
 	msg, err := wire.Decode(data)
 	switch {
@@ -417,7 +419,8 @@
 	}
 }
 
-// remove forgets c; the last peer link's end is told to the sink.
+// remove unregisters c. When it was the last peer link to its peer, the sink receives
+// LinkDown.
 func (m *Manager) remove(c *connection) {
 	c.cancel()
 	c.ws.CloseNow()
@@ -429,7 +432,7 @@
 			list = append(list[:i], list[i+1:]...)
 			continue
 		}
-		if !list[i].brief {
+		if !list[i].transient {
 			peerLinks++
 		}
 	}
@@ -442,7 +445,7 @@
 		m.accepted--
 	}
 	m.mu.Unlock()
-	if !c.brief && peerLinks == 0 {
-		m.cfg.Sink(control.LinkDown{Peer: c.peer.ID, Failed: !c.planned.Load()})
+	if !c.transient && peerLinks == 0 {
+		m.cfg.Sink(control.LinkDown{Peer: c.peer.ID, Failed: !c.closedLocally.Load()})
 	}
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -15,16 +15,16 @@
 	"gypsumstand/internal/wire"
 )
 
-// end is a manager with its port and the events that it told.
-type end struct {
+// endpoint is a manager with its port and the events that it reported.
+type endpoint struct {
 	manager *link.Manager
 	address string
 	events  chan control.Event
 }
 
-func newEnd(t *testing.T, id model.InstanceID, maxAccepted int) *end {
+func newEndpoint(t *testing.T, id model.InstanceID, maxAccepted int) *endpoint {
 	t.Helper()
-	e := &end{events: make(chan control.Event, 64)}
+	e := &endpoint{events: make(chan control.Event, 64)}
 	e.manager = link.New(link.Config{
 		Self:        func() model.Instance { return model.Instance{ID: id, Incarnation: 1} },
 		Sink:        func(ev control.Event) { e.events <- ev },
@@ -40,8 +40,8 @@
 	return e
 }
 
-// next returns the next event, which must be a T.
-func next[T control.Event](t *testing.T, e *end) T {
+// next returns the next event, which must be of type T.
+func next[T control.Event](t *testing.T, e *endpoint) T {
 	t.Helper()
 	ev := <-e.events
 	want, ok := ev.(T)
@@ -51,8 +51,8 @@
 	return want
 }
 
-func TestALinkCarriesMessagesBothWaysAndItsEndIsTold(t *testing.T) {
-	a, b := newEnd(t, "a", 4), newEnd(t, "b", 4)
+func TestLinkCarriesMessagesBothWaysAndReportsEnd(t *testing.T) {
+	a, b := newEndpoint(t, "a", 4), newEndpoint(t, "b", 4)
 	a.manager.Open("b", b.address)
 	if up := next[control.LinkUp](t, a); up.Peer.ID != "b" || !up.Outgoing {
 		t.Errorf("a: %+v", up)
@@ -71,35 +71,35 @@
 	}
 	a.manager.CloseLink("b")
 	if down := next[control.LinkDown](t, a); down.Failed {
-		t.Errorf("a: %+v, want a planned end", down)
+		t.Errorf("a: %+v, want a planned close", down)
 	}
 	if down := next[control.LinkDown](t, b); !down.Failed {
-		t.Errorf("b: %+v, want an end that it did not plan", down)
+		t.Errorf("b: %+v, want an unplanned close", down)
 	}
 }
 
-func TestAFailedOpeningIsTold(t *testing.T) {
-	a := newEnd(t, "a", 4)
+func TestFailedOpenIsReported(t *testing.T) {
+	a := newEndpoint(t, "a", 4)
 	a.manager.Open("b", "127.0.0.1:1")
 	if down := next[control.LinkDown](t, a); down.Peer != "b" || !down.Failed {
 		t.Errorf("%+v", down)
 	}
 }
 
-func TestABriefLinkIsNoPeerLink(t *testing.T) {
-	a, b := newEnd(t, "a", 4), newEnd(t, "b", 4)
+func TestTransientLinkIsNotReported(t *testing.T) {
+	a, b := newEndpoint(t, "a", 4), newEndpoint(t, "b", 4)
 	to := model.Instance{ID: "b", PeerAddress: b.address}
 	if err := a.manager.SendTo(t.Context(), to, wire.KeyResult{Request: "r"}); err != nil {
 		t.Fatal(err)
 	}
 	next[control.Received](t, b)
 	if len(a.events) != 0 {
-		t.Errorf("a was told %+v", <-a.events)
+		t.Errorf("a received %+v", <-a.events)
 	}
 }
 
-func TestAnotherInstanceAtTheAddressIsRefused(t *testing.T) {
-	a, b := newEnd(t, "a", 4), newEnd(t, "b", 4)
+func TestSendToRejectsOtherInstanceAtAddress(t *testing.T) {
+	a, b := newEndpoint(t, "a", 4), newEndpoint(t, "b", 4)
 	to := model.Instance{ID: "c", PeerAddress: b.address}
 	if err := a.manager.SendTo(t.Context(), to, wire.KeyResult{Request: "r"}); err == nil {
 		t.Error("want an error: b answered for c")
@@ -107,7 +107,7 @@
 }
 
 func TestAcceptedLinksAreBounded(t *testing.T) {
-	a, b, c := newEnd(t, "a", 4), newEnd(t, "b", 1), newEnd(t, "c", 4)
+	a, b, c := newEndpoint(t, "a", 4), newEndpoint(t, "b", 1), newEndpoint(t, "c", 4)
 	a.manager.Open("b", b.address)
 	next[control.LinkUp](t, b)
 	c.manager.Open("b", b.address)
@@ -116,8 +116,8 @@
 	}
 }
 
-// raw opens a link by hand and greets as instance id.
-func raw(t *testing.T, address string) *websocket.Conn {
+// dialRaw opens a WebSocket without a manager and sends a Hello as instance "raw".
+func dialRaw(t *testing.T, address string) *websocket.Conn {
 	t.Helper()
 	ws, _, err := websocket.Dial(t.Context(), "ws://"+address+link.Path, nil)
 	if err != nil {
@@ -139,9 +139,9 @@
 	}
 }
 
-func TestWhatCannotBeReadIsCountedAndTheLinkStays(t *testing.T) {
-	b := newEnd(t, "b", 4)
-	ws := raw(t, b.address)
+func TestUndecodableMessagesAreCountedAndLinkStays(t *testing.T) {
+	b := newEndpoint(t, "b", 4)
+	ws := dialRaw(t, b.address)
 	next[control.LinkUp](t, b)
 	write(t, ws, []byte("no cbor"))
 	write(t, ws, []byte{0xa3, 1, 1, 2, 0x19, 0xff, 0xfe, 3, 0xa0}) // kind 65534
@@ -157,17 +157,17 @@
 	}
 }
 
-func TestAMessageOverTheBoundEndsTheLink(t *testing.T) {
-	b := newEnd(t, "b", 4)
-	ws := raw(t, b.address)
+func TestOversizedMessageClosesLink(t *testing.T) {
+	b := newEndpoint(t, "b", 4)
+	ws := dialRaw(t, b.address)
 	next[control.LinkUp](t, b)
-	// The peer may close while this is being written; only the end counts.
+	// The peer may close during this write, so its error does not matter.
 	_ = ws.Write(t.Context(), websocket.MessageBinary, make([]byte, wire.MaxMessageBytes+1))
 	next[control.LinkDown](t, b)
 }
 
-func TestALinkWithoutHelloIsClosed(t *testing.T) {
-	b := newEnd(t, "b", 4)
+func TestLinkWithoutHelloIsClosed(t *testing.T) {
+	b := newEndpoint(t, "b", 4)
 	ws, _, err := websocket.Dial(t.Context(), "ws://"+b.address+link.Path, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -184,14 +184,15 @@
 		}
 	}
 	if len(b.events) != 0 {
-		t.Errorf("b was told %+v", <-b.events)
+		t.Errorf("b received %+v", <-b.events)
 	}
 }
 
-// A panic in a link's goroutine ended the process, and with it every request in hand.
-func TestAPanicInALinksGoroutineIsToldAndEndsTheLink(t *testing.T) {
+// A panic in a link's goroutine must close only that link. Unrecovered, it would end the
+// process and all requests in flight.
+func TestPanicInLinkGoroutineIsReportedAndClosesLink(t *testing.T) {
 	failed := make(chan error, 1)
-	a, b := newEnd(t, "a", 4), newEnd(t, "b", 4)
+	a, b := newEndpoint(t, "a", 4), newEndpoint(t, "b", 4)
 	broken := link.New(link.Config{
 		Self: func() model.Instance { return model.Instance{ID: "c", Incarnation: 1} },
 		Sink: func(ev control.Event) {
@@ -214,7 +215,7 @@
 	if down := next[control.LinkDown](t, a); down.Peer != "c" {
 		t.Errorf("down: %+v", down)
 	}
-	// Another end goes on.
+	// Links to other endpoints still work.
 	a.manager.Open("b", b.address)
 	next[control.LinkUp](t, a)
 }
