--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -28,8 +28,8 @@
 	// startGrace is how long a fresh node that has a seed or a link waits for a snapshot
 	// from a peer before it reads the list.
 	startGrace = 3 * time.Second
-	// A full list is rejected as implausible when it omits more than one in
-	// maxMissingDivisor of the instances that earlier lists named.
+	// A full list counts as incomplete when it omits more than one in maxMissingDivisor
+	// of the instances that earlier lists named.
 	maxMissingDivisor = 3
 )
 
@@ -192,8 +192,9 @@
 	c.relayList(now, "")
 }
 
-// listRead handles a successful read. A list older than a known revision is rejected, and
-// the read counts as failed.
+// listRead handles a response from the platform. A list older than a known revision is
+// rejected, and the read counts as failed. An incomplete full list also counts as failed:
+// its entries are applied, but the instances that it omits are not marked absent.
 func (c *Controller) listRead(now time.Time, e control.ListRead) {
 	if e.Revision < c.list.newest {
 		c.rejectStaleList(now)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -41,7 +41,8 @@
 	// dirty is set while the published view is older than the table.
 	dirty    bool
 	revision uint64
-	// ownState is this node's own lifecycle state, as last reported by SelfChanged.
+	// ownState is this node's own lifecycle state, as last reported by a
+	// SelfStateChanged event.
 	ownState    model.UpstreamState
 	superseding supersedeLimiter
 	// lastRecorded holds when each rate-limited event was last recorded.
--- a/internal/spread/accept.go
+++ b/internal/spread/accept.go
@@ -3,12 +3,12 @@
 import (
 	"errors"
 	"fmt"
-	"gypsumstand/internal/packed"
 	"time"
 
 	"gypsumstand/internal/control"
 	"gypsumstand/internal/event"
 	"gypsumstand/internal/model"
+	"gypsumstand/internal/packed"
 )
 
 // badPeerPeriod is how long no body is requested from a peer that sent a bad one.
--- a/internal/spread/accept_test.go
+++ b/internal/spread/accept_test.go
@@ -3,7 +3,6 @@
 import (
 	"crypto/ed25519"
 	"fmt"
-	"gypsumstand/internal/packed"
 	"math/rand/v2"
 	"strings"
 	"testing"
@@ -16,6 +15,7 @@
 	"gypsumstand/internal/control"
 	"gypsumstand/internal/event"
 	"gypsumstand/internal/model"
+	"gypsumstand/internal/packed"
 	"gypsumstand/internal/wire"
 )
 
--- a/internal/spread/announce.go
+++ b/internal/spread/announce.go
@@ -1,11 +1,11 @@
 package spread
 
 import (
-	"gypsumstand/internal/packed"
 	"time"
 
 	"gypsumstand/internal/control"
 	"gypsumstand/internal/model"
+	"gypsumstand/internal/packed"
 	"gypsumstand/internal/wire"
 )
 
--- a/internal/spread/confirm.go
+++ b/internal/spread/confirm.go
@@ -36,7 +36,9 @@
 	pastDigests [maxDigests]uint64
 	next        int
 	size        int
-	at          time.Time
+	// at is the time of the newest reading that this node has caught up with; zero for
+	// none.
+	at time.Time
 	// resetAt is when reset was last called.
 	resetAt time.Time
 }
--- a/internal/spread/measure_test.go
+++ b/internal/spread/measure_test.go
@@ -3,7 +3,6 @@
 import (
 	"crypto/ed25519"
 	"fmt"
-	"gypsumstand/internal/packed"
 	"math/rand/v2"
 	"runtime"
 	"slices"
@@ -14,6 +13,7 @@
 	"gypsumstand/internal/bundle"
 	"gypsumstand/internal/control"
 	"gypsumstand/internal/model"
+	"gypsumstand/internal/packed"
 )
 
 // The fleets below run on a fake clock, so their results are the same in every run and
