--- a/internal/owner/admission_test.go
+++ b/internal/owner/admission_test.go
@@ -15,14 +15,14 @@
 	var waiting []*model.Attempt
 	for range 4 {
 		a := r.attempt()
-		r.want(r.offer(a), waits)
+		r.want(r.offer(a), enqueued)
 		waiting = append(waiting, a)
 	}
 	r.want(r.offer(r.attempt()), refused(model.ReasonQueueFull, true))
 	if got := r.o.Pending(); got != 6 {
 		t.Errorf("%d pending", got)
 	}
-	r.wantDecisions(r.finish(running[0], Completion{Status: 200}), startOf(waiting[0]))
+	r.wantDecisions(r.finish(running[0], Completion{Status: 200}), startDecision(waiting[0]))
 }
 
 func TestUpstreamOverrideAndConnectionsBoundTheLimit(t *testing.T) {
@@ -55,7 +55,7 @@
 		after time.Duration
 		want  uint16
 	}{{0, 2}, {250 * time.Millisecond, 6}, {250 * time.Millisecond, 11}, {500 * time.Millisecond, 20}, {time.Hour, 20}} {
-		r.pass(step.after)
+		r.advance(step.after)
 		if got := r.o.Report(r.now).Limit; got != step.want {
 			t.Errorf("limit %d, want %d", got, step.want)
 		}
@@ -66,7 +66,7 @@
 	}
 	r.o.SetState(r.now, model.StateLive)
 	if got := r.o.Report(r.now).Limit; got != 2 {
-		t.Errorf("limit %d after cold", got)
+		t.Errorf("limit %d after the cold period", got)
 	}
 }
 
@@ -78,11 +78,11 @@
 	poor.Worth, poor.Class = 1, "view"
 	poor.Remaining = 400 * time.Millisecond
 	for _, a := range []*model.Attempt{poor, late, early} {
-		r.want(r.offer(a), waits)
+		r.want(r.offer(a), enqueued)
 	}
-	r.wantDecisions(r.finish(running[0], Completion{Status: 200}), startOf(early))
-	r.wantDecisions(r.finish(running[1], Completion{Status: 200}), startOf(late))
-	r.wantDecisions(r.finish(early, Completion{Status: 200}), startOf(poor))
+	r.wantDecisions(r.finish(running[0], Completion{Status: 200}), startDecision(early))
+	r.wantDecisions(r.finish(running[1], Completion{Status: 200}), startDecision(late))
+	r.wantDecisions(r.finish(early, Completion{Status: 200}), startDecision(poor))
 }
 
 func TestClassUnderItsShareGoesFirst(t *testing.T) {
@@ -98,14 +98,15 @@
 		a.Class, a.Worth = "lookup", 0
 	}
 	for _, a := range []*model.Attempt{rich, lookup, lookup2} {
-		r.want(r.offer(a), waits)
+		r.want(r.offer(a), enqueued)
 	}
-	r.wantDecisions(r.finish(running[0], Completion{Status: 200}), startOf(lookup))
-	r.wantDecisions(r.finish(running[1], Completion{Status: 200}), startOf(rich))
-	r.wantDecisions(r.finish(running[2], Completion{Status: 200}), startOf(lookup2))
+	r.wantDecisions(r.finish(running[0], Completion{Status: 200}), startDecision(lookup))
+	r.wantDecisions(r.finish(running[1], Completion{Status: 200}), startDecision(rich))
+	r.wantDecisions(r.finish(running[2], Completion{Status: 200}), startDecision(lookup2))
 }
 
-// A class without worth or share still gets its floor under endless worth.
+// A class without worth or share still gets its minimum share under endless work of more
+// worth.
 func TestWorthlessClassIsNotStarved(t *testing.T) {
 	svc := testService()
 	svc.Slots, svc.Connections, svc.QueueLimit = 10, 100, 40
@@ -113,14 +114,14 @@
 	running := r.fill(10)
 	lookup := r.attempt()
 	lookup.Class, lookup.Worth, lookup.Remaining = "lookup", 0, time.Hour
-	r.want(r.offer(lookup), waits)
+	r.want(r.offer(lookup), enqueued)
 	for range 5 {
 		r.offer(r.attempt())
 	}
-	const enough = int(2 / shareFloor)
+	const enough = int(2 / minShare)
 	for range enough {
 		a := r.attempt()
-		r.want(r.offer(a), waits)
+		r.want(r.offer(a), enqueued)
 		ds := r.finish(running[0], Completion{Status: 200})
 		running = running[1:]
 		for _, d := range ds {
@@ -141,35 +142,35 @@
 		a := r.attempt()
 		a.Class, a.Worth = "view", 1
 		a.Remaining += time.Duration(i) * time.Millisecond
-		r.want(r.offer(a), waits)
+		r.want(r.offer(a), enqueued)
 		views = append(views, a)
 	}
 	equal := r.attempt()
 	equal.Class, equal.Worth, equal.Remaining = "view", 1, 10*time.Millisecond
 	r.want(r.offer(equal), refused(model.ReasonQueueFull, true))
-	r.want(r.offer(r.attempt()), waits)
-	r.wantDecisions(r.tick(0), refusalOf(views[3], model.ReasonQueueFull))
+	r.want(r.offer(r.attempt()), enqueued)
+	r.wantDecisions(r.tick(0), refuseDecision(views[3], model.ReasonQueueFull))
 	r.want(r.offer(views[3]), refused(model.ReasonFenced, true))
 }
 
-// A class keeps its share of the queue's places against a higher worth.
+// A class keeps its share of the queue's places against attempts of higher worth.
 func TestFullQueueKeepsPlacesOfEachClass(t *testing.T) {
 	r := newRig(t, testService())
 	r.fill(2)
 	var rich []*model.Attempt
 	for range 4 {
 		a := r.attempt()
-		r.want(r.offer(a), waits)
+		r.want(r.offer(a), enqueued)
 		rich = append(rich, a)
 	}
 	lookup := r.attempt()
 	lookup.Class, lookup.Worth = "lookup", 0
-	r.want(r.offer(lookup), waits)
-	r.wantDecisions(r.tick(0), refusalOf(rich[3], model.ReasonQueueFull))
+	r.want(r.offer(lookup), enqueued)
+	r.wantDecisions(r.tick(0), refuseDecision(rich[3], model.ReasonQueueFull))
 	r.want(r.offer(r.attempt()), refused(model.ReasonQueueFull, true))
 }
 
-func TestTenantAtItsBoundGivesWay(t *testing.T) {
+func TestTenantAtItsLimitYields(t *testing.T) {
 	svc := testService()
 	svc.Slots = 4
 	b := testBundle(svc)
@@ -185,10 +186,10 @@
 	}
 	next, small := big(), r.attempt()
 	next.Worth = 100
-	r.want(r.offer(next), waits)
-	r.want(r.offer(small), waits)
-	r.wantDecisions(r.finish(running[0], Completion{Status: 200}), startOf(small))
-	r.wantDecisions(r.finish(running[1], Completion{Status: 200}), startOf(next))
+	r.want(r.offer(next), enqueued)
+	r.want(r.offer(small), enqueued)
+	r.wantDecisions(r.finish(running[0], Completion{Status: 200}), startDecision(small))
+	r.wantDecisions(r.finish(running[1], Completion{Status: 200}), startDecision(next))
 }
 
 func TestTenantRateIsThisOwnersPart(t *testing.T) {
@@ -204,7 +205,7 @@
 			a := r.attempt()
 			a.Tenant = "big"
 			got := r.offer(a)
-			if got.Verdict == Start {
+			if got.Kind == Start {
 				n++
 				continue
 			}
@@ -215,7 +216,7 @@
 	if got, want := count(), 13; got != want {
 		t.Errorf("burst of %d, want %d (a quarter of 40, with slack)", got, want)
 	}
-	r.pass(400 * time.Millisecond)
+	r.advance(400 * time.Millisecond)
 	if got, want := count(), 5; got != want {
 		t.Errorf("%d in 400 ms, want %d (12.5 a second)", got, want)
 	}
@@ -228,7 +229,7 @@
 		r.finish(a, Completion{Status: 200, ServiceTime: 100 * time.Millisecond})
 	}
 	r.fill(2)
-	// One slot comes free every 50 ms, and the service takes 100 ms.
+	// One slot becomes free every 50 ms, and the service time is 100 ms.
 	a, b := r.attempt(), r.attempt()
 	a.Remaining = 149 * time.Millisecond
 	b.Remaining = 151 * time.Millisecond
@@ -237,11 +238,11 @@
 	if got.Refusal.RetryAfter < retryMin || got.Refusal.RetryAfter > retryMax {
 		t.Errorf("retry after %v", got.Refusal.RetryAfter)
 	}
-	r.want(r.offer(b), waits)
+	r.want(r.offer(b), enqueued)
 }
 
-// An estimate that has grown too long must not refuse for ever.
-func TestLongEstimateIsProbed(t *testing.T) {
+// An estimate that has grown too long must not refuse every later attempt.
+func TestOverlongEstimateDoesNotRefuseForever(t *testing.T) {
 	r := newRig(t, testService())
 	a := r.fill(1)[0]
 	r.finish(a, Completion{Status: 200, ServiceTime: time.Hour})
@@ -252,23 +253,23 @@
 	r := newRig(t, testService())
 	r.fill(2)
 	a := r.attempt()
-	r.want(r.offer(a), waits)
+	r.want(r.offer(a), enqueued)
 	r.wantDecisions(r.tick(time.Second - 1))
-	r.wantDecisions(r.tick(1), refusalOf(a, model.ReasonExpired))
+	r.wantDecisions(r.tick(1), refuseDecision(a, model.ReasonExpired))
 }
 
-func TestLeavingAdmitsNothingAndFinishesWhatItHas(t *testing.T) {
+func TestLeavingAdmitsNothingAndFinishesPending(t *testing.T) {
 	r := newRig(t, testService())
 	running := r.fill(2)
 	waiting := r.attempt()
-	r.want(r.offer(waiting), waits)
+	r.want(r.offer(waiting), enqueued)
 	r.o.SetState(r.now, model.StateLeaving)
 	r.want(r.offer(r.attempt()), refused(model.ReasonLeaving, true))
 	for _, s := range []model.UpstreamState{model.StateLive, model.StateCold} {
 		r.o.SetState(r.now, s)
 		r.want(r.offer(r.attempt()), refused(model.ReasonLeaving, true))
 	}
-	r.wantDecisions(r.finish(running[0], Completion{Status: 200}), startOf(waiting))
+	r.wantDecisions(r.finish(running[0], Completion{Status: 200}), startDecision(waiting))
 	r.finish(running[1], Completion{Status: 200})
 	r.finish(waiting, Completion{Status: 200})
 	if got := r.o.Pending(); got != 0 {
@@ -276,27 +277,27 @@
 	}
 }
 
-func TestColdWorkerFreesItsQueue(t *testing.T) {
+func TestColdWorkerRefusesItsQueue(t *testing.T) {
 	r := newRig(t, testService())
 	r.fill(2)
 	a := r.attempt()
-	r.want(r.offer(a), waits)
+	r.want(r.offer(a), enqueued)
 	r.o.SetState(r.now, model.StateCold)
 	r.wantDecisions(r.tick(coldGrace - 1))
-	r.wantDecisions(r.tick(1), refusalOf(a, model.ReasonNotReady))
+	r.wantDecisions(r.tick(1), refuseDecision(a, model.ReasonNotReady))
 }
 
-func TestLeavingColdWorkerFreesItsQueue(t *testing.T) {
+func TestLeavingColdWorkerRefusesItsQueue(t *testing.T) {
 	r := newRig(t, testService())
 	r.fill(2)
 	a := r.attempt()
-	r.want(r.offer(a), waits)
+	r.want(r.offer(a), enqueued)
 	r.o.SetState(r.now, model.StateCold)
-	r.wantDecisions(r.o.SetState(r.now, model.StateLeaving), refusalOf(a, model.ReasonLeaving))
+	r.wantDecisions(r.o.SetState(r.now, model.StateLeaving), refuseDecision(a, model.ReasonLeaving))
 }
 
-// Concurrent callers see at most the limit in flight and one decision for each
-// attempt that waits; run with -race.
+// Concurrent callers see at most the limit in flight, and one decision for each queued
+// attempt; run with -race.
 func TestConcurrentCallers(t *testing.T) {
 	svc := testService()
 	r := newRig(t, svc)
@@ -345,7 +346,7 @@
 	take(r.o.Tick(r.now.Add(time.Minute)))
 	for id, w := range waiting {
 		if w {
-			t.Errorf("%v still waits", id)
+			t.Errorf("%v is still queued", id)
 		}
 	}
 }
@@ -355,16 +356,16 @@
 	running := r.fill(2)
 	short, long := r.attempt(), r.attempt()
 	long.Remaining = 10 * time.Second
-	r.want(r.offer(short), waits)
-	r.want(r.offer(long), waits)
-	r.pass(2 * time.Second)
-	r.wantDecisions(r.o.ProcessPaused(r.now, 2*time.Second), refusalOf(short, model.ReasonExpired))
+	r.want(r.offer(short), enqueued)
+	r.want(r.offer(long), enqueued)
+	r.advance(2 * time.Second)
+	r.wantDecisions(r.o.ProcessPaused(r.now, 2*time.Second), refuseDecision(short, model.ReasonExpired))
 	r.want(r.offer(r.attempt()), refused(model.ReasonPaused, true))
 	if r.o.Confirm(r.now, running[0].ID) {
 		t.Error("confirmed an attempt whose time ran out")
 	}
 	r.wantDecisions(r.finish(running[0], Completion{NotRun: true}))
-	r.wantDecisions(r.tick(0), startOf(long))
+	r.wantDecisions(r.tick(0), startDecision(long))
 	unstamped := r.attempt()
 	unstamped.Idempotent, unstamped.OwnerClock = true, 0
 	r.want(r.offer(unstamped), refused(model.ReasonPaused, true))
@@ -376,17 +377,17 @@
 	r.want(r.offer(a), started)
 	r.o.ProcessPaused(r.now, 500*time.Millisecond)
 	if r.o.Confirm(r.now, a.ID) {
-		t.Error("confirmed while in doubt")
+		t.Error("confirmed while starts are blocked after a pause")
 	}
 	r.tick(0)
 	if !r.o.Confirm(r.now, a.ID) {
-		t.Error("not confirmed after the doubt, although in time")
+		t.Error("not confirmed after the pause, although in time")
 	}
 }
 
-func TestDoubtEndsWithoutATick(t *testing.T) {
+func TestPauseBlockEndsWithoutTick(t *testing.T) {
 	r := newRig(t, testService())
 	r.o.ProcessPaused(r.now, time.Second)
-	r.pass(pauseDoubt)
+	r.advance(pauseBlock)
 	r.want(r.offer(r.attempt()), started)
 }
--- a/internal/owner/attempts_test.go
+++ b/internal/owner/attempts_test.go
@@ -7,11 +7,11 @@
 	"gypsumstand/internal/model"
 )
 
-func TestOfferRefusesWhatItCannotBind(t *testing.T) {
+func TestOfferRefusesUnboundAttempts(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(a *model.Attempt)
-		want   answer
+		want   offerResult
 	}{
 		{"another incarnation", func(a *model.Attempt) { a.OwnerIncarnation++ }, refused(model.ReasonIncarnation, true)},
 		{"another owner", func(a *model.Attempt) { a.Owner = "w2" }, refused(model.ReasonIncarnation, true)},
@@ -43,7 +43,7 @@
 	a.OwnerClock = 0
 	a.OwnerIncarnation = 0
 	v, refusal := r.o.Offer(r.now, a, true)
-	r.want(answer{v, refusal}, started)
+	r.want(offerResult{v, refusal}, started)
 }
 
 func TestSameAttemptIDRunsOnce(t *testing.T) {
@@ -58,14 +58,14 @@
 	}
 }
 
-func TestFinishNotRunBars(t *testing.T) {
+func TestFinishNotRunFences(t *testing.T) {
 	r := newRig(t, testService())
 	a := r.attempt()
 	r.want(r.offer(a), started)
 	r.finish(a, Completion{NotRun: true})
 	r.want(r.offer(a), refused(model.ReasonFenced, true))
-	if got := r.settle(a, time.Second); got != model.AttemptFenced {
-		t.Fatalf("settled as %v", got)
+	if got := r.resolve(a, time.Second); got != model.AttemptFenced {
+		t.Fatalf("resolved as %v", got)
 	}
 }
 
@@ -78,110 +78,110 @@
 	r.want(r.offer(a), refused(model.ReasonFenced, true))
 }
 
-func TestSettle(t *testing.T) {
+func TestResolve(t *testing.T) {
 	r := newRig(t, testService())
 	never, running, waiting := r.attempt(), r.attempt(), r.attempt()
 	r.want(r.offer(running), started)
 	r.fill(1)
-	r.want(r.offer(waiting), waits)
+	r.want(r.offer(waiting), enqueued)
 
-	if got := r.settle(never, time.Second); got != model.AttemptNeverSeen {
-		t.Errorf("never seen: settled as %v", got)
+	if got := r.resolve(never, time.Second); got != model.AttemptNeverSeen {
+		t.Errorf("never seen: resolved as %v", got)
 	}
 	r.want(r.offer(never), refused(model.ReasonFenced, true))
-	if got := r.settle(running, time.Second); got != model.AttemptStarted {
-		t.Errorf("started: settled as %v", got)
+	if got := r.resolve(running, time.Second); got != model.AttemptStarted {
+		t.Errorf("started: resolved as %v", got)
 	}
-	if got := r.settle(waiting, time.Second); got != model.AttemptQueued {
-		t.Errorf("queued: settled as %v", got)
+	if got := r.resolve(waiting, time.Second); got != model.AttemptQueued {
+		t.Errorf("queued: resolved as %v", got)
 	}
-	r.wantDecisions(r.decided, refusalOf(waiting, model.ReasonFenced))
-	if got := r.settle(waiting, time.Second); got != model.AttemptFenced {
-		t.Errorf("settled again: settled as %v", got)
+	r.wantDecisions(r.decided, refuseDecision(waiting, model.ReasonFenced))
+	if got := r.resolve(waiting, time.Second); got != model.AttemptFenced {
+		t.Errorf("resolved again: state %v", got)
 	}
 	r.finish(running, Completion{Status: 500, Failed: true})
-	if got := r.settle(running, time.Second); got != model.AttemptDone {
-		t.Errorf("done: settled as %v", got)
+	if got := r.resolve(running, time.Second); got != model.AttemptDone {
+		t.Errorf("done: resolved as %v", got)
 	}
 	other := r.attempt()
 	other.OwnerIncarnation--
-	if got := r.settle(other, time.Second); got != model.AttemptForgotten {
-		t.Errorf("another incarnation: settled as %v", got)
+	if got := r.resolve(other, time.Second); got != model.AttemptForgotten {
+		t.Errorf("another incarnation: resolved as %v", got)
 	}
 }
 
-// A bar has to hold until no copy of the attempt can be in time any more.
-func TestBarHoldsUntilTheAgeBoundRefuses(t *testing.T) {
+// A fence has to hold until no copy of the attempt can be in time any more.
+func TestFenceHoldsUntilAttemptIsStale(t *testing.T) {
 	for _, delay := range []time.Duration{0, 100 * time.Millisecond, 999 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second, time.Minute} {
 		r := newRig(t, testService())
 		a := r.attempt()
-		r.pass(400 * time.Millisecond)
-		if got := r.settle(a, 600*time.Millisecond); got != model.AttemptNeverSeen {
-			t.Fatalf("settled as %v", got)
+		r.advance(400 * time.Millisecond)
+		if got := r.resolve(a, 600*time.Millisecond); got != model.AttemptNeverSeen {
+			t.Fatalf("resolved as %v", got)
 		}
 		r.tick(delay)
 		got := r.offer(a)
-		if got.Verdict != Refuse || !got.Refusal.NotRun {
-			t.Errorf("copy %v after the bar: %+v", delay, got)
+		if got.Kind != Refuse || !got.Refusal.NotRun {
+			t.Errorf("copy %v after the fence: %+v", delay, got)
 		}
 	}
 }
 
-// A settlement that comes after the record has lapsed must not prove "not run".
+// A Resolve that arrives after the record has expired must not prove "not run".
 func TestForgottenAttemptProvesNothing(t *testing.T) {
 	r := newRig(t, testService())
 	a, never := r.attempt(), r.attempt()
 	r.want(r.offer(a), started)
 	r.finish(a, Completion{Status: 200})
 	r.tick(time.Hour)
-	if got := r.settle(a, 0); got != model.AttemptForgotten {
-		t.Errorf("a done attempt: settled as %v", got)
+	if got := r.resolve(a, 0); got != model.AttemptForgotten {
+		t.Errorf("a done attempt: resolved as %v", got)
 	}
 	r.want(r.offer(a), refused(model.ReasonStale, false))
-	if got := r.settle(never, 0); got != model.AttemptNeverSeen {
-		t.Errorf("an attempt never seen: settled as %v", got)
+	if got := r.resolve(never, 0); got != model.AttemptNeverSeen {
+		t.Errorf("an attempt never seen: resolved as %v", got)
 	}
 }
 
-func TestOlderIncarnationOfAnEntryIsOver(t *testing.T) {
+func TestOlderEntryIncarnationIsRefused(t *testing.T) {
 	r := newRig(t, testService())
 	old := r.attempt()
 	newer := r.attempt()
 	newer.ID.Incarnation++
 	r.want(r.offer(newer), started)
 	r.want(r.offer(old), refused(model.ReasonStale, false))
-	if got := r.settle(old, time.Second); got != model.AttemptForgotten {
-		t.Errorf("settled as %v", got)
+	if got := r.resolve(old, time.Second); got != model.AttemptForgotten {
+		t.Errorf("resolved as %v", got)
 	}
 }
 
-// At its bound the ledger gives up precision, never truth.
-func TestLedgerAtItsBound(t *testing.T) {
+// At its bound the ledger answers less precisely, but never wrongly.
+func TestFullLedgerClaimsNothingFalse(t *testing.T) {
 	r := newRig(t, testService())
 	r.o.attempts.maxRecords = 100
-	done, barred := r.attempt(), r.attempt()
-	if got := r.settle(barred, time.Second); got != model.AttemptNeverSeen {
-		t.Fatalf("settled as %v", got)
+	done, fenced := r.attempt(), r.attempt()
+	if got := r.resolve(fenced, time.Second); got != model.AttemptNeverSeen {
+		t.Fatalf("resolved as %v", got)
 	}
 	r.want(r.offer(done), started)
 	r.finish(done, Completion{Status: 200})
 	for range 100 {
-		r.pass(time.Microsecond)
-		if a := r.attempt(); r.settle(a, 10*time.Second) != model.AttemptNeverSeen {
-			t.Fatal("no bar")
+		r.advance(time.Microsecond)
+		if a := r.attempt(); r.resolve(a, 10*time.Second) != model.AttemptNeverSeen {
+			t.Fatal("an attempt never seen was not fenced")
 		}
 	}
 	if n := len(r.o.attempts.records); n > 100 {
 		t.Fatalf("%d records", n)
 	}
-	if got := r.offer(barred); got.Verdict != Refuse || !got.Refusal.NotRun {
-		t.Errorf("a bar dropped early: %+v", got)
+	if got := r.offer(fenced); got.Kind != Refuse || !got.Refusal.NotRun {
+		t.Errorf("a fence evicted early: %+v", got)
 	}
-	if got := r.settle(done, time.Second); got != model.AttemptForgotten {
-		t.Errorf("a done record dropped early: settled as %v", got)
+	if got := r.resolve(done, time.Second); got != model.AttemptForgotten {
+		t.Errorf("a done record evicted early: resolved as %v", got)
 	}
-	if got := r.offer(done); got.Verdict != Refuse || got.Refusal.NotRun {
-		t.Errorf("a done record dropped early: %+v", got)
+	if got := r.offer(done); got.Kind != Refuse || got.Refusal.NotRun {
+		t.Errorf("a done record evicted early: %+v", got)
 	}
 }
 
@@ -189,7 +189,7 @@
 	r := newRig(t, testService())
 	running := r.fill(2)[0]
 	waiting := r.attempt()
-	r.want(r.offer(waiting), waits)
+	r.want(r.offer(waiting), enqueued)
 	if notRun, ds := r.o.Cancel(r.now, running.ID); notRun || len(ds) > 0 {
 		t.Errorf("a started attempt was cancelled: %v %v", notRun, ds)
 	}
@@ -197,6 +197,6 @@
 	if !notRun {
 		t.Error("a queued attempt was not cancelled")
 	}
-	r.wantDecisions(ds, refusalOf(waiting, model.ReasonCancelled))
+	r.wantDecisions(ds, refuseDecision(waiting, model.ReasonCancelled))
 	r.want(r.offer(waiting), refused(model.ReasonFenced, true))
 }
--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -12,11 +12,11 @@
 	"gypsumstand/internal/wire"
 )
 
-// benchStep is the time that passes between two calls, so that records lapse.
+// benchStep is the time between two calls; it lets records expire.
 const benchStep = 50 * time.Microsecond
 
-// BenchmarkBaseline is what any owner must do at least: lock, count an attempt
-// in and out by its id. The other benchmarks are read as ratios to it.
+// BenchmarkBaseline measures the minimum work of any owner: lock, and count an attempt in
+// and out by its id. The other benchmarks are read as ratios to it.
 func BenchmarkBaseline(b *testing.B) {
 	var mu sync.Mutex
 	inFlight := map[model.AttemptID]time.Time{}
@@ -34,7 +34,7 @@
 	}
 }
 
-// benchRig returns an owner with 20 slots and the queue's default length.
+// benchRig returns an owner with 20 slots and the default queue limit.
 func benchRig(b *testing.B) *rig {
 	svc := testService()
 	svc.Slots, svc.Connections, svc.QueueLimit = 20, 260, 80
@@ -49,7 +49,7 @@
 	a.OwnerClock = r.now.Sub(r.o.cfg.Started)
 }
 
-// BenchmarkStartFinish is an attempt that starts at once, and its end.
+// BenchmarkStartFinish measures an attempt that starts at once, and its end.
 func BenchmarkStartFinish(b *testing.B) {
 	r := benchRig(b)
 	a := r.attempt()
@@ -65,8 +65,8 @@
 	}
 }
 
-// BenchmarkFullQueue is an attempt that displaces another from a full queue, and
-// an end that starts the next.
+// BenchmarkFullQueue measures an attempt that displaces another from a full queue, and an
+// end that starts the next.
 func BenchmarkFullQueue(b *testing.B) {
 	for _, tenants := range []int{1, 20} {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) { benchFullQueue(b, tenants) })
@@ -122,7 +122,7 @@
 	return bundle.Tenant{Name: model.TenantName(fmt.Sprint("t", i)), MaxShare: 0.5, RatePerSecond: 1e6, Burst: 1e6}
 }
 
-// BenchmarkRefuse is an attempt that a full queue refuses.
+// BenchmarkRefuse measures an attempt that a full queue refuses.
 func BenchmarkRefuse(b *testing.B) {
 	r := benchRig(b)
 	a := r.attempt()
@@ -142,7 +142,7 @@
 	}
 }
 
-// BenchmarkReport is a load report.
+// BenchmarkReport measures a load report.
 func BenchmarkReport(b *testing.B) {
 	r := benchRig(b)
 	b.ReportAllocs()
@@ -151,7 +151,7 @@
 	}
 }
 
-// heapBytes returns the live heap.
+// heapBytes returns the size of the live heap.
 func heapBytes() float64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -159,11 +159,11 @@
 	return float64(m.HeapAlloc)
 }
 
-// memorySizes are the numbers of records at which memory is measured; none is a
-// power of two, at which maps grow.
+// memorySizes are the numbers of records at which memory is measured. None is a power of
+// two, at which maps grow.
 var memorySizes = []int{20_000, 50_000, 80_000, 110_000, 130_000}
 
-// BenchmarkMemoryPerAttempt reports the slope of memory over remembered attempts.
+// BenchmarkMemoryPerAttempt reports the memory per remembered attempt.
 func BenchmarkMemoryPerAttempt(b *testing.B) {
 	benchMemory(b, memorySizes, func(r *rig, i int) {
 		id := model.AttemptID{Entry: model.InstanceID(fmt.Sprint("e", i%100)), Incarnation: 1, Sequence: uint64(i)}
@@ -171,16 +171,16 @@
 	})
 }
 
-// BenchmarkMemoryPerKey reports the slope of memory over remembered request ids
-// of 36 bytes (without their attempts, of which each has one at least).
+// BenchmarkMemoryPerKey reports the memory per remembered request id of 36 bytes, without
+// the records of its attempts, of which each id has at least one.
 func BenchmarkMemoryPerKey(b *testing.B) {
 	benchMemory(b, []int{10_000, 20_000, 30_000, 45_000, 60_000}, func(r *rig, i int) {
-		it := &item{keyed: true, request: model.RequestID(fmt.Sprintf("%036d", i)), id: model.AttemptID{Entry: "e1", Incarnation: 1, Sequence: uint64(i)}}
-		r.o.keys.done(time.Minute, it)
+		p := &pendingAttempt{keyed: true, request: model.RequestID(fmt.Sprintf("%036d", i)), id: model.AttemptID{Entry: "e1", Incarnation: 1, Sequence: uint64(i)}}
+		r.o.keys.setDone(time.Minute, p)
 	})
 }
 
-// benchMemory adds records and fits a line to the heap by least squares.
+// benchMemory adds records and fits a line to the heap size by least squares.
 func benchMemory(b *testing.B, sizes []int, add func(r *rig, i int)) {
 	for b.Loop() {
 		r := benchRig(b)
--- a/internal/owner/breaker.go
+++ b/internal/owner/breaker.go
@@ -6,82 +6,83 @@
 	"gypsumstand/internal/model"
 )
 
-// A worker that breaks every attempt may say that it is well, and each attempt that
-// must not be repeated is lost there. So after a few broken ones in a row the owner
-// refuses what comes, which proves that it did not run, but for a trial now and then.
-// One answer ends this. Load: a worker that resets all requests, or goes down and up
-// by turns, beside others that restart.
+// A worker can break every attempt while its health checks pass, and each attempt that
+// must not be repeated is lost there. After several broken attempts in a row the owner
+// therefore refuses new ones, which proves that they did not run, and lets a trial
+// through now and then. One answer closes the breaker. Cases: a worker that resets all
+// requests, or that goes down and up by turns, next to workers that restart.
 const (
-	// breakerTrips is the number of broken attempts in a row that opens the breaker.
-	// Where a worker loses two answers in five, one attempt in 1,500 does; with 5 in a
-	// row it was one in a hundred, and on a day with such workers 4,000 sendings were
-	// refused in place of 3,000.
-	breakerTrips = 8
-	// breakerPause is the time to the first trial, doubled after each up to
-	// breakerMostPause. A worker that has mended is in full use after that time.
-	breakerPause     = 100 * time.Millisecond
-	breakerMostPause = 400 * time.Millisecond
-	// repeatableMemory is for how long after a refused attempt that may be repeated
-	// the trials are left to such ones, as they lose nothing.
-	repeatableMemory = time.Second
+	// breakerThreshold is the number of broken attempts in a row that opens the breaker.
+	// A worker that loses two answers in five opens it once in 1,500 attempts. A
+	// threshold of 5 would open it once in a hundred, and refuse 4,000 submissions
+	// instead of 3,000 on a day with such workers.
+	breakerThreshold = 8
+	// breakerFirstInterval is the time to the first trial. It doubles after each trial up
+	// to breakerMaxInterval, which bounds how long a recovered worker is not in full use.
+	breakerFirstInterval = 100 * time.Millisecond
+	breakerMaxInterval   = 400 * time.Millisecond
+	// idempotentTrialMemory is how long after the refusal of an idempotent attempt trials
+	// are reserved for idempotent attempts, which can be repeated without loss.
+	idempotentTrialMemory = time.Second
 )
 
-// breaker refuses attempts for a worker that breaks them all. Times are on the owner's
+// breaker refuses attempts to a worker that breaks all of them. Times are on the owner's
 // clock. The zero value is closed.
 type breaker struct {
-	// row is the number of broken attempts since the last answer.
-	row int
-	// next is the time of the next trial, pause what follows it.
-	next, pause time.Duration
-	// repeatable is when an attempt that may be repeated was last refused.
-	repeatable time.Duration
+	// consecutive is the number of broken attempts since the last answer.
+	consecutive int
+	// nextTrial is the time of the next trial, interval the time from it to the one
+	// after.
+	nextTrial, interval time.Duration
+	// idempotentRefusedAt is when an idempotent attempt was last refused.
+	idempotentRefusedAt time.Duration
 }
 
-// ended takes the end of an attempt.
-func (b *breaker) ended(t time.Duration, broke bool) {
-	if !broke {
+// observe records the end of an attempt.
+func (b *breaker) observe(t time.Duration, broken bool) {
+	if !broken {
 		*b = breaker{}
 		return
 	}
-	b.row++
-	if b.row == breakerTrips {
-		b.pause = breakerPause
-		b.next = t + b.pause
+	b.consecutive++
+	if b.consecutive == breakerThreshold {
+		b.interval = breakerFirstInterval
+		b.nextTrial = t + b.interval
 	}
 }
 
-// open tells whether attempts are refused, but for trials.
-func (b *breaker) open() bool { return b.row >= breakerTrips }
+// open reports whether attempts other than trials are refused.
+func (b *breaker) open() bool { return b.consecutive >= breakerThreshold }
 
-// refuses tells whether an attempt is to be refused, and after which time the next
-// trial is due. It takes an attempt that it lets through for a trial.
+// refuses reports whether an attempt is to be refused, and the time until the next trial.
+// An attempt that is let through while the breaker is open counts as a trial.
 func (b *breaker) refuses(t time.Duration, idempotent bool) (time.Duration, bool) {
 	if !b.open() {
 		return 0, false
 	}
-	mayTry := idempotent || b.repeatable == 0 || t-b.repeatable >= repeatableMemory
-	if t >= b.next && mayTry {
-		b.pause = min(2*b.pause, breakerMostPause)
-		b.next = t + b.pause
+	mayTry := idempotent || b.idempotentRefusedAt == 0 || t-b.idempotentRefusedAt >= idempotentTrialMemory
+	if t >= b.nextTrial && mayTry {
+		b.interval = min(2*b.interval, breakerMaxInterval)
+		b.nextTrial = t + b.interval
 		return 0, false
 	}
 	if idempotent {
-		b.repeatable = t
+		b.idempotentRefusedAt = t
 	}
-	return min(max(b.next-t, retryMin), breakerMostPause), true
+	return min(max(b.nextTrial-t, retryMin), breakerMaxInterval), true
 }
 
-// broke tells whether the worker broke the attempt off or spoiled its answer. A
-// time-out does not count: a worker that stands still for a while holds its slots, so
-// that little is sent to it anyway, and what waits meanwhile is mostly served after it.
-// Counted in, time-outs took the worth answered by a worker that hangs for 0.7 of 2 s
-// from 0.72 to 0.55 (TestLimitsCompared).
-func (f *Completion) broke() bool {
+// broken reports whether the worker dropped the attempt or corrupted its answer. A
+// time-out does not count: a hanging worker keeps its slots occupied, so it gets little
+// work anyway, and most of what queues meanwhile is served afterwards. Counting time-outs
+// lowered the worth answered by a worker that hangs for 0.7 of 2 s from 0.72 to 0.55
+// (TestLimitsCompared).
+func (f *Completion) broken() bool {
 	return f.Failed && !f.NotRun && !f.Abandoned && !f.Expired && f.Status == 0
 }
 
-// refuseBreaking refuses an attempt for a worker that breaks all.
-func (o *Owner) refuseBreaking(t time.Duration, a *model.Attempt) model.Refusal {
+// refuseByBreaker refuses an attempt while the breaker is open.
+func (o *Owner) refuseByBreaker(t time.Duration, a *model.Attempt) model.Refusal {
 	wait, open := o.breaker.refuses(t, a.Idempotent)
 	if !open {
 		return model.Refusal{}
@@ -89,19 +90,19 @@
 	return model.Refusal{Reason: model.ReasonNotReady, NotRun: true, RetryAfter: wait}
 }
 
-// noteBreak takes an attempt's end to the breaker. When that opens it, what waits is
-// turned away, to be placed elsewhere.
-func (o *Owner) noteBreak(t time.Duration, f Completion) {
+// updateBreaker passes an attempt's end to the breaker. When the breaker opens, all
+// queued attempts are refused so that their entries place them elsewhere.
+func (o *Owner) updateBreaker(t time.Duration, f Completion) {
 	if f.NotRun || f.Abandoned || f.Expired {
 		return
 	}
 	wasOpen := o.breaker.open()
-	o.breaker.ended(t, f.broke())
+	o.breaker.observe(t, f.broken())
 	open := o.breaker.open()
 	if open != wasOpen && o.cfg.OnBreakerChange != nil {
 		o.cfg.OnBreakerChange(open)
 	}
 	if open && !wasOpen {
-		o.turnAwayAll(t, model.Refusal{Reason: model.ReasonNotReady, NotRun: true, RetryAfter: breakerPause})
+		o.refuseAllQueued(t, model.Refusal{Reason: model.ReasonNotReady, NotRun: true, RetryAfter: breakerFirstInterval})
 	}
 }
--- a/internal/owner/breaker_test.go
+++ b/internal/owner/breaker_test.go
@@ -9,31 +9,30 @@
 	"gypsumstand/internal/model"
 )
 
-// breaking plays a worker that breaks every attempt from 1 to 2 s and answers all
-// others in 20 ms, under one attempt every 10 ms for 4 s. Of every `of` attempts the
-// first `repeatable` may be repeated.
-type breaking struct{ repeatable, of int }
+// breakerLoad runs a worker that breaks every attempt from 1 to 2 s and answers all
+// others in 5 ms, under one attempt every 10 ms for 4 s. Of every outOf attempts the
+// first idempotent ones are idempotent.
+type breakerLoad struct{ idempotent, outOf int }
 
-// broken counts what the load got: attempts that broke at the worker and must not be
-// repeated, all that broke, and when the last refusal was made,
-// and what the owner told of its breaker.
-type broken struct {
+// breakerResult counts the attempts that broke at the worker: lost those that must not be
+// repeated, all every one. It also holds the calls of OnBreakerChange and the refusals.
+type breakerResult struct {
 	lost, all   int
 	changes     []bool
 	lastRefusal time.Duration
 	refusals    []model.Refusal
 }
 
-func (b breaking) play(t *testing.T) broken {
+func (b breakerLoad) run(t *testing.T) breakerResult {
 	t.Helper()
 	r := newRig(t, testService())
-	var out broken
+	var out breakerResult
 	r.o.cfg.OnBreakerChange = func(open bool) { out.changes = append(out.changes, open) }
 	for i := range 400 {
 		at := time.Duration(i) * 10 * time.Millisecond
 		a := r.attempt()
-		a.Idempotent = i%b.of < b.repeatable
-		switch got := r.offer(a); got.Verdict {
+		a.Idempotent = i%b.outOf < b.idempotent
+		switch got := r.offer(a); got.Kind {
 		case Refuse:
 			out.lastRefusal = at
 			out.refusals = append(out.refusals, got.Refusal)
@@ -54,55 +53,55 @@
 	return out
 }
 
-// A worker that resets every request says well to its health checks. In one second of
-// 100 requests that must not be repeated, 100 were lost before and 11 after, as the
-// others were refused and proved not to have run.
-func TestAWorkerThatBreaksEverythingIsGivenFewAttempts(t *testing.T) {
-	got := breaking{repeatable: 0, of: 1}.play(t)
+// A worker that resets every request still passes its health checks. In one second with
+// 100 requests that must not be repeated, all are lost without the breaker, and 11 with
+// it: the others are refused and proved not to have run.
+func TestBreakerLimitsLossAtABrokenWorker(t *testing.T) {
+	got := breakerLoad{idempotent: 0, outOf: 1}.run(t)
 	if got.lost > 12 {
-		t.Errorf("%d of 100 attempts were lost at a worker that breaks all", got.lost)
+		t.Errorf("%d of 100 attempts were lost at a worker that breaks all of them", got.lost)
 	}
 	for _, r := range got.refusals {
-		if !r.NotRun || r.Reason != model.ReasonNotReady || r.RetryAfter <= 0 || r.RetryAfter > breakerMostPause {
+		if !r.NotRun || r.Reason != model.ReasonNotReady || r.RetryAfter <= 0 || r.RetryAfter > breakerMaxInterval {
 			t.Fatalf("refused with %+v", r)
 		}
 	}
-	if got.lastRefusal > 2*time.Second+breakerMostPause {
-		t.Errorf("still refusing %v after the worker mended", got.lastRefusal-2*time.Second)
+	if got.lastRefusal > 2*time.Second+breakerMaxInterval {
+		t.Errorf("still refusing %v after the worker recovered", got.lastRefusal-2*time.Second)
 	}
 	if diff := cmp.Diff([]bool{true, false}, got.changes); diff != "" {
-		t.Errorf("told that it breaks: %s", diff)
+		t.Errorf("breaker changes (-want +got):\n%s", diff)
 	}
 }
 
-func TestWhatMayBeRepeatedTriesABreakingWorkerFirst(t *testing.T) {
-	got := breaking{repeatable: 1, of: 4}.play(t)
-	if got.lost > breakerTrips {
+func TestIdempotentAttemptsAreTriedFirst(t *testing.T) {
+	got := breakerLoad{idempotent: 1, outOf: 4}.run(t)
+	if got.lost > breakerThreshold {
 		t.Errorf("%d attempts that must not be repeated were lost", got.lost)
 	}
-	if got.all > 2*breakerTrips+5 {
-		t.Errorf("%d attempts broke", got.all)
+	if got.all > 2*breakerThreshold+5 {
+		t.Errorf("%d attempts broke at the worker", got.all)
 	}
-	if got.lastRefusal > 2*time.Second+breakerMostPause {
-		t.Errorf("still refusing %v after the worker mended", got.lastRefusal-2*time.Second)
+	if got.lastRefusal > 2*time.Second+breakerMaxInterval {
+		t.Errorf("still refusing %v after the worker recovered", got.lastRefusal-2*time.Second)
 	}
 }
 
 func TestOneAnswerClosesTheBreaker(t *testing.T) {
 	var b breaker
-	for range breakerTrips - 1 {
-		b.ended(0, true)
+	for range breakerThreshold - 1 {
+		b.observe(0, true)
 	}
-	b.ended(0, false)
-	for range breakerTrips - 1 {
-		b.ended(0, true)
+	b.observe(0, false)
+	for range breakerThreshold - 1 {
+		b.observe(0, true)
 	}
 	if _, open := b.refuses(0, false); open {
-		t.Error("open although an answer came in between")
+		t.Error("breaker open although an answer interrupted the failures")
 	}
 }
 
-func TestOnlyABrokenAnswerSpeaksAgainstTheWorker(t *testing.T) {
+func TestOnlyBrokenAnswersCountForTheBreaker(t *testing.T) {
 	for name, tt := range map[string]struct {
 		f    Completion
 		want bool
@@ -114,8 +113,8 @@
 		"not run":      {Completion{Failed: true, NotRun: true}, false},
 		"answered":     {Completion{Status: 200}, false},
 	} {
-		if got := tt.f.broke(); got != tt.want {
-			t.Errorf("%s: broke %v, want %v", name, got, tt.want)
+		if got := tt.f.broken(); got != tt.want {
+			t.Errorf("%s: broken %v, want %v", name, got, tt.want)
 		}
 	}
 }
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -6,22 +6,22 @@
 	"gypsumstand/internal/model"
 )
 
-// coldGrace is how long queued attempts wait for a worker gone cold before they
-// are refused, so that time is left to place them elsewhere.
+// coldGrace is how long queued attempts wait for a worker that went cold. After that they
+// are refused, early enough to be placed elsewhere.
 const coldGrace = 200 * time.Millisecond
 
-// item is one admitted attempt, queued or started.
-type item struct {
+// pendingAttempt is an admitted attempt, queued or started. Its times are on the owner's
+// clock.
+type pendingAttempt struct {
 	id      model.AttemptID
 	request model.RequestID
-	// keyed: the request's id is registered here as its home.
+	// keyed: this owner is the home of the request's id and has registered it.
 	keyed  bool
 	class  *class
 	tenant *tenant
 	// regions are those in which the request may run.
-	regions model.Regions
-	worth   float64
-	// deadline, arrived and startedAt are on the owner's clock.
+	regions   model.Regions
+	worth     float64
 	deadline  time.Duration
 	arrived   time.Duration
 	startedAt time.Duration
@@ -32,149 +32,151 @@
 	// seq is the order of arrival.
 	seq     uint64
 	started bool
-	// predicted is the wait that was predicted when it was queued.
+	// predicted is the wait that was predicted on arrival.
 	predicted time.Duration
-	// objective is the time up to which an answer has its full worth, on the owner's
-	// clock; zero when there is none.
+	// objective is the time up to which an answer has its full worth; zero when there is
+	// none.
 	objective time.Duration
-	// late: it is queued behind those that can still meet their objective.
+	// late: queued behind the attempts that can still meet their objective.
 	late bool
-	// mayMove: the entry can place it elsewhere.
+	// mayMove: the entry can place the attempt elsewhere.
 	mayMove bool
-	// slowness is how many times as long as usual work took at the start.
-	slowness float64
-	// confirmed: Confirm let the first byte go.
+	// slowdown is the worker's slowdown at the start: the service time over the usual
+	// one.
+	slowdown float64
+	// confirmed: Confirm allowed the first byte to be sent.
 	confirmed bool
-	// pauses is the number of pauses seen before the start.
-	pauses uint64
-	// life is the number of the worker's life at the start.
-	life uint64
-	// alone: workers ended under the request, so that it runs where no other such one does.
-	alone bool
+	// pausesAtStart is the number of process pauses before the start.
+	pausesAtStart uint64
+	// workerIncarnation is the owner's workerIncarnation at the start.
+	workerIncarnation uint64
+	// exclusive: workers crashed under the request, so no other exclusive attempt may run
+	// at the same time.
+	exclusive bool
 }
 
-// free returns the number of attempts that may start now.
-func (o *Owner) free(t time.Duration) int {
-	if !o.runs() || o.pause.doubted(t) {
+// freeSlots returns the number of attempts that may start now.
+func (o *Owner) freeSlots(t time.Duration) int {
+	if !o.runs() || o.pause.blocked(t) {
 		return 0
 	}
-	return min(o.limit.effective(t)-o.inFlight, o.warming.room(t))
+	return min(o.limit.effective(t)-o.inFlight, o.warming.available(t))
 }
 
-// runs tells whether the life stage lets admitted attempts start.
+// runs reports whether the worker's state allows admitted attempts to start.
 func (o *Owner) runs() bool {
 	return o.configured && (o.state == model.StateLive || o.state == model.StateLeaving)
 }
 
-// dispatch starts waiting attempts while there is room.
+// dispatch starts queued attempts while slots are free.
 func (o *Owner) dispatch(t time.Duration) {
-	o.queue.moveLate(t)
-	for n := o.free(t); n > 0 && o.queue.length > 0; n-- {
-		it := o.choose(o, t)
-		if it == nil {
+	o.queue.demoteLate(t)
+	for n := o.freeSlots(t); n > 0 && o.queue.length > 0; n-- {
+		p := o.choose(o, t)
+		if p == nil {
 			return
 		}
-		if it.hopeless(t) {
-			o.turnAway(t, it, notRun(model.ReasonExpired))
+		if p.missesDeadline(t) {
+			o.refuseQueued(t, p, notRunRefusal(model.ReasonExpired))
 			n++
 			continue
 		}
-		o.learnWait(t, it, t-it.arrived)
-		o.start(t, it)
-		o.out = append(o.out, Decision{Attempt: it.id, Kind: Start})
+		o.observeWait(t, p, t-p.arrived)
+		o.start(t, p)
+		o.decisions = append(o.decisions, Decision{Attempt: p.id, Kind: Start})
 	}
 }
 
 // start moves an attempt from the queue to the worker.
-func (o *Owner) start(t time.Duration, it *item) {
-	o.queue.remove(it)
-	o.classes.charge(it.class, o.limit.effective(t))
-	it.started = true
-	it.startedAt = t
-	it.slowness = o.pace.factor(t)
-	o.slowed += it.slowness
-	it.pauses = o.pause.count
-	it.life = o.life
-	it.class.inFlight++
-	it.tenant.inFlight++
-	if it.alone {
-		o.alones++
+func (o *Owner) start(t time.Duration, p *pendingAttempt) {
+	o.queue.remove(p)
+	o.classes.chargeStart(p.class, o.limit.effective(t))
+	p.started = true
+	p.startedAt = t
+	p.slowdown = o.slowdown.factor(t)
+	o.slowdownSum += p.slowdown
+	p.pausesAtStart = o.pause.count
+	p.workerIncarnation = o.workerIncarnation
+	p.class.inFlight++
+	p.tenant.inFlight++
+	if p.exclusive {
+		o.exclusiveInFlight++
 	}
 	o.inFlight++
-	o.warming.start(t)
+	o.warming.recordStart(t)
 }
 
-// release gives back what start took.
-func (o *Owner) release(it *item) {
-	delete(o.live, it.id)
-	o.slowed -= it.slowness
-	it.class.inFlight--
-	it.tenant.inFlight--
-	if it.alone {
-		o.alones--
+// release returns the resources that start took.
+func (o *Owner) release(p *pendingAttempt) {
+	delete(o.pending, p.id)
+	o.slowdownSum -= p.slowdown
+	p.class.inFlight--
+	p.tenant.inFlight--
+	if p.exclusive {
+		o.exclusiveInFlight--
 	}
 	o.inFlight--
 }
 
-// turnAway ends the waiting of a queued attempt with a refusal; the attempt is
-// barred from then on.
-func (o *Owner) turnAway(t time.Duration, it *item, r model.Refusal) {
-	o.queue.remove(it)
-	delete(o.live, it.id)
-	if it.keyed && !placeable(r.Reason) {
-		o.keys.free(it)
+// refuseQueued refuses a queued attempt and fences it.
+func (o *Owner) refuseQueued(t time.Duration, p *pendingAttempt, r model.Refusal) {
+	o.queue.remove(p)
+	delete(o.pending, p.id)
+	if p.keyed && !mayRetryElsewhere(r.Reason) {
+		o.keys.remove(p)
 	}
-	r = o.delegate(t, it, r)
-	o.attempts.end(t, it, attemptBarred)
-	o.out = append(o.out, Decision{Attempt: it.id, Kind: Refuse, Refusal: r})
+	r = o.delegateRefusal(t, p, r)
+	o.attempts.record(t, p, attemptFenced)
+	o.decisions = append(o.decisions, Decision{Attempt: p.id, Kind: Refuse, Refusal: r})
 }
 
-// hopeShare is the part of the expected service time that must be left for a start: of
-// runs that vary by a third, one in four takes less than 0.8 of the mean. A start with
-// less left would mostly hold a slot for an answer that nobody waits for.
-const hopeShare = 0.8
+// minTimeShare is the share of the expected service time that must be left for a start.
+// Of service times that vary by a third, one in four is below 0.8 of the mean. With less
+// time left, an attempt mostly occupies a slot for an answer that comes after the
+// deadline.
+const minTimeShare = 0.8
 
-// hopeless tells whether a start now would mostly end after the deadline.
-func (it *item) hopeless(t time.Duration) bool {
-	return t+it.least() >= it.deadline
+// missesDeadline reports whether an attempt started at t would mostly end after its
+// deadline.
+func (p *pendingAttempt) missesDeadline(t time.Duration) bool {
+	return t+p.minTimeLeft() >= p.deadline
 }
 
-// least is the time that must be left for a start.
-func (it *item) least() time.Duration {
-	return time.Duration(hopeShare * float64(it.class.expected()))
+// minTimeLeft is the time that must be left before the deadline for a start.
+func (p *pendingAttempt) minTimeLeft() time.Duration {
+	return time.Duration(minTimeShare * float64(p.class.expected()))
 }
 
-// expire refuses queued attempts that cannot be answered in time any more.
-func (o *Owner) expire(t time.Duration) {
-	for _, it := range o.queue.where(func(it *item) bool { return it.hopeless(t) }) {
-		o.turnAway(t, it, notRun(model.ReasonExpired))
+// expireQueued refuses queued attempts that can no longer be answered in time.
+func (o *Owner) expireQueued(t time.Duration) {
+	for _, p := range o.queue.filter(func(p *pendingAttempt) bool { return p.missesDeadline(t) }) {
+		o.refuseQueued(t, p, notRunRefusal(model.ReasonExpired))
 	}
 }
 
-// refuseWhileCold refuses queued attempts once the worker has been cold for
-// longer than coldGrace.
+// refuseWhileCold refuses queued attempts once the worker has been cold for coldGrace.
 func (o *Owner) refuseWhileCold(t time.Duration) {
 	if o.state != model.StateCold || t-o.coldSince < coldGrace || o.queue.length == 0 {
 		return
 	}
-	o.turnAwayAll(t, model.Refusal{Reason: model.ReasonNotReady, NotRun: true, RetryAfter: retryNotReady})
+	o.refuseAllQueued(t, model.Refusal{Reason: model.ReasonNotReady, NotRun: true, RetryAfter: retryNotReady})
 }
 
-// turnAwayAll ends all waiting with one refusal.
-func (o *Owner) turnAwayAll(t time.Duration, r model.Refusal) {
-	for _, it := range o.queue.where(func(*item) bool { return true }) {
-		o.turnAway(t, it, r)
+// refuseAllQueued refuses every queued attempt with r.
+func (o *Owner) refuseAllQueued(t time.Duration, r model.Refusal) {
+	for _, p := range o.queue.filter(func(*pendingAttempt) bool { return true }) {
+		o.refuseQueued(t, p, r)
 	}
 }
 
-// displace makes room in a full queue for it by refusing the least valuable
-// waiting attempt; false when none is worth less.
-func (o *Owner) displace(t time.Duration, it *item) bool {
-	victim := o.queue.least(o.queueLimit, it)
+// displace makes room for p in a full queue by refusing the least valuable queued
+// attempt; false when no attempt is worth less.
+func (o *Owner) displace(t time.Duration, p *pendingAttempt) bool {
+	victim := o.queue.displaceable(o.queueLimit, p)
 	if victim == nil {
 		return false
 	}
-	r := model.Refusal{Reason: model.ReasonQueueFull, NotRun: true, RetryAfter: o.retryAfter(t, o.wait(t, victim))}
-	o.turnAway(t, victim, r)
+	r := model.Refusal{Reason: model.ReasonQueueFull, NotRun: true, RetryAfter: o.overloadRetryAfter(t, o.predictWait(t, victim))}
+	o.refuseQueued(t, victim, r)
 	return true
 }
--- a/internal/owner/evacuate_test.go
+++ b/internal/owner/evacuation_test.go
@@ -7,27 +7,28 @@
 	"gypsumstand/internal/model"
 )
 
-func TestAnEvacuatedDataCentreGetsNothingNew(t *testing.T) {
+func TestEvacuatedDataCentreAdmitsNothing(t *testing.T) {
 	r := newRig(t, testService())
 	running := r.fill(2)
 	queued := r.attempt()
 	queued.Remaining = 5 * time.Second
-	r.want(r.offer(queued), waits)
+	r.want(r.offer(queued), enqueued)
 	r.o.SetEvacuated(r.now, true)
 	r.want(r.offer(r.attempt()), refused(model.ReasonEvacuated, true))
 	for waited := time.Duration(0); waited < evacuatedQueue+10*time.Millisecond; waited += 10 * time.Millisecond {
 		r.tick(10 * time.Millisecond)
 	}
-	r.keep(r.o.Finish(r.now, running[0].ID, Completion{ServiceTime: time.Second, Status: 200}))
+	r.collect(r.o.Finish(r.now, running[0].ID, Completion{ServiceTime: time.Second, Status: 200}))
 	if len(r.decided) != 1 || r.decided[0].Kind != Refuse || r.decided[0].Refusal.Reason != model.ReasonEvacuated || !r.decided[0].Refusal.NotRun {
-		t.Errorf("decisions %+v, want the one that waited handed on as not run", r.decided)
+		t.Errorf("decisions %+v, want the queued one refused as not run", r.decided)
 	}
 	r.o.SetEvacuated(r.now, false)
 	r.want(r.offer(r.attempt()), started)
 }
 
-// A caller's own id that its home cannot run is remembered there, so that it runs once.
-func TestAnEvacuatedHomeRemembersWhatItSendsElsewhere(t *testing.T) {
+// An evacuated home remembers a caller's id that it delegates, so that the request runs
+// once.
+func TestEvacuatedHomeDelegatesKeys(t *testing.T) {
 	r := newRig(t, testService())
 	r.o.SetEvacuated(r.now, true)
 	a := r.attempt()
@@ -36,16 +37,16 @@
 	again := r.attempt()
 	again.CallerKey, again.Request = true, a.Request
 	if v, refusal := r.o.Offer(r.now, again, false); v != Refuse || refusal.NotRun {
-		t.Errorf("a second sending: %v %+v, want a refusal that proves nothing", v, refusal)
+		t.Errorf("resubmission: %v %+v, want a refusal that does not claim \"not run\"", v, refusal)
 	}
 }
 
-func TestARequestDoesNotRunOutsideItsRegions(t *testing.T) {
+func TestRequestRunsOnlyInItsRegions(t *testing.T) {
 	r := newRig(t, testService())
 	r.o.cfg.Region = "north"
 	for _, tt := range []struct {
 		names []model.RegionName
-		want  answer
+		want  offerResult
 	}{
 		{nil, started},
 		{[]model.RegionName{"south", "north"}, started},
--- a/internal/owner/expiry.go
+++ b/internal/owner/expiry.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// expiring is a key with the time on the owner's clock at which it lapses.
+// expiring is a key with the time on the owner's clock at which it expires.
 type expiring[K any] struct {
 	until time.Duration
 	key   K
@@ -26,7 +26,7 @@
 	*h = s
 }
 
-// pop removes and returns the earliest; the heap must not be empty.
+// pop removes and returns the earliest key; the heap must not be empty.
 func (h *expiryHeap[K]) pop() expiring[K] {
 	s := *h
 	first := s[0]
@@ -34,13 +34,13 @@
 	s[0] = s[last]
 	s[last] = expiring[K]{}
 	s = s[:last]
-	s.sink()
+	s.siftDown()
 	*h = s
 	return first
 }
 
-// sink moves the root down to its place.
-func (h expiryHeap[K]) sink() {
+// siftDown moves the root down to its place.
+func (h expiryHeap[K]) siftDown() {
 	i := 0
 	for {
 		child := 2*i + 1
--- a/internal/owner/helpers_test.go
+++ b/internal/owner/helpers_test.go
@@ -23,7 +23,7 @@
 	now time.Time
 	// seq is the last sequence number of the rig's entry.
 	seq uint64
-	// decided holds the decisions of all calls so far.
+	// decided holds the decisions returned by all calls so far.
 	decided []Decision
 }
 
@@ -43,7 +43,7 @@
 	}
 }
 
-// newRig returns a live owner a minute after its start.
+// newRig returns an owner with a live worker, a minute after its start.
 func newRig(t testing.TB, svc *bundle.Service) *rig {
 	t.Helper()
 	start := time.Date(2025, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -54,21 +54,21 @@
 	return r
 }
 
-// pass moves the clock by d.
-func (r *rig) pass(d time.Duration) { r.now = r.now.Add(d) }
+// advance moves the clock by d.
+func (r *rig) advance(d time.Duration) { r.now = r.now.Add(d) }
 
-// tick moves the clock by d and ticks.
+// tick moves the clock by d and calls Tick.
 func (r *rig) tick(d time.Duration) []Decision {
-	r.pass(d)
-	return r.keep(r.o.Tick(r.now))
+	r.advance(d)
+	return r.collect(r.o.Tick(r.now))
 }
 
-func (r *rig) keep(ds []Decision) []Decision {
+func (r *rig) collect(ds []Decision) []Decision {
 	r.decided = append(r.decided, ds...)
 	return ds
 }
 
-// attempt returns a fresh non-idempotent attempt sent just now.
+// attempt returns a new non-idempotent attempt sent now.
 func (r *rig) attempt() *model.Attempt {
 	r.seq++
 	return &model.Attempt{
@@ -84,7 +84,7 @@
 	}
 }
 
-// keyed returns a fresh attempt with a caller's own request id.
+// keyed returns a new attempt with a caller's own request id.
 func (r *rig) keyed(id model.RequestID) *model.Attempt {
 	a := r.attempt()
 	a.Request = id
@@ -92,48 +92,48 @@
 	return a
 }
 
-// offer offers a and returns the answer.
-func (r *rig) offer(a *model.Attempt) answer {
+// offer offers a and returns the result.
+func (r *rig) offer(a *model.Attempt) offerResult {
 	v, refusal := r.o.Offer(r.now, a, false)
-	return answer{v, refusal}
+	return offerResult{v, refusal}
 }
 
 func (r *rig) finish(a *model.Attempt, f Completion) []Decision {
-	return r.keep(r.o.Finish(r.now, a.ID, f))
+	return r.collect(r.o.Finish(r.now, a.ID, f))
 }
 
-func (r *rig) settle(a *model.Attempt, remaining time.Duration) model.AttemptState {
+func (r *rig) resolve(a *model.Attempt, remaining time.Duration) model.AttemptState {
 	reply, ds := r.o.Resolve(r.now, wire.Resolve{
 		Attempt: a.ID, OwnerIncarnation: a.OwnerIncarnation, Request: a.Request, Remaining: remaining,
 	})
-	r.keep(ds)
+	r.collect(ds)
 	return reply.State
 }
 
-// answer is the result of an offer.
-type answer struct {
-	Verdict DecisionKind
+// offerResult is the result of an offer.
+type offerResult struct {
+	Kind    DecisionKind
 	Refusal model.Refusal
 }
 
-var started = answer{Verdict: Start}
-var waits = answer{Verdict: Queue}
+var started = offerResult{Kind: Start}
+var enqueued = offerResult{Kind: Queue}
 
-// refused is a refusal without its advice.
-func refused(reason model.Reason, notRun bool) answer {
-	return answer{Refuse, model.Refusal{Reason: reason, NotRun: notRun}}
+// refused is a refusal without Retry-After.
+func refused(reason model.Reason, notRun bool) offerResult {
+	return offerResult{Refuse, model.Refusal{Reason: reason, NotRun: notRun}}
 }
 
-// want compares a with an expected answer, without the advice to come back.
-func (r *rig) want(got, want answer) {
+// want compares an offer's result with the expected one, without Retry-After.
+func (r *rig) want(got, want offerResult) {
 	r.t.Helper()
 	got.Refusal.RetryAfter = 0
 	if d := cmp.Diff(want, got); d != "" {
-		r.t.Fatalf("answer (-want +got):\n%s", d)
+		r.t.Fatalf("offer result (-want +got):\n%s", d)
 	}
 }
 
-// wantDecisions compares decisions, without the advice to come back.
+// wantDecisions compares decisions, without Retry-After.
 func (r *rig) wantDecisions(got []Decision, want ...Decision) {
 	r.t.Helper()
 	var plain []Decision
@@ -146,7 +146,7 @@
 	}
 }
 
-// fill starts attempts until the slots are taken.
+// fill starts n attempts.
 func (r *rig) fill(n int) []*model.Attempt {
 	r.t.Helper()
 	var out []*model.Attempt
@@ -158,8 +158,8 @@
 	return out
 }
 
-func startOf(a *model.Attempt) Decision { return Decision{Attempt: a.ID, Kind: Start} }
+func startDecision(a *model.Attempt) Decision { return Decision{Attempt: a.ID, Kind: Start} }
 
-func refusalOf(a *model.Attempt, reason model.Reason) Decision {
+func refuseDecision(a *model.Attempt, reason model.Reason) Decision {
 	return Decision{Attempt: a.ID, Kind: Refuse, Refusal: model.Refusal{Reason: reason, NotRun: true}}
 }
--- a/internal/owner/keys.go
+++ b/internal/owner/keys.go
@@ -7,35 +7,34 @@
 	"gypsumstand/internal/wire"
 )
 
-// Bounds of the memory of request ids.
+// Bounds of the request id table.
 const (
-	// maxKeys bounds the remembered request ids. At the bound, new attempts with
-	// a caller's key are refused: a live record is never forgotten for them.
-	// 2184 new ids a second fill it at the default memory of 120 s.
+	// maxKeys bounds the remembered request ids. At the bound, new attempts with a
+	// caller's key are refused; a live record is never evicted for them. At the default
+	// memory of 120 s, 2184 new ids a second fill the table.
 	maxKeys = 1 << 18
-	// maxKeyBytes bounds the length of a request id that is registered.
+	// maxKeyBytes bounds the length of a registered request id.
 	maxKeyBytes = 512
-	// defaultKeyMemory holds until a bundle is known.
+	// defaultKeyMemory applies until the first bundle arrives.
 	defaultKeyMemory = 2 * time.Minute
 )
 
-// When a request id is delegated in place of being queued at its home: the
-// predicted wait is over delegateWait, or over the remaining time divided by
-// delegateShare.
+// A home delegates a request instead of queueing it when the predicted wait is over
+// delegateWait, or over the remaining time divided by delegateShare.
 const (
 	delegateWait  = 100 * time.Millisecond
 	delegateShare = 4
 )
 
-// keyState is the state of a caller's own request id at its home.
+// keyState is the state of a caller's request id at its home.
 type keyState uint8
 
 const (
 	// keyRunning: queued or at the worker here.
 	keyRunning keyState = iota
-	// keyDelegated: an entry was sent elsewhere with it.
+	// keyDelegated: an entry was allowed to place the request elsewhere.
 	keyDelegated
-	// keyDone: run here, or known to have been run elsewhere.
+	// keyDone: run here, or known to have run elsewhere.
 	keyDone
 )
 
@@ -43,142 +42,143 @@
 	state keyState
 	// attempt is the one that holds the id.
 	attempt model.AttemptID
-	// until is when the record lapses; not used while running.
+	// until is when the record expires; unused while running.
 	until time.Duration
-	// regions are those of the request, which name its next homes.
+	// regions are those of the request; they determine its next homes.
 	regions model.Regions
 }
 
-// keyTable remembers the callers' own ids of non-idempotent requests whose home
-// is this owner. Ids lapse the bundle's key memory after their end.
+// keyTable remembers the callers' ids of non-idempotent requests whose home is this
+// owner. An id expires after the bundle's key memory, counted from the end of its
+// request.
 type keyTable struct {
 	// max bounds the remembered ids.
 	max    int
 	memory time.Duration
 	byID   map[model.RequestID]keyRecord
-	// lapses has an entry for every change to done or delegated; entries whose
-	// time is not the record's are out of date.
-	lapses expiryHeap[model.RequestID]
+	// expiries has an element for every change to done or delegated. An element whose
+	// time differs from that of the record is stale.
+	expiries expiryHeap[model.RequestID]
 }
 
 func newKeyTable() keyTable {
 	return keyTable{max: maxKeys, memory: defaultKeyMemory, byID: map[model.RequestID]keyRecord{}}
 }
 
-// refuseKey refuses an attempt whose request id is taken, or for which there is
-// no room. A taken id's request is running or has run, so "not run" is not
-// claimed, and the attempt is remembered as proving nothing.
-func (o *Owner) refuseKey(t time.Duration, it *item) model.Refusal {
-	if !it.keyed {
+// refuseKey refuses an attempt whose request id is taken, or for which the table has no
+// room. When the id is taken, its request is running or has run, so the refusal does not
+// claim "not run" and the attempt is recorded as proving nothing.
+func (o *Owner) refuseKey(t time.Duration, p *pendingAttempt) model.Refusal {
+	if !p.keyed {
 		return model.Refusal{}
 	}
-	rec, taken := o.keys.byID[it.request]
+	rec, taken := o.keys.byID[p.request]
 	if taken {
-		o.keys.renew(t, it.request, rec)
+		o.keys.renew(t, p.request, rec)
 	}
 	switch {
 	case taken && rec.state == keyDone:
-		o.attempts.end(t, it, attemptDuplicate)
+		o.attempts.record(t, p, attemptDuplicate)
 		return model.Refusal{Reason: model.ReasonDuplicateDone}
 	case taken:
-		o.attempts.end(t, it, attemptDuplicate)
+		o.attempts.record(t, p, attemptDuplicate)
 		return model.Refusal{Reason: model.ReasonDuplicateRunning}
 	case len(o.keys.byID) >= o.keys.max:
-		o.attempts.end(t, it, attemptBarred)
+		o.attempts.record(t, p, attemptFenced)
 		return model.Refusal{Reason: model.ReasonOverloaded, NotRun: true, RetryAfter: retryKeysFull}
 	}
 	return model.Refusal{}
 }
 
-// FinishDelegated takes the end of a request that this owner, as its home, delegated.
-// Only the entry that it was delegated to may end it: an outcome of "not run"
-// frees the id, an answer makes it done, unknown leaves it until it lapses.
+// FinishDelegated records the outcome of a request that this owner, as its home,
+// delegated. Only the entry to which it was delegated may report it: "not run" frees the
+// id, "answered" makes it done, and after "unknown" it stays until it expires.
 func (o *Owner) FinishDelegated(now time.Time, r wire.KeyResult) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.clock(now)
 	rec, ok := o.keys.byID[r.Request]
-	if !ok || rec.state != keyDelegated || !sameLineage(rec.attempt, r.Attempt) {
+	if !ok || rec.state != keyDelegated || !sameEntryRun(rec.attempt, r.Attempt) {
 		return
 	}
 	switch r.Outcome {
 	case model.OutcomeNotRun:
 		delete(o.keys.byID, r.Request)
 	case model.OutcomeAnswered:
-		o.keys.lapse(r.Request, keyRecord{state: keyDone, attempt: rec.attempt, until: t + o.keys.memory, regions: rec.regions})
+		o.keys.storeExpiring(r.Request, keyRecord{state: keyDone, attempt: rec.attempt, until: t + o.keys.memory, regions: rec.regions})
 	}
 }
 
-// sameLineage tells whether b is a or a later attempt of the same life of the
+// sameEntryRun reports whether b is a, or a later attempt of the same incarnation of the
 // same entry.
-func sameLineage(a, b model.AttemptID) bool {
+func sameEntryRun(a, b model.AttemptID) bool {
 	return a.Entry == b.Entry && a.Incarnation == b.Incarnation && a.Sequence <= b.Sequence
 }
 
-// run registers the id of an attempt that was admitted.
-func (k *keyTable) run(it *item) {
-	if it.keyed {
-		k.byID[it.request] = keyRecord{state: keyRunning, attempt: it.id, regions: it.regions}
+// setRunning registers the id of an admitted attempt.
+func (k *keyTable) setRunning(p *pendingAttempt) {
+	if p.keyed {
+		k.byID[p.request] = keyRecord{state: keyRunning, attempt: p.id, regions: p.regions}
 	}
 }
 
-// done remembers that the attempt's request has run.
-func (k *keyTable) done(t time.Duration, it *item) {
-	if it.keyed {
-		k.lapse(it.request, keyRecord{state: keyDone, attempt: it.id, until: t + k.memory, regions: it.regions})
+// setDone records that the attempt's request has run.
+func (k *keyTable) setDone(t time.Duration, p *pendingAttempt) {
+	if p.keyed {
+		k.storeExpiring(p.request, keyRecord{state: keyDone, attempt: p.id, until: t + k.memory, regions: p.regions})
 	}
 }
 
-// delegate remembers that the attempt's entry places the request elsewhere;
-// false when there is no room for the id.
-func (k *keyTable) delegate(t time.Duration, it *item) bool {
-	if _, taken := k.byID[it.request]; !taken && len(k.byID) >= k.max {
+// setDelegated records that the attempt's entry may place the request elsewhere; false
+// when the table has no room for the id.
+func (k *keyTable) setDelegated(t time.Duration, p *pendingAttempt) bool {
+	if _, taken := k.byID[p.request]; !taken && len(k.byID) >= k.max {
 		return false
 	}
-	k.lapse(it.request, keyRecord{state: keyDelegated, attempt: it.id, until: max(t, it.deadline) + k.memory, regions: it.regions})
+	k.storeExpiring(p.request, keyRecord{state: keyDelegated, attempt: p.id, until: max(t, p.deadline) + k.memory, regions: p.regions})
 	return true
 }
 
-// renew remembers an id that was sent again for another key memory: a caller that
-// keeps sending it must not see it forgotten.
+// renew extends the record of a resubmitted id by another key memory, so that an id is
+// remembered as long as its caller keeps submitting it.
 func (k *keyTable) renew(t time.Duration, id model.RequestID, rec keyRecord) {
 	if rec.state == keyRunning || rec.until >= t+k.memory {
 		return
 	}
 	rec.until = t + k.memory
-	k.lapse(id, rec)
+	k.storeExpiring(id, rec)
 }
 
-// free forgets the id of an attempt that did not run.
-func (k *keyTable) free(it *item) {
-	if it.keyed {
-		delete(k.byID, it.request)
+// remove deletes the id of an attempt that did not run.
+func (k *keyTable) remove(p *pendingAttempt) {
+	if p.keyed {
+		delete(k.byID, p.request)
 	}
 }
 
-// lapse stores a record that ends by itself.
-func (k *keyTable) lapse(id model.RequestID, rec keyRecord) {
+// storeExpiring stores a record that expires at rec.until.
+func (k *keyTable) storeExpiring(id model.RequestID, rec keyRecord) {
 	k.byID[id] = rec
-	k.lapses.push(rec.until, id)
-	if len(k.lapses) > 2*len(k.byID)+forgetStep {
-		k.rebuild()
+	k.expiries.push(rec.until, id)
+	if len(k.expiries) > 2*len(k.byID)+maxExpiredPerCall {
+		k.rebuildExpiries()
 	}
 }
 
-// rebuild drops the heap's entries that are out of date.
-func (k *keyTable) rebuild() {
-	k.lapses = k.lapses[:0]
+// rebuildExpiries removes stale elements from the heap.
+func (k *keyTable) rebuildExpiries() {
+	k.expiries = k.expiries[:0]
 	for id, rec := range k.byID {
 		if rec.state != keyRunning {
-			k.lapses.push(rec.until, id)
+			k.expiries.push(rec.until, id)
 		}
 	}
 }
 
-// forget drops lapsed records.
-func (k *keyTable) forget(t time.Duration) {
-	for n := 0; n < forgetStep && len(k.lapses) > 0 && k.lapses[0].until <= t; n++ {
-		first := k.lapses.pop()
+// expire removes expired records, at most maxExpiredPerCall.
+func (k *keyTable) expire(t time.Duration) {
+	for n := 0; n < maxExpiredPerCall && len(k.expiries) > 0 && k.expiries[0].until <= t; n++ {
+		first := k.expiries.pop()
 		if rec, ok := k.byID[first.key]; ok && rec.state != keyRunning && rec.until == first.until {
 			delete(k.byID, first.key)
 		}
--- a/internal/owner/keys_test.go
+++ b/internal/owner/keys_test.go
@@ -8,20 +8,20 @@
 	"gypsumstand/internal/wire"
 )
 
-func TestSecondSendingOfARequestID(t *testing.T) {
+func TestResubmittedRequestID(t *testing.T) {
 	r := newRig(t, testService())
 	first := r.keyed("k")
 	r.want(r.offer(first), started)
 	second := r.keyed("k")
 	r.want(r.offer(second), refused(model.ReasonDuplicateRunning, false))
-	if got := r.settle(second, time.Second); got != model.AttemptForgotten {
-		t.Errorf("the refused duplicate settled as %v, which an entry may take for a proof", got)
+	if got := r.resolve(second, time.Second); got != model.AttemptForgotten {
+		t.Errorf("the refused duplicate resolved as %v, which an entry takes for a proof of not run", got)
 	}
 	r.finish(first, Completion{Status: 200})
 	r.want(r.offer(r.keyed("k")), refused(model.ReasonDuplicateDone, false))
 	r.tick(59 * time.Second)
 	r.want(r.offer(r.keyed("k")), refused(model.ReasonDuplicateDone, false))
-	// Its memory counts from the last sending.
+	// The key memory counts from the last submission.
 	r.tick(59 * time.Second)
 	r.want(r.offer(r.keyed("k")), refused(model.ReasonDuplicateDone, false))
 	r.tick(61 * time.Second)
@@ -82,26 +82,26 @@
 	r.fill(2)
 	poor := r.keyed("k")
 	poor.Worth = 1
-	r.want(r.offer(poor), waits)
-	r.want(r.offer(r.attempt()), waits)
-	r.wantDecisions(r.tick(0), refusalOf(poor, model.ReasonDelegated))
+	r.want(r.offer(poor), enqueued)
+	r.want(r.offer(r.attempt()), enqueued)
+	r.wantDecisions(r.tick(0), refuseDecision(poor, model.ReasonDelegated))
 	r.want(r.offer(r.keyed("k")), refused(model.ReasonDuplicateRunning, false))
 }
 
-func TestKeyResult(t *testing.T) {
+func TestFinishDelegated(t *testing.T) {
 	tests := []struct {
 		name    string
 		outcome model.Outcome
 		change  func(id *model.AttemptID)
-		want    answer
+		want    offerResult
 	}{
-		{"not run frees", model.OutcomeNotRun, func(*model.AttemptID) {}, started},
-		{"not run of a later attempt frees", model.OutcomeNotRun, func(id *model.AttemptID) { id.Sequence += 5 }, started},
-		{"another entry's word counts not", model.OutcomeNotRun, func(id *model.AttemptID) { id.Entry = "e2" }, refused(model.ReasonDuplicateRunning, false)},
-		{"another life's word counts not", model.OutcomeNotRun, func(id *model.AttemptID) { id.Incarnation++ }, refused(model.ReasonDuplicateRunning, false)},
-		{"an older attempt's word counts not", model.OutcomeNotRun, func(id *model.AttemptID) { id.Sequence-- }, refused(model.ReasonDuplicateRunning, false)},
-		{"answered is done", model.OutcomeAnswered, func(*model.AttemptID) {}, refused(model.ReasonDuplicateDone, false)},
-		{"unknown stays", model.OutcomeUnknown, func(*model.AttemptID) {}, refused(model.ReasonDuplicateRunning, false)},
+		{"not run frees the id", model.OutcomeNotRun, func(*model.AttemptID) {}, started},
+		{"not run of a later attempt frees the id", model.OutcomeNotRun, func(id *model.AttemptID) { id.Sequence += 5 }, started},
+		{"another entry's result is ignored", model.OutcomeNotRun, func(id *model.AttemptID) { id.Entry = "e2" }, refused(model.ReasonDuplicateRunning, false)},
+		{"another incarnation's result is ignored", model.OutcomeNotRun, func(id *model.AttemptID) { id.Incarnation++ }, refused(model.ReasonDuplicateRunning, false)},
+		{"an older attempt's result is ignored", model.OutcomeNotRun, func(id *model.AttemptID) { id.Sequence-- }, refused(model.ReasonDuplicateRunning, false)},
+		{"answered makes the id done", model.OutcomeAnswered, func(*model.AttemptID) {}, refused(model.ReasonDuplicateDone, false)},
+		{"unknown keeps the id", model.OutcomeUnknown, func(*model.AttemptID) {}, refused(model.ReasonDuplicateRunning, false)},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestRefusalsForTheCallerDoNotRegister(t *testing.T) {
+func TestExpiredAttemptDoesNotRegisterItsID(t *testing.T) {
 	r := newRig(t, testService())
 	late := r.keyed("k")
 	late.Remaining = 0
@@ -152,7 +152,7 @@
 	r.want(r.offer(r.attempt()), started)
 }
 
-func TestALeavingHomeRegistersNothingAndHandsOver(t *testing.T) {
+func TestLeavingHomeRegistersNothingAndExportsKeys(t *testing.T) {
 	r := newRig(t, testService())
 	done, running := r.keyed("done"), r.keyed("running")
 	r.want(r.offer(done), started)
@@ -170,7 +170,7 @@
 	next.want(next.offer(next.keyed("new")), started)
 }
 
-func TestAnIDThatIsSentAgainAndAgainIsNotForgotten(t *testing.T) {
+func TestResubmittedIDIsNotForgotten(t *testing.T) {
 	r := newRig(t, testService())
 	first := r.keyed("k")
 	r.want(r.offer(first), started)
@@ -185,7 +185,7 @@
 	r.want(r.offer(r.keyed("k")), started)
 }
 
-func TestTheSameKeyOfTwoTenantsIsTwoRequests(t *testing.T) {
+func TestSameKeyOfTwoTenantsIsTwoRequests(t *testing.T) {
 	r := newRig(t, testService())
 	one, two, again := r.keyed("k"), r.keyed("k"), r.keyed("k")
 	one.Tenant, two.Tenant, again.Tenant = "one", "two", "one"
@@ -194,7 +194,7 @@
 	r.want(r.offer(again), refused(model.ReasonDuplicateRunning, false))
 }
 
-func TestTheOnlyUpstreamOfAServiceQueuesWhatItCannotDelegate(t *testing.T) {
+func TestSoleUpstreamQueuesKeyedRequests(t *testing.T) {
 	svc := testService()
 	r := newRig(t, svc)
 	r.o.Configure(r.now, testBundle(svc), svc, 1)
@@ -202,5 +202,5 @@
 		r.finish(a, Completion{Status: 200, ServiceTime: 600 * time.Millisecond})
 	}
 	r.fill(2)
-	r.want(r.offer(r.keyed("k")), answer{Verdict: Queue})
+	r.want(r.offer(r.keyed("k")), offerResult{Kind: Queue})
 }
--- a/internal/owner/handover.go
+++ b/internal/owner/keytransfer.go
@@ -7,9 +7,9 @@
 	"gypsumstand/internal/wire"
 )
 
-// ExportKeys returns what this owner remembers as the home of callers' request ids,
-// for their next homes, in the order of ids. It is called when the owner begins to
-// leave; from then on it registers no id.
+// ExportKeys returns the records that this owner holds as the home of callers' request
+// ids, sorted by id, for their next homes. It is called when the owner begins to leave,
+// after which it registers no more ids.
 func (o *Owner) ExportKeys(now time.Time) []wire.KeyRecord {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -32,22 +32,21 @@
 	return out
 }
 
-// ImportKeys remembers request ids of a home that leaves. What this owner knows
-// itself is not changed, and ids over the bound of its memory are dropped: it
-// returns how many.
+// ImportKeys stores the request ids of a home that leaves. Existing records are kept, and
+// ids beyond the bound of the table are dropped; it returns how many.
 func (o *Owner) ImportKeys(now time.Time, records []wire.KeyRecord) (dropped int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.clock(now)
 	for i := range records {
-		if !o.takeOver(t, &records[i]) {
+		if !o.importKey(t, &records[i]) {
 			dropped++
 		}
 	}
 	return dropped
 }
 
-func (o *Owner) takeOver(t time.Duration, r *wire.KeyRecord) bool {
+func (o *Owner) importKey(t time.Duration, r *wire.KeyRecord) bool {
 	if len(r.Request) > maxKeyBytes || r.Remaining <= 0 {
 		return false
 	}
@@ -62,6 +61,6 @@
 		state = keyDone
 	}
 	until := t + min(r.Remaining, maxRemaining)
-	o.keys.lapse(r.Request, keyRecord{state: state, attempt: r.Attempt, until: until, regions: r.Regions})
+	o.keys.storeExpiring(r.Request, keyRecord{state: state, attempt: r.Attempt, until: until, regions: r.Regions})
 	return true
 }
--- a/internal/owner/limit.go
+++ b/internal/owner/limit.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Slow start and adaptation.
+// Parameters of the slow start and the adaptive limit.
 const (
-	// warmStart is the share of the slots that a worker gets at the start of its
-	// warm-up.
-	warmStart = 0.1
-	// cutShed and cutTimeout are the factors of the adaptive limit after the
-	// worker refused for load or could not be reached, and after a time-out.
-	cutShed    = 0.7
-	cutTimeout = 0.9
-	// timeoutMargin is how many times the expected service time a time-out must
-	// have lasted to speak against the worker, as service times vary and attempts
-	// that waited long have little time left.
+	// slowStartShare is the share of the slots that a worker gets when its slow start
+	// begins.
+	slowStartShare = 0.1
+	// shedFactor multiplies the adaptive limit after the worker refused for load or could
+	// not be reached, timeoutFactor after a time-out.
+	shedFactor    = 0.7
+	timeoutFactor = 0.9
+	// timeoutMargin is how many times the expected service time a time-out must have
+	// lasted to count against the worker: service times vary, and attempts that waited
+	// long have little time left.
 	timeoutMargin = 3
 )
 
-// signal is what one finished attempt says about the worker's capacity.
+// signal is what one finished attempt shows about the worker's capacity.
 type signal uint8
 
 const (
-	// signalNone: says nothing, such as a server error.
+	// signalNone shows nothing, for example a server error.
 	signalNone signal = iota
 	// signalServed: answered.
 	signalServed
 	// signalShed: refused for load, or not reachable.
 	signalShed
-	// signalTimeout: no whole answer in time.
+	// signalTimeout: no complete answer in time.
 	signalTimeout
 )
 
@@ -38,24 +38,24 @@
 	startedAt time.Duration
 	endedAt   time.Duration
 	service   time.Duration
-	// expected is the service time of its class.
+	// expected is the expected service time of the attempt's class.
 	expected time.Duration
 }
 
-// adaptation lowers the limit below the slots by what the worker shows.
+// adaptation lowers the limit below the slots according to the ends of attempts.
 type adaptation interface {
-	// observe takes a finished attempt.
+	// observe records a finished attempt.
 	observe(s sample, slots int)
 	// ceiling returns the limit, at most slots.
 	ceiling(slots int) float64
 }
 
-// limiter says how many attempts may be at the worker.
+// limiter determines how many attempts may be at the worker.
 type limiter struct {
-	slots    int
-	warmup   time.Duration
-	warmedAt time.Duration
-	adapt    adaptation
+	slots       int
+	warmup      time.Duration
+	warmupStart time.Duration
+	adapt       adaptation
 }
 
 func newLimiter() limiter { return limiter{adapt: newAdaptation()} }
@@ -67,63 +67,65 @@
 	l.warmup = warmup
 }
 
-// warm begins the slow start at time t.
-func (l *limiter) warm(t time.Duration) { l.warmedAt = t }
+// startWarmup begins the slow start at time t.
+func (l *limiter) startWarmup(t time.Duration) { l.warmupStart = t }
 
 // effective returns the limit at time t, from 1 to the slots.
 func (l *limiter) effective(t time.Duration) int {
-	n := min(l.warmLimit(t), l.adapt.ceiling(l.slots))
+	n := min(l.slowStartLimit(t), l.adapt.ceiling(l.slots))
 	return min(max(int(n), 1), l.slots)
 }
 
-// warmLimit ramps from warmStart of the slots to all of them over the warm-up.
-func (l *limiter) warmLimit(t time.Duration) float64 {
-	since := t - l.warmedAt
+// slowStartLimit grows linearly from slowStartShare of the slots to all of them over the
+// warm-up.
+func (l *limiter) slowStartLimit(t time.Duration) float64 {
+	since := t - l.warmupStart
 	if since >= l.warmup {
 		return float64(l.slots)
 	}
 	part := float64(since) / float64(l.warmup)
-	return float64(l.slots) * (warmStart + (1-warmStart)*part)
+	return float64(l.slots) * (slowStartShare + (1-slowStartShare)*part)
 }
 
-// aimd is additive increase, multiplicative decrease on the worker's refusals
-// and time-outs. A slower worker alone does not lower it: its slots are real.
+// aimd is additive increase, multiplicative decrease on the worker's refusals and
+// time-outs. Longer service times alone do not lower the limit, since the worker's slots
+// are real.
 type aimd struct {
-	// margin is how many times the expected service time an attempt must have
-	// taken for its time-out to count; 0 means that time-outs do not count.
+	// margin is how many times the expected service time an attempt must have taken for
+	// its time-out to count; 0 means that time-outs do not count.
 	margin time.Duration
-	// given is how far the ceiling is below the slots, so that a change of the
-	// slots needs no care.
-	given   float64
-	lastCut time.Duration
+	// reduction is how far the ceiling is below the slots; it stays valid when the slots
+	// change.
+	reduction    float64
+	lastDecrease time.Duration
 }
 
-func (a *aimd) ceiling(slots int) float64 { return max(1, float64(slots)-a.given) }
+func (a *aimd) ceiling(slots int) float64 { return max(1, float64(slots)-a.reduction) }
 
 func (a *aimd) observe(s sample, slots int) {
 	switch s.signal {
 	case signalShed:
-		a.cut(s, slots, cutShed)
+		a.decrease(s, slots, shedFactor)
 	case signalTimeout:
 		if a.margin > 0 && s.service >= a.margin*s.expected {
-			a.cut(s, slots, cutTimeout)
+			a.decrease(s, slots, timeoutFactor)
 		}
 	case signalServed:
-		a.raise(slots)
+		a.increase(slots)
 	}
 }
 
-// cut lowers the ceiling, once for all attempts that were at the worker at the
-// time of the last cut.
-func (a *aimd) cut(s sample, slots int, factor float64) {
-	if s.startedAt < a.lastCut {
+// decrease lowers the ceiling, once for all attempts that were at the worker at the time
+// of the last decrease.
+func (a *aimd) decrease(s sample, slots int, factor float64) {
+	if s.startedAt < a.lastDecrease {
 		return
 	}
-	a.lastCut = s.endedAt
-	a.given = float64(slots) - max(1, a.ceiling(slots)*factor)
+	a.lastDecrease = s.endedAt
+	a.reduction = float64(slots) - max(1, a.ceiling(slots)*factor)
 }
 
-// raise adds one slot per round of answers, whether or not the limit was used
-// up: it cannot grow over the slots, and a limit that binds in another place (a
-// bound of a tenant) has to recover as well.
-func (a *aimd) raise(slots int) { a.given = max(0, a.given-1/a.ceiling(slots)) }
+// increase adds one slot per round of answers, whether or not the limit was used up. The
+// limit cannot exceed the slots, and it also has to recover while another limit binds,
+// such as that of a tenant.
+func (a *aimd) increase(slots int) { a.reduction = max(0, a.reduction-1/a.ceiling(slots)) }
--- a/internal/owner/limit_test.go
+++ b/internal/owner/limit_test.go
@@ -13,8 +13,8 @@
 func (fixedLimit) observe(sample, int)       {}
 func (fixedLimit) ceiling(slots int) float64 { return float64(slots) }
 
-// gradient lowers the limit by the ratio of the long-term to the present service
-// time and leaves a head-room of its square root, as latency-based limits do.
+// gradient lowers the limit by the ratio of the long-term to the present service time and
+// leaves a headroom of its square root, as latency-based limits do.
 type gradient struct {
 	limit       float64
 	long, short float64
@@ -24,7 +24,7 @@
 	if s.signal != signalServed || s.expected == 0 {
 		return
 	}
-	// Relative to its class, so that the mix of classes does not count.
+	// The sample is the plain service time, not a ratio to that of its class.
 	d := float64(s.service)
 	if g.limit == 0 {
 		g.limit, g.long, g.short = float64(slots), d, d
@@ -43,7 +43,7 @@
 	return min(g.limit, float64(slots))
 }
 
-// middleThird lengthens services that start in the middle third of a run.
+// middleThird lengthens service times that start in the middle third of a run.
 func middleThird(length time.Duration, factor float64) func(time.Duration, int) float64 {
 	return func(at time.Duration, _ int) float64 {
 		if at > length/3 && at < 2*length/3 {
@@ -53,16 +53,16 @@
 	}
 }
 
-// contended lengthens services beyond ten in flight.
+// contended lengthens service times beyond ten in flight.
 func contended(_ time.Duration, n int) float64 { return math.Pow(max(1, float64(n)/10), 2) }
 
-// limitInUse names the adaptation that New sets.
-const limitInUse = "AIMD, time-outs over 3x"
+// currentLimit is the name of the adaptation that New sets.
+const currentLimit = "AIMD, time-outs over 3x"
 
-// TestLimitsCompared measures the adaptive limit beside its alternatives: run
-// with -v for the whole table. It fails when the limit in use answers clearly
-// less worth than none on a worker whose slots are real, or no more than none on
-// one that refuses or is hindered by concurrency.
+// TestLimitsCompared compares the adaptive limit with its alternatives; -full -v logs the
+// whole table. It fails when the limit in use answers clearly less worth than a fixed
+// limit on a worker whose slots are real, or no more on one that refuses or is hindered
+// by concurrency.
 func TestLimitsCompared(t *testing.T) {
 	length := 2 * time.Second
 	if *full {
@@ -75,14 +75,14 @@
 		{"fixed", func() adaptation { return fixedLimit{} }},
 		{"AIMD, refusals only", func() adaptation { return &aimd{} }},
 		{"AIMD, time-outs over 2x", func() adaptation { return &aimd{margin: 2} }},
-		{limitInUse, func() adaptation { return newLimiter().adapt }},
+		{currentLimit, func() adaptation { return newLimiter().adapt }},
 		{"gradient", func() adaptation { return &gradient{} }},
 	}
 	workers := []struct {
 		name   string
 		worker worker
 		level  float64
-		// gain is the least gain of worth over no adaptation.
+		// gain is the least gain of worth over a fixed limit.
 		gain float64
 	}{
 		{"healthy, load 0.85", worker{}, 0.85, -0.01},
@@ -98,20 +98,20 @@
 	for _, w := range workers {
 		worth := map[string]float64{}
 		for _, a := range adaptations {
-			if !*full && a.name != limitInUse && a.name != "fixed" {
+			if !*full && a.name != currentLimit && a.name != "fixed" {
 				continue
 			}
 			sc := scenario{loads: mixed, slots: 20, level: w.level, length: length, worker: w.worker}
 			sc.prepare = func(o *Owner) { o.limit.adapt = a.make() }
 			worth[a.name] = compare(t, fmt.Sprintf("%s, %s", w.name, a.name), sc, 3)
 		}
-		if gain := worth[limitInUse] - worth["fixed"]; gain < w.gain {
+		if gain := worth[currentLimit] - worth["fixed"]; gain < w.gain {
 			t.Errorf("%s: gains %.4f over a fixed limit, want at least %.4f", w.name, gain, w.gain)
 		}
 	}
 }
 
-func TestWhatTheEntryGivesUpSaysNothingOfTheWorker(t *testing.T) {
+func TestAbandonedAttemptsAreNotCounted(t *testing.T) {
 	r := newRig(t, testService())
 	for range 50 {
 		a := r.fill(1)[0]
@@ -122,17 +122,17 @@
 	}
 }
 
-// Load: workers of a service refuse half of their requests for 8 s although they have
-// room (8302 requests were refused by owners that had cut their
-// limit, 821 by workers).
-func TestAWorkerThatRefusesWithRoomIsNotGivenLess(t *testing.T) {
+// Guards against a limit that is cut by refusals of a worker that has room. When the
+// workers of a service refuse half of their requests for 8 s although they have room,
+// owners that cut their limit refuse 8302 requests, the workers 821.
+func TestSpuriousRefusalsDoNotLowerTheLimit(t *testing.T) {
 	svc := testService()
 	svc.Slots, svc.Connections = 12, 20
 	r := newRig(t, svc)
 	for range 30 {
 		a := r.attempt()
 		r.want(r.offer(a), started)
-		r.pass(time.Millisecond)
+		r.advance(time.Millisecond)
 		r.finish(a, Completion{NotRun: true, SpuriousRefusal: true, Status: 503})
 	}
 	report := r.o.Report(r.now)
--- a/internal/owner/offer.go
+++ b/internal/owner/offer.go
@@ -7,18 +7,18 @@
 	"gypsumstand/internal/model"
 )
 
-// Bounds of an attempt's fields; what exceeds them is malformed.
+// Bounds of an attempt's fields; larger values are malformed.
 const (
 	// maxRemaining caps an attempt's remaining time, so that sums cannot overflow.
 	maxRemaining = time.Hour
-	// maxFuture is how far ahead of the owner's clock a stamp may be for its
-	// refusal to be remembered; see refuseFuture.
+	// maxFuture is how far a stamp may be in the future for its attempt to be fenced; see
+	// refuseFuture.
 	maxFuture = time.Minute
 	// maxWorth caps an attempt's worth.
 	maxWorth = 1e12
 )
 
-// Advice of refusals to come back.
+// Retry-After times of refusals.
 const (
 	retryNotReady = time.Second
 	retryPaused   = 50 * time.Millisecond
@@ -28,21 +28,21 @@
 	retryMax      = time.Second
 )
 
-// Offer decides on an arriving attempt. sameNode tells that it comes from this
-// node's own entry, so that its age is zero.
+// Offer starts, queues or refuses an arriving attempt. sameNode means that it comes from
+// this node's own entry, so its age is zero.
 //
-// A refusal with NotRun holds for ever: either the cause of the refusal is
-// itself permanent (incarnation, expiry, leaving), or the attempt id is barred
-// for as long as a copy of the message could still be in time.
+// A refusal with NotRun holds forever: either its cause is permanent (incarnation,
+// expiry, leaving), or the attempt id is fenced for as long as a copy of the message
+// could still be in time.
 //
-// An attempt may displace another that waits; the decision on that one comes with
-// the next call that returns decisions, at the latest with Tick.
+// An attempt may displace another from the queue. The decision on that one is returned by
+// the next call that returns decisions, at the latest by Tick.
 func (o *Owner) Offer(now time.Time, a *model.Attempt, sameNode bool) (DecisionKind, model.Refusal) {
 	return o.OfferSuspect(now, a, sameNode, Restrictions{})
 }
 
-// OfferSuspect is Offer for an attempt of a request that may end workers.
-func (o *Owner) OfferSuspect(now time.Time, a *model.Attempt, sameNode bool, c Restrictions) (DecisionKind, model.Refusal) {
+// OfferSuspect is Offer for an attempt of a suspect request, which may crash workers.
+func (o *Owner) OfferSuspect(now time.Time, a *model.Attempt, sameNode bool, restrictions Restrictions) (DecisionKind, model.Refusal) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.clock(now)
@@ -55,68 +55,68 @@
 	if r := o.refuseStale(t, a, sameNode); r.Reason != model.ReasonNone {
 		return Refuse, r
 	}
-	it := o.newItem(t, a)
-	it.stamp = stampOf(t, a, sameNode)
-	it.alone = c.alone()
-	if r := o.refuseKey(t, it); r.Reason != model.ReasonNone {
+	p := o.newPending(t, a)
+	p.stamp = stampOf(t, a, sameNode)
+	p.exclusive = restrictions.runsExclusively()
+	if r := o.refuseKey(t, p); r.Reason != model.ReasonNone {
 		return Refuse, r
 	}
-	if c.Refusal.Reason != model.ReasonNone {
-		return Refuse, o.refuseNew(t, it, c.Refusal)
+	if restrictions.Refusal.Reason != model.ReasonNone {
+		return Refuse, o.refuseOffered(t, p, restrictions.Refusal)
 	}
 	if r := o.refuseState(t, a); r.Reason != model.ReasonNone {
-		return Refuse, o.refuseNew(t, it, c.untilBack(r))
+		return Refuse, o.refuseOffered(t, p, restrictions.untilRecovery(r))
 	}
-	if r := o.refuseBreaking(t, a); r.Reason != model.ReasonNone {
-		return Refuse, o.refuseNew(t, it, r)
+	if r := o.refuseByBreaker(t, a); r.Reason != model.ReasonNone {
+		return Refuse, o.refuseOffered(t, p, r)
 	}
-	if wait := o.tenants.wait(now, it.tenant); wait > 0 {
+	if wait := o.tenants.wait(now, p.tenant); wait > 0 {
 		wait = min(max(wait, retryMin), retryTenant)
 		r := model.Refusal{Reason: model.ReasonTenantLimit, NotRun: true, RetryAfter: wait}
-		return Refuse, o.refuseNew(t, it, r)
+		return Refuse, o.refuseOffered(t, p, r)
 	}
-	v, r := o.place(t, now, it)
-	o.noteOffer(v)
+	v, r := o.startOrQueue(t, now, p)
+	o.recordOffer(v)
 	return v, r
 }
 
-// refuseUnbound refuses what no owner of this incarnation would ever take, so
-// that nothing need be remembered. An attempt bound to another incarnation is
-// told "not run": each attempt is sent once (package server's transport does not
-// replay), so what arrives here has not reached the other incarnation.
+// refuseUnbound refuses what no owner of this incarnation would ever accept, so that no
+// record is needed. An attempt bound to another incarnation is refused as "not run": each
+// attempt is sent once (package server's transport does not replay), so an attempt that
+// arrives here has not reached the other incarnation.
 func (o *Owner) refuseUnbound(a *model.Attempt, sameNode bool) model.Refusal {
 	switch {
 	case a.ID.IsZero() || a.OwnerClock < 0:
-		return notRun(model.ReasonBadRequest)
-	case o.keyedHere(a) && len(a.Request) > maxKeyBytes:
-		return notRun(model.ReasonBadRequest)
+		return notRunRefusal(model.ReasonBadRequest)
+	case o.registersKey(a) && len(a.Request) > maxKeyBytes:
+		return notRunRefusal(model.ReasonBadRequest)
 	case a.Service != "" && a.Service != o.cfg.Self.Service:
-		return notRun(model.ReasonLeaving)
+		return notRunRefusal(model.ReasonLeaving)
 	case a.Owner != "" && a.Owner != o.cfg.Self.ID:
-		return notRun(model.ReasonIncarnation)
+		return notRunRefusal(model.ReasonIncarnation)
 	case !a.Regions.Allows(o.cfg.Region):
-		return notRun(model.ReasonRegion)
+		return notRunRefusal(model.ReasonRegion)
 	case a.OwnerIncarnation == o.cfg.Self.Incarnation && a.OwnerIncarnation != 0:
 		return model.Refusal{}
 	case a.OwnerIncarnation != 0:
-		return notRun(model.ReasonIncarnation)
+		return notRunRefusal(model.ReasonIncarnation)
 	case !a.Idempotent && !sameNode:
-		return notRun(model.ReasonIncarnation)
+		return notRunRefusal(model.ReasonIncarnation)
 	}
 	return model.Refusal{}
 }
 
-// refuseKnown refuses an attempt id that was offered or settled before.
+// refuseKnown refuses an attempt id that was already offered or resolved.
 func (o *Owner) refuseKnown(t time.Duration, a *model.Attempt, sameNode bool) model.Refusal {
-	if o.live[a.ID] != nil {
+	if o.pending[a.ID] != nil {
 		return model.Refusal{Reason: model.ReasonDuplicateRunning}
 	}
 	rec, known := o.attempts.find(a.ID, stampOf(t, a, sameNode))
 	switch {
 	case !known:
 		return model.Refusal{Reason: model.ReasonStale}
-	case rec == attemptBarred:
-		return notRun(model.ReasonFenced)
+	case rec == attemptFenced:
+		return notRunRefusal(model.ReasonFenced)
 	case rec == attemptDone:
 		return model.Refusal{Reason: model.ReasonDuplicateDone}
 	case rec == attemptDuplicate:
@@ -125,18 +125,18 @@
 	return model.Refusal{}
 }
 
-// refuseStale refuses an attempt whose age cannot be bounded by its remaining
-// time. The age bound only grows, so an expired attempt stays refused without a
+// refuseStale refuses an attempt whose remaining time may be used up, by the upper bound
+// of its age. That bound only grows, so an expired attempt stays refused without a
 // record.
 func (o *Owner) refuseStale(t time.Duration, a *model.Attempt, sameNode bool) model.Refusal {
 	remaining := min(a.Remaining, maxRemaining)
 	if a.OwnerClock == 0 {
 		switch {
 		case !a.Idempotent && !sameNode:
-			return notRun(model.ReasonStale)
+			return notRunRefusal(model.ReasonStale)
 		case remaining <= 0:
-			return notRun(model.ReasonExpired)
-		case t < o.attempts.unstampedUntil:
+			return notRunRefusal(model.ReasonExpired)
+		case t < o.attempts.refuseUnstampedUntil:
 			return model.Refusal{Reason: model.ReasonStale}
 		}
 		return model.Refusal{}
@@ -146,114 +146,117 @@
 	}
 	switch {
 	case remaining <= 0:
-		return notRun(model.ReasonExpired)
-	case a.OwnerClock <= o.attempts.floor:
-		return notRun(model.ReasonStale)
+		return notRunRefusal(model.ReasonExpired)
+	case a.OwnerClock <= o.attempts.stampFloor:
+		return notRunRefusal(model.ReasonStale)
 	case t-a.OwnerClock >= remaining:
-		return notRun(model.ReasonStale)
+		return notRunRefusal(model.ReasonStale)
 	}
 	return model.Refusal{}
 }
 
-// refuseFuture refuses a stamp ahead of the owner's clock, which no correct
-// entry sends. A copy could become valid once the clock has passed the stamp, so
-// the attempt is barred until then and past its remaining time; a stamp too far
-// ahead to remember is refused without the claim "not run".
+// refuseFuture refuses a stamp in the future of the owner's clock, which no correct entry
+// sends. A copy could become valid once the clock has passed the stamp, so the attempt is
+// fenced until then and past its remaining time. A stamp too far in the future to
+// remember is refused without the claim "not run".
 func (o *Owner) refuseFuture(t time.Duration, a *model.Attempt, remaining time.Duration) model.Refusal {
 	if a.OwnerClock-t > maxFuture {
 		return model.Refusal{Reason: model.ReasonBadRequest}
 	}
-	o.attempts.bar(a.OwnerClock, a.ID, a.OwnerClock+max(remaining, 0)+barSlack)
-	return notRun(model.ReasonBadRequest)
+	o.attempts.fence(a.OwnerClock, a.ID, a.OwnerClock+max(remaining, 0)+fenceSlack)
+	return notRunRefusal(model.ReasonBadRequest)
 }
 
-// refuseState refuses what the life stage or a recent pause forbids.
+// refuseState refuses what the worker's state or a recent pause forbids.
 func (o *Owner) refuseState(t time.Duration, a *model.Attempt) model.Refusal {
 	switch {
 	case o.leaving():
-		return notRun(model.ReasonLeaving)
-	case o.evacuated.holds:
+		return notRunRefusal(model.ReasonLeaving)
+	case o.evacuated.active:
 		return refuseEvacuated()
-	case o.state == model.StateCold || !o.configured || o.unlisted.holds:
+	case o.state == model.StateCold || !o.configured || o.unlisted.active:
 		return model.Refusal{Reason: model.ReasonNotReady, NotRun: true, RetryAfter: retryNotReady}
-	case o.pause.doubted(t) || a.OwnerClock == 0 && o.pause.recent(t):
+	case o.pause.blocked(t) || a.OwnerClock == 0 && o.pause.recent(t):
 		return model.Refusal{Reason: model.ReasonPaused, NotRun: true, RetryAfter: retryPaused}
 	}
 	return model.Refusal{}
 }
 
-// place starts, queues or refuses an attempt that nothing else forbids.
-func (o *Owner) place(t time.Duration, now time.Time, it *item) (DecisionKind, model.Refusal) {
-	if it.mayMove && (o.movesOn(t, it) || o.mustWait(it)) {
-		return Refuse, o.refuseNew(t, it, o.busy(t, it))
-	}
-	if o.free(t) > 0 {
-		o.queue.push(it)
-		if o.choose(o, t) == it {
-			o.admit(now, it)
-			o.start(t, it)
+// startOrQueue starts, queues or refuses an attempt that passed all other checks.
+func (o *Owner) startOrQueue(t time.Duration, now time.Time, p *pendingAttempt) (DecisionKind, model.Refusal) {
+	if p.mayMove && (o.shouldMove(t, p) || o.waitsForExclusive(p)) {
+		return Refuse, o.refuseOffered(t, p, o.refuseBusy(t, p))
+	}
+	if o.freeSlots(t) > 0 {
+		o.queue.push(p)
+		if o.choose(o, t) == p {
+			o.admit(now, p)
+			o.start(t, p)
 			return Start, model.Refusal{}
 		}
-		o.queue.remove(it)
+		o.queue.remove(p)
 	}
-	if it.mayMove {
-		return Refuse, o.refuseNew(t, it, o.busy(t, it))
+	if p.mayMove {
+		return Refuse, o.refuseOffered(t, p, o.refuseBusy(t, p))
 	}
-	if r := o.refuseLate(t, it); r.Reason != model.ReasonNone {
-		return Refuse, o.refuseNew(t, it, r)
+	if r := o.refusePredictedLate(t, p); r.Reason != model.ReasonNone {
+		return Refuse, o.refuseOffered(t, p, r)
 	}
-	if o.queue.length >= o.queueLimit && !o.displace(t, it) {
-		r := model.Refusal{Reason: model.ReasonQueueFull, NotRun: true, RetryAfter: o.retryAfter(t, o.wait(t, it))}
-		return Refuse, o.refuseNew(t, it, r)
+	if o.queue.length >= o.queueLimit && !o.displace(t, p) {
+		r := model.Refusal{Reason: model.ReasonQueueFull, NotRun: true, RetryAfter: o.overloadRetryAfter(t, o.predictWait(t, p))}
+		return Refuse, o.refuseOffered(t, p, r)
 	}
-	o.admit(now, it)
-	o.queue.push(it)
+	o.admit(now, p)
+	o.queue.push(p)
 	return Queue, model.Refusal{}
 }
 
-// refuseLate refuses what could not be answered in its remaining time, or gives way to
-// others, and a caller's own request id that would wait here although it may run
-// elsewhere.
-func (o *Owner) refuseLate(t time.Duration, it *item) model.Refusal {
-	wait, ahead := o.foresee(t, it)
-	it.predicted = wait
-	left := it.deadline - t
-	if ahead > 0 && it.givesWay(t, wait) {
-		return model.Refusal{Reason: model.ReasonOverloaded, NotRun: true, RetryAfter: o.retryAfter(t, wait)}
-	}
-	if late := wait + it.class.expected() - left; late > 0 {
-		return model.Refusal{Reason: model.ReasonOverloaded, NotRun: true, RetryAfter: o.retryAfter(t, late)}
-	}
-	if it.keyed && !o.alone && (wait > min(delegateWait, left/delegateShare) || o.speed.failing(t)) {
-		return model.Refusal{Reason: model.ReasonDelegated, NotRun: true, RetryAfter: o.advice(wait)}
+// refusePredictedLate refuses an attempt that is not expected to be answered in its
+// remaining time, or within its objective while others wait before it. It delegates a
+// caller's own request id that would wait too long here although it may run elsewhere.
+func (o *Owner) refusePredictedLate(t time.Duration, p *pendingAttempt) model.Refusal {
+	wait, before := o.predict(t, p)
+	p.predicted = wait
+	left := p.deadline - t
+	if before > 0 && p.missesObjectiveAfter(t, wait) {
+		return model.Refusal{Reason: model.ReasonOverloaded, NotRun: true, RetryAfter: o.overloadRetryAfter(t, wait)}
+	}
+	if late := wait + p.class.expected() - left; late > 0 {
+		return model.Refusal{Reason: model.ReasonOverloaded, NotRun: true, RetryAfter: o.overloadRetryAfter(t, late)}
+	}
+	if p.keyed && !o.soleUpstream && (wait > min(delegateWait, left/delegateShare) || o.service.failing(t)) {
+		return model.Refusal{Reason: model.ReasonDelegated, NotRun: true, RetryAfter: o.clampRetryAfter(wait)}
 	}
 	return model.Refusal{}
 }
 
-// advice turns an expected delay into advice within sensible bounds.
-func (o *Owner) advice(d time.Duration) time.Duration {
-	return min(max(d, o.speed.all.mean(), retryMin), retryMax)
+// clampRetryAfter turns an expected delay into a Retry-After time between retryMin, or
+// the mean service time if longer, and retryMax.
+func (o *Owner) clampRetryAfter(d time.Duration) time.Duration {
+	return min(max(d, o.service.all.mean(), retryMin), retryMax)
 }
 
-// retryAfter is the advice of a refusal for load, where d is the expected delay.
-func (o *Owner) retryAfter(t, d time.Duration) time.Duration {
-	return o.advice(max(d, o.overload.refused(t)))
+// overloadRetryAfter is the Retry-After time of a refusal for load, where d is the
+// expected delay.
+func (o *Owner) overloadRetryAfter(t, d time.Duration) time.Duration {
+	return o.clampRetryAfter(max(d, o.overload.recordRefusal(t)))
 }
 
-// newItem reads an attempt that passed the checks of its binding and age.
-func (o *Owner) newItem(t time.Duration, a *model.Attempt) *item {
+// newPending makes a pendingAttempt of an attempt that passed the checks of binding and
+// age.
+func (o *Owner) newPending(t time.Duration, a *model.Attempt) *pendingAttempt {
 	left := min(a.Remaining, maxRemaining)
 	if a.OwnerClock > 0 {
 		left -= t - a.OwnerClock
 	}
 	o.nextSeq++
-	it := &item{
+	p := &pendingAttempt{
 		id:       a.ID,
 		request:  model.ScopedRequestID(a.Tenant, a.Request),
-		keyed:    o.keyedHere(a),
+		keyed:    o.registersKey(a),
 		class:    o.classes.get(a.Class),
 		tenant:   o.tenants.get(a.Tenant),
-		worth:    soundWorth(a.Worth),
+		worth:    validWorth(a.Worth),
 		deadline: t + left,
 		arrived:  t,
 		seq:      o.nextSeq,
@@ -261,14 +264,14 @@
 		regions:  a.Regions,
 	}
 	if a.Objective != 0 {
-		it.objective = max(t+a.Objective, 1)
+		p.objective = max(t+a.Objective, 1)
 	}
-	it.late = it.missesObjective(t)
-	return it
+	p.late = p.missesObjective(t)
+	return p
 }
 
-// soundWorth keeps worths ordered, whatever a message holds.
-func soundWorth(w float64) float64 {
+// validWorth maps any worth that a message may hold to one that can be ordered.
+func validWorth(w float64) float64 {
 	if math.IsNaN(w) {
 		return 0
 	}
@@ -283,44 +286,44 @@
 	return a.OwnerClock
 }
 
-// keyedHere tells whether this owner, as the request's home, registers its id.
-func (o *Owner) keyedHere(a *model.Attempt) bool {
+// registersKey reports whether this owner, as the request's home, registers its id.
+func (o *Owner) registersKey(a *model.Attempt) bool {
 	return a.CallerKey && !a.Idempotent && !a.Delegated
 }
 
 // admit records an attempt that starts or waits.
-func (o *Owner) admit(now time.Time, it *item) {
-	o.tenants.spend(now, it.tenant)
-	o.live[it.id] = it
-	it.log = o.attempts.seen(it.id, it.stamp)
-	o.keys.run(it)
+func (o *Owner) admit(now time.Time, p *pendingAttempt) {
+	o.tenants.spend(now, p.tenant)
+	o.pending[p.id] = p
+	p.log = o.attempts.logAdmitted(p.id, p.stamp)
+	o.keys.setRunning(p)
 }
 
-// refuseNew bars an attempt that was never admitted and returns the refusal,
-// changed to a delegation where the request id has to be remembered.
-func (o *Owner) refuseNew(t time.Duration, it *item, r model.Refusal) model.Refusal {
-	r = o.delegate(t, it, r)
-	o.attempts.end(t, it, attemptBarred)
+// refuseOffered fences an attempt that was never admitted and returns its refusal, as a
+// delegation where the request id has to be remembered.
+func (o *Owner) refuseOffered(t time.Duration, p *pendingAttempt, r model.Refusal) model.Refusal {
+	r = o.delegateRefusal(t, p, r)
+	o.attempts.record(t, p, attemptFenced)
 	return r
 }
 
-// delegate changes a refusal that lets the entry place the request elsewhere
-// into a delegation when this owner is the home of its id.
-func (o *Owner) delegate(t time.Duration, it *item, r model.Refusal) model.Refusal {
-	if !it.keyed || !placeable(r.Reason) {
+// delegateRefusal turns a refusal that lets the entry place the request elsewhere into a
+// delegation when this owner is the home of its id.
+func (o *Owner) delegateRefusal(t time.Duration, p *pendingAttempt, r model.Refusal) model.Refusal {
+	if !p.keyed || !mayRetryElsewhere(r.Reason) {
 		return r
 	}
-	if !o.keys.delegate(t, it) {
+	if !o.keys.setDelegated(t, p) {
 		return model.Refusal{Reason: model.ReasonOverloaded, NotRun: true, RetryAfter: retryKeysFull}
 	}
 	r.Reason = model.ReasonDelegated
 	return r
 }
 
-// placeable tells whether an entry would try the request at another owner after
-// a refusal for this reason. An owner that leaves delegates nothing: its memory
-// has gone to the next homes (see Handover), and they have the say.
-func placeable(r model.Reason) bool {
+// mayRetryElsewhere reports whether an entry would try the request at another owner after
+// a refusal for this reason. An owner that leaves delegates nothing: its records were
+// moved to the next homes (see ExportKeys), which decide from then on.
+func mayRetryElsewhere(r model.Reason) bool {
 	switch r {
 	case model.ReasonOverloaded, model.ReasonQueueFull, model.ReasonNotReady,
 		model.ReasonPaused, model.ReasonDelegated, model.ReasonDeferred, model.ReasonEvacuated:
@@ -329,5 +332,5 @@
 	return false
 }
 
-// notRun is a refusal that needs no advice.
-func notRun(r model.Reason) model.Refusal { return model.Refusal{Reason: r, NotRun: true} }
+// notRunRefusal is a refusal with NotRun and without Retry-After.
+func notRunRefusal(r model.Reason) model.Refusal { return model.Refusal{Reason: r, NotRun: true} }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -8,125 +8,126 @@
 	"gypsumstand/internal/model"
 )
 
-// Config is an owner's fixed setting.
+// Config holds the fixed parameters of an Owner.
 type Config struct {
 	Self model.Instance
-	// Region is that of the own data centre; empty where none is known.
+	// Region is that of the own data centre; empty when unknown.
 	Region model.RegionName
-	// Started is the process's start; LoadReport.Clock counts from it.
+	// Started is the start of the process; LoadReport.Clock counts from it.
 	Started time.Time
-	// OnBreakerChange is told when the breaker opens (true) and closes. It is called with
-	// the owner's lock held: it must not block nor call the owner. nil means nobody.
+	// OnBreakerChange, if not nil, is called when the breaker opens (true) and closes.
+	// The owner's lock is held during the call: it must not block or call the owner.
 	OnBreakerChange func(open bool)
 }
 
-// DecisionKind is the owner's answer to an offered attempt.
+// DecisionKind is the owner's decision on an attempt.
 type DecisionKind uint8
 
-// The verdicts.
+// The kinds of decisions.
 const (
-	// Start: send it to the worker now; Finish must follow.
+	// Start: send the attempt to the worker now; Finish must follow.
 	Start DecisionKind = iota
-	// Wait: queued; a Decision follows from a later call.
+	// Queue: the attempt waits; a later call returns a Decision.
 	Queue
-	// Refuse: see the refusal.
+	// Refuse: the attempt does not run here; the refusal has the reason.
 	Refuse
 )
 
-// Decision ends the waiting of a queued attempt.
+// Decision ends the wait of a queued attempt.
 type Decision struct {
 	Attempt model.AttemptID
-	// DecisionKind is Start or Refuse.
+	// Kind is Start or Refuse.
 	Kind    DecisionKind
 	Refusal model.Refusal
 }
 
-// Completion tells how a started attempt ended at the worker.
+// Completion describes how a started attempt ended at the worker.
 type Completion struct {
-	// ServiceTime from start to the whole answer.
+	// ServiceTime is the time from the start to the complete answer.
 	ServiceTime time.Duration
-	// NotRun: proved that the worker did not run it (no byte left, or it said
-	// so); the attempt is barred and the request id freed. After a Confirm that
-	// was true, NotRun without Shed means that the worker could not be reached.
+	// NotRun: the worker is proved not to have run the attempt (no byte was sent, or it
+	// said so). The attempt is fenced and its request id freed. If Confirm returned true,
+	// NotRun without Shed means that the worker could not be reached.
 	NotRun bool
-	// Delegate, with NotRun, keeps the request id as delegated in place of
-	// freeing it: the caller of Finish then refuses with ReasonDelegated and the
-	// entry may place the request elsewhere. It has no effect on attempts that
-	// carry no caller's key.
+	// Delegate, with NotRun, marks the request id as delegated instead of freeing it: the
+	// caller of Finish then refuses with ReasonDelegated and the entry may place the
+	// request elsewhere. It has no effect on attempts without a caller's key.
 	Delegate bool
-	// Failed: the worker answered with a server error, broke or timed out.
+	// Failed: the worker answered with a server error, broke the attempt or timed out.
 	Failed bool
 	// Shed: the worker refused for load.
 	Shed bool
-	// Whim: the worker refused although it had room, so that fewer attempts at once
-	// would not help. It counts as a failure, and with NotRun the attempt did not run.
+	// SpuriousRefusal: the worker refused although it had room, so fewer concurrent
+	// attempts would not help. It counts as a failure; with NotRun the attempt did not
+	// run.
 	SpuriousRefusal bool
-	// Expired, with Failed: the attempt's time ran out before a whole answer came.
+	// Expired, with Failed: the attempt's time ran out before a complete answer arrived.
 	Expired bool
-	// Abandoned: the entry gave the attempt up, or its time ended before a byte
-	// left, so that its end says nothing of the worker.
+	// Abandoned: the entry gave the attempt up, or its time ran out before a byte was
+	// sent, so its end shows nothing about the worker.
 	Abandoned bool
-	// Status is the worker's HTTP status; 0 when there was no whole answer.
+	// Status is the worker's HTTP status; 0 without a complete answer.
 	Status int
 }
 
-// Owner is safe for concurrent use; its lock is held for short, bounded work.
-// All of its times are on the owner's clock: the time since Config.Started.
+// Owner decides which attempts run on one worker. It is safe for concurrent use; its lock
+// is held for short, bounded work. All of its times are on the owner's clock, the time
+// since Config.Started.
 type Owner struct {
 	mu  sync.Mutex
 	cfg Config
-	// last is the newest time seen, so that the clock never steps back when
-	// concurrent callers arrive out of order.
+	// last is the latest time seen; it keeps the clock from stepping back when concurrent
+	// callers arrive out of order.
 	last  time.Duration
 	state model.UpstreamState
-	// withdrawn: the platform's list says that this upstream leaves. unlisted: the list of
-	// instances does not name the worker. evacuated: nothing is to be sent to workers of this
-	// data centre.
-	withdrawn, unlisted, evacuated ban
+	// withdrawn: the platform's list has this upstream as leaving. unlisted: the list of
+	// instances does not name the worker. evacuated: nothing may be sent to workers of
+	// this data centre.
+	withdrawn, unlisted, evacuated admissionStop
 	// leavingAt is when the state became leaving.
 	leavingAt time.Duration
 	// coldSince is when the state last became cold.
 	coldSince  time.Duration
 	configured bool
-	// alone: no other upstream of the service could run what is delegated.
-	alone      bool
-	version    model.BundleVersion
-	queueLimit int
+	// soleUpstream: no other upstream of the service could run a delegated request.
+	soleUpstream bool
+	version      model.BundleVersion
+	queueLimit   int
 
 	inFlight int
-	// alones counts what is in flight that is to run alone.
-	alones int
-	// slowed is the sum of the slowness of what is in flight.
-	slowed   float64
-	nextSeq  uint64
-	live     map[model.AttemptID]*item
-	queue    queue
-	classes  classSet
-	choose   chooser
-	tenants  tenantSet
-	limit    limiter
-	speed    speed
-	attempts ledger
-	keys     keyTable
-	pause    pauseState
-	pace     pacing
-	breaker  breaker
-	warming  warming
-	overload overloadSpan
-	// delayed is the smoothed share of offers that were not started at once.
-	delayed float64
-	// life counts the worker's lives that were told by Restarted.
-	life uint64
-	// out holds decisions until the next call that returns some.
-	out []Decision
+	// exclusiveInFlight counts the exclusive attempts in flight.
+	exclusiveInFlight int
+	// slowdownSum is the sum of the slowdown over the attempts in flight.
+	slowdownSum float64
+	nextSeq     uint64
+	pending     map[model.AttemptID]*pendingAttempt
+	queue       queue
+	classes     classSet
+	choose      chooser
+	tenants     tenantSet
+	limit       limiter
+	service     serviceStats
+	attempts    ledger
+	keys        keyTable
+	pause       pauseState
+	slowdown    slowdownTracker
+	breaker     breaker
+	warming     warming
+	overload    overloadSpan
+	// delayedShare is the smoothed share of offers that were not started at once.
+	delayedShare float64
+	// workerIncarnation counts the calls of WorkerRestarted.
+	workerIncarnation uint64
+	// decisions holds decisions until the next call that returns them.
+	decisions []Decision
 }
 
-// New returns a cold owner.
+// New returns an owner whose worker is cold.
 func New(cfg Config) *Owner {
 	o := &Owner{
 		cfg:      cfg,
 		state:    model.StateCold,
-		live:     map[model.AttemptID]*item{},
+		pending:  map[model.AttemptID]*pendingAttempt{},
 		queue:    newQueue(),
 		choose:   byShares,
 		tenants:  newTenantSet(),
@@ -135,11 +136,11 @@
 		keys:     newKeyTable(),
 		warming:  newWarming(),
 	}
-	o.classes = newClassSet(&o.speed.all)
+	o.classes = newClassSet(&o.service.all)
 	return o
 }
 
-// clock turns now into the owner's clock, which never steps back.
+// clock converts now to the owner's clock, which never steps back.
 func (o *Owner) clock(now time.Time) time.Duration {
 	if t := now.Sub(o.cfg.Started); t > o.last {
 		o.last = t
@@ -147,9 +148,8 @@
 	return o.last
 }
 
-// Configure applies the limits of a bundle to later decisions. upstreams is the
-// number of live upstreams of the service, for this owner's part of tenants'
-// limits.
+// Configure applies the limits of a bundle to later decisions. upstreams is the number of
+// live upstreams of the service; it determines this owner's part of tenants' limits.
 func (o *Owner) Configure(now time.Time, b *bundle.Bundle, svc *bundle.Service, upstreams int) []Decision {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -162,15 +162,15 @@
 	o.queue.prune()
 	o.classes.configure(b.Classes)
 	o.tenants.configure(now, b.Tenants, upstreams)
-	o.alone = upstreams <= 1
+	o.soleUpstream = upstreams <= 1
 	o.keys.memory = svc.KeyMemory()
 	o.attempts.memory = attemptMemory(b.Classes)
 	o.dispatch(t)
-	return o.take()
+	return o.takeDecisions()
 }
 
-// slotsOf applies the override of this instance, and the number of connections,
-// as each request in flight holds one.
+// slotsOf returns the usable slots: those of the service or of this instance's override,
+// at most the connections, as each request in flight holds one.
 func (o *Owner) slotsOf(svc *bundle.Service) int {
 	slots, connections := svc.Slots, svc.Connections
 	for _, u := range svc.Upstreams {
@@ -190,143 +190,142 @@
 	return svc.UsableSlots(max(slots, 1))
 }
 
-// SetState sets the life stage. Leaving never turns back: a smaller state after
-// StateLeaving is ignored. Queued attempts stay, but for those that a worker
-// gone cold keeps waiting longer than coldGrace (see Tick), or that leaving or
-// the end finds waiting for a worker that does not run.
+// SetState sets the state of the worker. Leaving is final: a smaller state after
+// StateLeaving is ignored. Queued attempts stay, except when the worker stays cold for
+// longer than coldGrace (see Tick), leaves while cold, or is gone.
 func (o *Owner) SetState(now time.Time, s model.UpstreamState) []Decision {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.clock(now)
 	if o.state >= model.StateLeaving && s <= o.state {
-		return o.take()
+		return o.takeDecisions()
 	}
 	switch {
 	case s == model.StateLive && o.state != model.StateLive:
-		o.limit.warm(t)
+		o.limit.startWarmup(t)
 	case s == model.StateCold && o.state != model.StateCold:
 		o.coldSince = t
 	case s == model.StateLeaving && o.state == model.StateCold, s == model.StateGone:
-		o.turnAwayAll(t, notRun(model.ReasonLeaving))
+		o.refuseAllQueued(t, notRunRefusal(model.ReasonLeaving))
 	}
 	if s == model.StateLeaving {
 		o.leavingAt = t
 	}
 	o.state = s
 	o.dispatch(t)
-	return o.take()
+	return o.takeDecisions()
 }
 
-// Draining tells whether the worker is to get no new work, by its own or the platform's
-// word, so that its end is a planned one.
+// Draining reports whether the worker is to get no new work, by its own state or by the
+// platform's list, so that its end is planned and not a crash.
 func (o *Owner) Draining() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.leaving() || o.unlisted.holds
+	return o.leaving() || o.unlisted.active
 }
 
-// leaving tells whether no new attempt may be admitted any more.
-func (o *Owner) leaving() bool { return o.state >= model.StateLeaving || o.withdrawn.holds }
+// leaving reports whether the worker is leaving, so that no new attempt may be admitted.
+func (o *Owner) leaving() bool { return o.state >= model.StateLeaving || o.withdrawn.active }
 
-// AdoptIncarnation takes a greater incarnation, under which later attempts must be bound.
-// What is queued or started goes on; questions about it under the earlier
-// incarnation are answered as forgotten, which claims nothing.
+// AdoptIncarnation switches to a greater incarnation, to which later attempts must be
+// bound. Queued and started attempts go on. A Resolve for them under the earlier
+// incarnation gets AttemptForgotten, which proves nothing.
 func (o *Owner) AdoptIncarnation(inc model.Incarnation) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.cfg.Self.Incarnation = max(o.cfg.Self.Incarnation, inc)
 }
 
-// Confirm is called right before the first byte goes to the worker, after any
-// delay since Start: false means that the time ran out meanwhile or the process
-// was paused, and the attempt must be finished as not run.
+// Confirm is called right before the first byte is sent to the worker, after any delay
+// since Start. False means that the time ran out meanwhile or the process was paused; the
+// attempt must then be finished with NotRun.
 func (o *Owner) Confirm(now time.Time, id model.AttemptID) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.clock(now)
-	it := o.live[id]
-	if it == nil || !it.started {
+	p := o.pending[id]
+	if p == nil || !p.started {
 		return false
 	}
-	if t >= it.deadline {
+	if t >= p.deadline {
 		return false
 	}
-	if it.pauses != o.pause.count && o.pause.doubted(t) {
+	if p.pausesAtStart != o.pause.count && o.pause.blocked(t) {
 		return false
 	}
-	if o.warming.bounds() && t-it.startedAt > warmingDelay {
+	if o.warming.enabled() && t-p.startedAt > warmingDelay {
 		return false
 	}
-	it.confirmed = true
+	p.confirmed = true
 	return true
 }
 
-// Completion ends a started attempt and returns who may start next.
+// Finish ends a started attempt and returns decisions on queued ones.
 func (o *Owner) Finish(now time.Time, id model.AttemptID, f Completion) []Decision {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.clock(now)
-	it := o.live[id]
-	if it == nil || !it.started {
-		return o.take()
+	p := o.pending[id]
+	if p == nil || !p.started {
+		return o.takeDecisions()
 	}
-	if it.life == o.life {
-		o.learn(t, it, f)
-		o.noteBreak(t, f)
+	if p.workerIncarnation == o.workerIncarnation {
+		o.observeCompletion(t, p, f)
+		o.updateBreaker(t, f)
 	}
-	o.release(it)
+	o.release(p)
 	switch {
 	case !f.NotRun:
-		o.attempts.end(t, it, attemptDone)
-		o.keys.done(t, it)
-	case f.Delegate && it.keyed:
-		o.attempts.end(t, it, attemptBarred)
-		o.keys.delegate(t, it)
+		o.attempts.record(t, p, attemptDone)
+		o.keys.setDone(t, p)
+	case f.Delegate && p.keyed:
+		o.attempts.record(t, p, attemptFenced)
+		o.keys.setDelegated(t, p)
 	default:
-		o.attempts.end(t, it, attemptBarred)
-		o.keys.free(it)
+		o.attempts.record(t, p, attemptFenced)
+		o.keys.remove(p)
 	}
 	o.dispatch(t)
-	return o.take()
+	return o.takeDecisions()
 }
 
-// Cancel gives up an attempt that the entry no longer waits for. notRun tells
-// whether it was still queued (and is now barred); a started one goes on until
-// Finish. A queued one's waiting ends with a Decision as any other's.
+// Cancel gives up an attempt that the entry no longer waits for. notRun reports whether
+// the attempt is proved not to run: a queued one is fenced and gets a Decision, a started
+// one goes on until Finish.
 func (o *Owner) Cancel(now time.Time, id model.AttemptID) (notRun bool, ds []Decision) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.clock(now)
-	if it := o.live[id]; it != nil && !it.started {
-		o.turnAway(t, it, model.Refusal{Reason: model.ReasonCancelled, NotRun: true})
-		return true, o.take()
+	if p := o.pending[id]; p != nil && !p.started {
+		o.refuseQueued(t, p, model.Refusal{Reason: model.ReasonCancelled, NotRun: true})
+		return true, o.takeDecisions()
 	}
 	rec, _ := o.attempts.find(id, 0)
-	return rec == attemptBarred, o.take()
+	return rec == attemptFenced, o.takeDecisions()
 }
 
-// Tick expires queued attempts and old records; call it every 10 ms or so.
+// Tick expires queued attempts and old records; it is to be called about every 10 ms.
 func (o *Owner) Tick(now time.Time) []Decision {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.clock(now)
-	o.pause.refresh()
-	o.expire(t)
-	o.refuseHopeless(t)
+	o.pause.unblock()
+	o.expireQueued(t)
+	o.reevaluateQueue(t)
 	o.refuseWhileCold(t)
-	o.refuseWithdrawn(t)
-	o.attempts.forget(t)
-	o.keys.forget(t)
+	o.refuseStopped(t)
+	o.attempts.expire(t)
+	o.keys.expire(t)
 	o.dispatch(t)
-	return o.take()
+	return o.takeDecisions()
 }
 
-// Pending returns the number of attempts that are queued or at the worker; a
-// stop waits until it is zero.
+// Pending returns the number of attempts that are queued or at the worker; a shutdown
+// waits until it is zero.
 func (o *Owner) Pending() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.live)
+	return len(o.pending)
 }
 
 // Running returns the number of attempts at the worker.
@@ -336,9 +335,9 @@
 	return o.inFlight
 }
 
-// take returns the decisions made since the last call and empties the buffer.
-func (o *Owner) take() []Decision {
-	ds := o.out
-	o.out = nil
+// takeDecisions returns the decisions made since the last call and empties the buffer.
+func (o *Owner) takeDecisions() []Decision {
+	ds := o.decisions
+	o.decisions = nil
 	return ds
 }
--- a/internal/owner/predict.go
+++ b/internal/owner/predict.go
@@ -4,18 +4,18 @@
 
 // Smoothing of service times and failures.
 const (
-	// smoothing is the weight of a new sample: 1/smoothing.
+	// smoothing is the inverse weight of a new sample.
 	smoothing = 16
-	// minService is the least expected service time that values are reckoned with.
+	// minService is the shortest service time that is used to compute a value.
 	minService = 10 * time.Microsecond
-	// failingRate is the smoothed share of failures from which the worker counts
-	// as failing, for failingMemory after the last failure.
+	// failingRate is the smoothed share of failures from which the worker counts as
+	// failing, for failingMemory after the last failure.
 	failingRate   = 0.5
 	failingMemory = time.Second
 )
 
-// estimate is a smoothed duration: the mean of the first samples, then an
-// exponentially weighted one.
+// estimate is a smoothed duration: the mean of the first samples, then an exponentially
+// weighted one.
 type estimate struct {
 	value float64
 	count int
@@ -28,21 +28,21 @@
 
 func (e *estimate) mean() time.Duration { return time.Duration(e.value) }
 
-// speed is what the worker's answers show.
-type speed struct {
+// serviceStats holds statistics of the worker's answers.
+type serviceStats struct {
 	all estimate
 	// failures is the smoothed share of failed answers, 0 to 1.
 	failures    float64
 	lastFailure time.Duration
 }
 
-// failing tells whether most of the worker's late answers failed.
-func (s *speed) failing(t time.Duration) bool {
+// failing reports whether most of the worker's recent answers failed.
+func (s *serviceStats) failing(t time.Duration) bool {
 	return s.failures >= failingRate && t-s.lastFailure < failingMemory
 }
 
-// ended takes whether an attempt failed.
-func (s *speed) ended(t time.Duration, failed bool) {
+// observe records whether an attempt failed.
+func (s *serviceStats) observe(t time.Duration, failed bool) {
 	target := 0.0
 	if failed {
 		target = 1
@@ -51,39 +51,39 @@
 	s.failures += (target - s.failures) / smoothing
 }
 
-// learn takes the end of a started attempt into the estimates and the limit. An
-// attempt that a pause fell into, or that did not get as far as the worker, says
-// nothing of it.
-func (o *Owner) learn(t time.Duration, it *item, f Completion) {
+// observeCompletion updates the estimates and the limit with the end of a started
+// attempt. Attempts that were interrupted by a pause, or that did not reach the worker,
+// are ignored.
+func (o *Owner) observeCompletion(t time.Duration, p *pendingAttempt, f Completion) {
 	if f.Abandoned {
 		return
 	}
 	if f.SpuriousRefusal {
-		o.speed.ended(t, true)
+		o.service.observe(t, true)
 		return
 	}
 	unreached := f.NotRun && !f.Shed
-	if it.pauses != o.pause.count || unreached && !it.confirmed && !f.Failed {
+	if p.pausesAtStart != o.pause.count || unreached && !p.confirmed && !f.Failed {
 		return
 	}
 	o.limit.adapt.observe(sample{
 		signal:    signalOf(f),
-		startedAt: it.startedAt,
+		startedAt: p.startedAt,
 		endedAt:   t,
 		service:   f.ServiceTime,
-		expected:  it.class.expected(),
+		expected:  p.class.expected(),
 	}, o.limit.slots)
 	if !f.Shed {
-		o.speed.ended(t, f.Failed || unreached)
+		o.service.observe(t, f.Failed || unreached)
 	}
-	if o.measures(it, f) {
-		usual := time.Duration(float64(f.ServiceTime) / max(1, it.slowness))
-		it.class.service.add(usual)
-		o.speed.all.add(usual)
+	if o.measuresService(p, f) {
+		usual := time.Duration(float64(f.ServiceTime) / max(1, p.slowdown))
+		p.class.service.add(usual)
+		o.service.all.add(usual)
 	}
 }
 
-// signalOf reads what an end says about the worker's capacity.
+// signalOf returns what an attempt's end shows about the worker's capacity.
 func signalOf(f Completion) signal {
 	switch {
 	case f.Shed || f.NotRun:
@@ -96,44 +96,44 @@
 	return signalTimeout
 }
 
-// measures tells whether the service time is a measurement: a failed attempt's
-// is one only when it is longer than expected, as the worker would have taken
-// at least that long; a quick failure must not make the worker look fast.
-func (o *Owner) measures(it *item, f Completion) bool {
+// measuresService reports whether the attempt's service time is a valid sample. That of a
+// failed attempt is one only if it is longer than expected, as the worker would have
+// taken at least that long; a quick failure must not make the worker look fast.
+func (o *Owner) measuresService(p *pendingAttempt, f Completion) bool {
 	switch {
 	case f.NotRun || f.Shed:
 		return false
 	case f.Failed:
-		return f.ServiceTime > it.class.expected()
+		return f.ServiceTime > p.class.expected()
 	}
 	return true
 }
 
-// slowness is how many times as long as usual the runs at the worker take on average:
-// each keeps the pace at its start.
-func (o *Owner) slowness() float64 {
+// meanSlowdown is the mean slowdown of the attempts at the worker; each keeps the
+// slowdown at its start.
+func (o *Owner) meanSlowdown() float64 {
 	if o.inFlight == 0 {
 		return 1
 	}
-	return o.slowed / float64(o.inFlight)
+	return o.slowdownSum / float64(o.inFlight)
 }
 
-// wait predicts how long an attempt that is not yet queued would wait: one slot
-// comes free every service time over the limit, and those ahead take the first.
-// A class within its share waits for its own share at most.
-func (o *Owner) wait(t time.Duration, it *item) time.Duration {
-	wait, _ := o.foresee(t, it)
+// predictWait predicts how long an attempt that is not yet queued would wait: one slot
+// becomes free every service time divided by the limit, and attempts served before it
+// take the first ones. A class within its share waits for its own share at most.
+func (o *Owner) predictWait(t time.Duration, p *pendingAttempt) time.Duration {
+	wait, _ := o.predict(t, p)
 	return wait
 }
 
-// foresee is wait with the number of those ahead.
-func (o *Owner) foresee(t time.Duration, it *item) (wait time.Duration, ahead int) {
+// predict is predictWait with the number of queued attempts that are served before p.
+func (o *Owner) predict(t time.Duration, p *pendingAttempt) (wait time.Duration, before int) {
 	limit := o.limit.effective(t)
-	all, own := o.queue.ahead(it)
-	mean := float64(o.speed.all.mean()) * o.slowness()
+	all, own := o.queue.countBefore(p)
+	mean := float64(o.service.all.mean()) * o.meanSlowdown()
 	expected := mean * float64(all+1) / float64(limit)
-	if g := it.class.guaranteed(limit); g > 0 {
-		expected = min(expected, float64(it.class.expected())*float64(own+1)/g)
+	if g := p.class.guaranteed(limit); g > 0 {
+		expected = min(expected, float64(p.class.expected())*float64(own+1)/g)
 	}
 	return max(time.Duration(expected), o.warming.wait(t, all+1)), all
 }
--- a/internal/owner/queue.go
+++ b/internal/owner/queue.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// before tells whether a is served before b. It is a strict total order.
-type before func(a, b *item) bool
+// servesBefore reports whether a is served before b. It is a strict total order.
+type servesBefore func(a, b *pendingAttempt) bool
 
-// byWorth serves the highest worth first, then the earliest objective or deadline,
-// then the first to arrive. It never changes while attempts wait.
-func byWorth(a, b *item) bool {
+// byWorth serves the highest worth first, then the earliest objective or deadline, then
+// the first to arrive. The order of two attempts does not change while they wait.
+func byWorth(a, b *pendingAttempt) bool {
 	if a.worth != b.worth {
 		return a.worth > b.worth
 	}
@@ -20,17 +20,18 @@
 	return byDeadline(a, b)
 }
 
-// missesObjective tells whether a start now is expected to end after the objective.
-// An answer then has little of its worth left. In an overload that is most of what
-// waits longest: served first, it makes all that comes after it late as well. Load: a
-// burst of 1.4 times the usual for 5 s while a tenth of the workers leaves.
-func (it *item) missesObjective(t time.Duration) bool {
-	return it.objective > 0 && t+it.class.expected() > it.objective
+// missesObjective reports whether an attempt started at t is expected to end after its
+// objective, when its answer has little of its worth left. In an overload this holds for
+// most of those that waited longest; serving them first would make all later ones miss
+// their objective too. Such an overload is a burst of 1.4 times the usual load for 5 s
+// while a tenth of the workers leaves.
+func (p *pendingAttempt) missesObjective(t time.Duration) bool {
+	return p.objective > 0 && t+p.class.expected() > p.objective
 }
 
-// byPriority serves the class of the smallest rank first, then what can still meet its
-// objective, then by value.
-func byPriority(a, b *item) bool {
+// byPriority serves the class with the lowest priority number first, then attempts that
+// can still meet their objective, then by value.
+func byPriority(a, b *pendingAttempt) bool {
 	if a.class.priority != b.class.priority {
 		return a.class.priority < b.class.priority
 	}
@@ -40,10 +41,9 @@
 	return byValue(a, b)
 }
 
-// byValue serves the highest worth per expected slot time first, as a short
-// attempt leaves its slot to others sooner. Among attempts of one class it is
-// byWorth.
-func byValue(a, b *item) bool {
+// byValue serves the highest worth per expected slot time first, as a short attempt frees
+// its slot sooner. Among attempts of one class it is byWorth.
+func byValue(a, b *pendingAttempt) bool {
 	if va, vb := a.value(), b.value(); va != vb {
 		return va > vb
 	}
@@ -51,145 +51,148 @@
 }
 
 // value is the worth per expected slot time; the unit cancels in comparisons.
-func (it *item) value() float64 {
-	return it.worth / float64(max(it.class.expected(), minService))
+func (p *pendingAttempt) value() float64 {
+	return p.worth / float64(max(p.class.expected(), minService))
 }
 
-// outranks tells whether it is of a more urgent class, or worth more of an equally
-// urgent one.
-func (it *item) outranks(other *item) bool {
-	if it.class.priority != other.class.priority {
-		return it.class.priority < other.class.priority
+// outranks reports whether p is of a more urgent class than other, or has a higher value
+// in an equally urgent one.
+func (p *pendingAttempt) outranks(other *pendingAttempt) bool {
+	if p.class.priority != other.class.priority {
+		return p.class.priority < other.class.priority
 	}
-	return it.value() > other.value()
+	return p.value() > other.value()
 }
 
 // byDeadline serves the earliest deadline first, then the first to arrive.
-func byDeadline(a, b *item) bool {
+func byDeadline(a, b *pendingAttempt) bool {
 	if a.deadline != b.deadline {
 		return a.deadline < b.deadline
 	}
 	return a.seq < b.seq
 }
 
-// lane holds the waiting attempts of one class and one tenant, the last to be
-// served first, so that both ends are at hand.
-type lane struct {
-	class  *class
-	tenant *tenant
-	items  []*item
-	// at is the lane's place among the queue's lanes while it holds any.
-	at int
+// subqueue holds the queued attempts with one subqueueKey, the last to be served first,
+// so that both ends are cheap to reach.
+type subqueue struct {
+	class    *class
+	tenant   *tenant
+	attempts []*pendingAttempt
+	// index is the subqueue's index in queue.nonEmpty.
+	index int
 }
 
-// best returns the attempt that is served first.
-func (l *lane) best() *item { return l.items[len(l.items)-1] }
+// first returns the attempt that is served first.
+func (s *subqueue) first() *pendingAttempt { return s.attempts[len(s.attempts)-1] }
 
-// least returns the attempt that is served last.
-func (l *lane) least() *item { return l.items[0] }
+// last returns the attempt that is served last.
+func (s *subqueue) last() *pendingAttempt { return s.attempts[0] }
 
-type laneKey struct {
-	class  *class
-	tenant *tenant
-	late   bool
-	alone  bool
+type subqueueKey struct {
+	class     *class
+	tenant    *tenant
+	late      bool
+	exclusive bool
 }
 
-// keyOf parts what runs alone from the rest: it may have to wait while the rest starts.
-func keyOf(it *item) laneKey { return laneKey{it.class, it.tenant, it.late, it.alone} }
+// subqueueKeyOf separates exclusive attempts from the rest, as they may have to wait
+// while others start.
+func subqueueKeyOf(p *pendingAttempt) subqueueKey {
+	return subqueueKey{p.class, p.tenant, p.late, p.exclusive}
+}
 
-// queue holds the waiting attempts. Only lanes that hold any are listed, so the
+// queue holds the queued attempts. Only subqueues with attempts are in nonEmpty, so the
 // cost of a choice grows with the classes and tenants that wait.
 type queue struct {
-	// inLane orders the attempts of one lane and must not change with time.
-	inLane before
-	// before orders attempts of different lanes.
-	before before
-	lanes  []*lane
-	index  map[laneKey]*lane
-	length int
+	// withinSubqueue orders the attempts of one subqueue and must not change with time.
+	withinSubqueue servesBefore
+	// before orders attempts of different subqueues.
+	before   servesBefore
+	nonEmpty []*subqueue
+	byKey    map[subqueueKey]*subqueue
+	length   int
 }
 
 func newQueue() queue {
-	return queue{inLane: byWorth, before: byPriority, index: map[laneKey]*lane{}}
+	return queue{withinSubqueue: byWorth, before: byPriority, byKey: map[subqueueKey]*subqueue{}}
 }
 
-// prune forgets lanes without attempts, as classes and tenants may go.
+// prune removes empty subqueues, as their classes and tenants may no longer exist.
 func (q *queue) prune() {
-	for key, l := range q.index {
-		if len(l.items) == 0 {
-			delete(q.index, key)
+	for key, s := range q.byKey {
+		if len(s.attempts) == 0 {
+			delete(q.byKey, key)
 		}
 	}
 }
 
 // push adds an attempt.
-func (q *queue) push(it *item) {
-	key := keyOf(it)
-	l := q.index[key]
-	if l == nil {
-		l = &lane{class: it.class, tenant: it.tenant}
-		q.index[key] = l
-	}
-	if len(l.items) == 0 {
-		l.at = len(q.lanes)
-		q.lanes = append(q.lanes, l)
-	}
-	at := q.rank(l, it)
-	l.items = append(l.items, nil)
-	copy(l.items[at+1:], l.items[at:])
-	l.items[at] = it
-	it.class.queued++
+func (q *queue) push(p *pendingAttempt) {
+	key := subqueueKeyOf(p)
+	s := q.byKey[key]
+	if s == nil {
+		s = &subqueue{class: p.class, tenant: p.tenant}
+		q.byKey[key] = s
+	}
+	if len(s.attempts) == 0 {
+		s.index = len(q.nonEmpty)
+		q.nonEmpty = append(q.nonEmpty, s)
+	}
+	at := q.indexOf(s, p)
+	s.attempts = append(s.attempts, nil)
+	copy(s.attempts[at+1:], s.attempts[at:])
+	s.attempts[at] = p
+	p.class.queued++
 	q.length++
 }
 
-// rank returns the place in its own lane of an attempt: that of the first one
-// that is served before it, or its own when it waits.
-func (q *queue) rank(l *lane, it *item) int {
-	return sort.Search(len(l.items), func(i int) bool {
-		return l.items[i] == it || q.inLane(l.items[i], it)
+// indexOf returns the index of p in its own subqueue, or the index at which it is to be
+// inserted.
+func (q *queue) indexOf(s *subqueue, p *pendingAttempt) int {
+	return sort.Search(len(s.attempts), func(i int) bool {
+		return s.attempts[i] == p || q.withinSubqueue(s.attempts[i], p)
 	})
 }
 
-// above counts the attempts of l that are served before one that is not in l.
-func (q *queue) above(l *lane, it *item) int {
-	b := q.before
-	if l.class == it.class && l.best().late == it.late {
-		b = q.inLane
+// countBeforeIn counts the attempts of s that are served before p, which is not in s.
+func (q *queue) countBeforeIn(s *subqueue, p *pendingAttempt) int {
+	before := q.before
+	if s.class == p.class && s.first().late == p.late {
+		before = q.withinSubqueue
 	}
-	return len(l.items) - sort.Search(len(l.items), func(i int) bool { return b(l.items[i], it) })
+	return len(s.attempts) - sort.Search(len(s.attempts), func(i int) bool { return before(s.attempts[i], p) })
 }
 
 // remove takes an attempt out; it must be in the queue.
-func (q *queue) remove(it *item) {
-	l := q.index[keyOf(it)]
-	at := q.rank(l, it)
-	copy(l.items[at:], l.items[at+1:])
-	l.items[len(l.items)-1] = nil
-	l.items = l.items[:len(l.items)-1]
-	it.class.queued--
+func (q *queue) remove(p *pendingAttempt) {
+	s := q.byKey[subqueueKeyOf(p)]
+	at := q.indexOf(s, p)
+	copy(s.attempts[at:], s.attempts[at+1:])
+	s.attempts[len(s.attempts)-1] = nil
+	s.attempts = s.attempts[:len(s.attempts)-1]
+	p.class.queued--
 	q.length--
-	if len(l.items) == 0 {
-		q.unlist(l)
+	if len(s.attempts) == 0 {
+		q.dropEmpty(s)
 	}
 }
 
-// unlist takes an empty lane off the list.
-func (q *queue) unlist(l *lane) {
-	last := len(q.lanes) - 1
-	moved := q.lanes[last]
-	q.lanes[l.at] = moved
-	moved.at = l.at
-	q.lanes[last] = nil
-	q.lanes = q.lanes[:last]
+// dropEmpty removes an empty subqueue from nonEmpty.
+func (q *queue) dropEmpty(s *subqueue) {
+	last := len(q.nonEmpty) - 1
+	moved := q.nonEmpty[last]
+	q.nonEmpty[s.index] = moved
+	moved.index = s.index
+	q.nonEmpty[last] = nil
+	q.nonEmpty = q.nonEmpty[:last]
 }
 
-// ahead counts the waiting attempts that are served before it, in all classes
-// and in its own.
-func (q *queue) ahead(it *item) (all, own int) {
-	for _, l := range q.lanes {
-		n := q.above(l, it)
-		if l.class == it.class {
+// countBefore counts the queued attempts that are served before p, in all classes and in
+// its own.
+func (q *queue) countBefore(p *pendingAttempt) (all, own int) {
+	for _, s := range q.nonEmpty {
+		n := q.countBeforeIn(s, p)
+		if s.class == p.class {
 			own += n
 		}
 		all += n
@@ -197,19 +200,19 @@
 	return all, own
 }
 
-// least returns the waiting attempt that has to give way to a new one in a full
-// queue of the given limit, or nil. Each class keeps its share of the places: a
-// class within its places loses none, and a new attempt of such a class takes
-// the place of the least of the others. Otherwise only a higher value displaces.
-func (q *queue) least(limit int, newer *item) *item {
-	entitled := float64(newer.class.queued+1) <= newer.class.places(limit)
-	var victim *item
-	for _, l := range q.lanes {
-		if float64(l.class.queued) <= l.class.places(limit) && l.class != newer.class {
+// displaceable returns the queued attempt that has to make room for newer in a full queue
+// of the given limit, or nil. Each class keeps its share of the places: a class within
+// its places loses none, and a new attempt of such a class takes the place of the last of
+// the other classes. Otherwise only a higher value displaces.
+func (q *queue) displaceable(limit int, newer *pendingAttempt) *pendingAttempt {
+	entitled := float64(newer.class.queued+1) <= newer.class.queuePlaces(limit)
+	var victim *pendingAttempt
+	for _, s := range q.nonEmpty {
+		if float64(s.class.queued) <= s.class.queuePlaces(limit) && s.class != newer.class {
 			continue
 		}
-		if it := l.least(); victim == nil || q.before(victim, it) {
-			victim = it
+		if p := s.last(); victim == nil || q.before(victim, p) {
+			victim = p
 		}
 	}
 	if victim == nil || !entitled && !newer.outranks(victim) {
@@ -218,22 +221,23 @@
 	return victim
 }
 
-// moveLate puts what can no longer meet its objective behind what can.
-func (q *queue) moveLate(t time.Duration) {
-	for _, it := range q.where(func(it *item) bool { return !it.late && it.missesObjective(t) }) {
-		q.remove(it)
-		it.late = true
-		q.push(it)
+// demoteLate moves attempts that can no longer meet their objective behind those that
+// can.
+func (q *queue) demoteLate(t time.Duration) {
+	for _, p := range q.filter(func(p *pendingAttempt) bool { return !p.late && p.missesObjective(t) }) {
+		q.remove(p)
+		p.late = true
+		q.push(p)
 	}
 }
 
-// where returns the waiting attempts that match.
-func (q *queue) where(match func(*item) bool) []*item {
-	var out []*item
-	for _, l := range q.lanes {
-		for _, it := range l.items {
-			if match(it) {
-				out = append(out, it)
+// filter returns the queued attempts that match.
+func (q *queue) filter(match func(*pendingAttempt) bool) []*pendingAttempt {
+	var out []*pendingAttempt
+	for _, s := range q.nonEmpty {
+		for _, p := range s.attempts {
+			if match(p) {
+				out = append(out, p)
 			}
 		}
 	}
--- a/internal/owner/report.go
+++ b/internal/owner/report.go
@@ -7,7 +7,7 @@
 	"gypsumstand/internal/model"
 )
 
-// Report returns the load report of this moment.
+// Report returns the current load report.
 func (o *Owner) Report(now time.Time) model.LoadReport {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -22,30 +22,30 @@
 		State:           o.state,
 		InFlight:        clamp16(o.inFlight),
 		Queued:          clamp16(o.queue.length),
-		ServiceTime:     o.speed.all.mean(),
-		FailureRate:     uint16(o.speed.failures*1000 + 0.5),
+		ServiceTime:     o.service.all.mean(),
+		FailureRate:     uint16(o.service.failures*1000 + 0.5),
 		Bundle:          o.version,
-		Delayed:         model.DelayedThousandths(o.delayed),
-		SlowdownPercent: clamp16(int(o.pace.now * 100)),
+		Delayed:         model.DelayedThousandths(o.delayedShare),
+		SlowdownPercent: clamp16(int(o.slowdown.current * 100)),
 	}
 	if o.leaving() {
 		r.State = max(o.state, model.StateLeaving)
 	}
-	if o.unlisted.holds && r.State == model.StateLive {
+	if o.unlisted.active && r.State == model.StateLive {
 		r.State = model.StateCold
 	}
 	if o.runs() {
-		r.Limit = clamp16(o.warming.limit(t, o.limit.effective(t), o.speed.all.mean()))
+		r.Limit = clamp16(o.warming.limit(t, o.limit.effective(t), o.service.all.mean()))
 	}
-	if o.warming.on(t) {
+	if o.warming.active(t) {
 		r.WarmingMs = uint32(max((o.warming.until - t).Milliseconds(), 1))
 	}
 	return r
 }
 
-// Utilisation returns the part of the worker's slots that is in use, and false while none can be
-// used.
-func (o *Owner) Utilisation(now time.Time) (part float64, known bool) {
+// Utilisation returns the share of the usable slots that is in use, 0 to 1; known is
+// false while none can be used.
+func (o *Owner) Utilisation(now time.Time) (share float64, known bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	limit := o.limit.effective(o.clock(now))
@@ -55,5 +55,5 @@
 	return min(float64(o.inFlight)/float64(limit), 1), true
 }
 
-// clamp16 returns n within the report's range.
+// clamp16 limits n to the range of the report's fields.
 func clamp16(n int) uint16 { return uint16(min(max(n, 0), math.MaxUint16)) }
--- a/internal/owner/shares.go
+++ b/internal/owner/shares.go
@@ -8,12 +8,12 @@
 	"gypsumstand/internal/model"
 )
 
-// shareFloor is the share of every class that the bundle gives less, so that
-// none is starved, whatever its worth.
-const shareFloor = 0.02
+// minShare is the lowest share of a class. It keeps every class from being starved,
+// whatever its worth or the share in the bundle.
+const minShare = 0.02
 
-// class is the state of one request class. Classes that no bundle names are
-// counted as one, under the empty name.
+// class is the state of one request class. Classes that no bundle names are counted as
+// one, under the empty name.
 type class struct {
 	name     model.ClassName
 	share    float64
@@ -23,18 +23,18 @@
 	objective time.Duration
 	inFlight  int
 	queued    int
-	// credit grows towards one slot for the part of the share that is no whole
-	// slot; see under.
+	// credit grows towards one start for the fractional slot of the share; see
+	// underShare.
 	credit  float64
 	service estimate
-	// stretch is what was learned of the class's waits.
-	stretch stretch
+	// inflation corrects the predicted waits of the class.
+	inflation waitInflation
 
 	// overall is the estimate over all classes.
 	overall *estimate
 }
 
-// expected returns the expected service time; zero when nothing is known.
+// expected returns the expected service time; zero when unknown.
 func (c *class) expected() time.Duration {
 	if c.service.count > 0 {
 		return c.service.mean()
@@ -45,20 +45,22 @@
 	return c.overall.mean()
 }
 
-// objectiveRuns is how many usual runs an objective is taken to be while none was
-// seen: operators set it at 2.7 of them. Without a guess an owner that has just
-// started would start long work on a machine that is slow at this moment.
+// objectiveRuns is the assumed ratio of a class's objective to its usual service time
+// while none was observed; operators set the objective at 2.7 service times. Without this
+// assumption, an owner that has just started would start long work on a machine in a slow
+// period.
 const objectiveRuns = 3
 
 // guaranteed returns the class's part of limit slots; it may be a fraction.
 func (c *class) guaranteed(limit int) float64 { return c.share * float64(limit) }
 
-// places returns the class's part of a queue's places, at least one.
-func (c *class) places(limit int) float64 { return max(1, c.share*float64(limit)) }
+// queuePlaces returns the class's part of the places of a queue with the given limit, at
+// least one.
+func (c *class) queuePlaces(limit int) float64 { return max(1, c.share*float64(limit)) }
 
-// under tells whether the class is under its share: it holds fewer than its
-// whole slots, or has saved up a start for the fraction over them.
-func (c *class) under(limit int) bool {
+// underShare reports whether the class is below its share: it holds fewer than its whole
+// slots, or has enough credit to start one for the fraction.
+func (c *class) underShare(limit int) bool {
 	g := c.guaranteed(limit)
 	if float64(c.inFlight+1) <= g {
 		return true
@@ -66,9 +68,9 @@
 	return float64(c.inFlight) < g && c.credit >= 1
 }
 
-// save adds to the credit at each start of any class while c waits. A fraction f
+// accrueCredit adds to the credit at each start of any class while c waits. A fraction f
 // of a slot amounts to f/limit of all starts.
-func (c *class) save(limit int) {
+func (c *class) accrueCredit(limit int) {
 	g := c.guaranteed(limit)
 	whole := math.Floor(g)
 	if float64(c.inFlight) <= whole {
@@ -76,7 +78,8 @@
 	}
 }
 
-// classSet holds the classes of the bundle in force and of those before it.
+// classSet holds the classes of the current bundle, and classes of earlier ones that are
+// still in use.
 type classSet struct {
 	byName map[model.ClassName]*class
 	// all lists the classes of byName and other.
@@ -85,15 +88,15 @@
 }
 
 func newClassSet(overall *estimate) classSet {
-	other := &class{share: shareFloor, overall: overall}
+	other := &class{share: minShare, overall: overall}
 	return classSet{byName: map[model.ClassName]*class{}, all: []*class{other}, other: other}
 }
 
-// configure takes the bundle's shares. Classes that it no longer names keep
-// their attempts and fall to the floor; they go once they are idle.
+// configure applies the bundle's shares. Classes that it no longer names keep their
+// attempts at the minimum share; they are removed once idle.
 func (s *classSet) configure(classes []bundle.Class) {
 	for name, c := range s.byName {
-		c.share = shareFloor
+		c.share = minShare
 		if c.inFlight == 0 && c.queued == 0 {
 			delete(s.byName, name)
 		}
@@ -105,7 +108,7 @@
 			c = &class{name: b.Name, overall: s.other.overall}
 			s.byName[b.Name] = c
 		}
-		c.share = max(b.Share, shareFloor)
+		c.share = max(b.Share, minShare)
 		c.priority = b.Priority
 		c.objective = 0
 		if b.ObjectiveMs > 0 {
@@ -126,43 +129,43 @@
 	return s.other
 }
 
-// charge accounts a start of class c: the classes that wait save towards their
-// fractions and c pays with what it had saved.
-func (s *classSet) charge(c *class, limit int) {
+// chargeStart accounts for a start of class c: it uses up c's credit when c starts beyond
+// its whole slots, and adds credit to the classes that wait.
+func (s *classSet) chargeStart(c *class, limit int) {
 	if float64(c.inFlight+1) > c.guaranteed(limit) && c.credit >= 1 {
 		c.credit = 0
 	}
 	for _, each := range s.all {
-		each.accrue(limit)
+		each.updateCredit(limit)
 	}
 }
 
-// accrue saves while the class waits; an idle class keeps no credit.
-func (c *class) accrue(limit int) {
+// updateCredit adds credit while the class waits; an idle class loses its credit.
+func (c *class) updateCredit(limit int) {
 	if c.queued == 0 {
 		c.credit = 0
 		return
 	}
-	c.save(limit)
+	c.accrueCredit(limit)
 }
 
-// chooser returns the waiting attempt that starts next, or nil for none.
-type chooser func(o *Owner, t time.Duration) *item
+// chooser returns the queued attempt that starts next, or nil for none.
+type chooser func(o *Owner, t time.Duration) *pendingAttempt
 
-// byShares chooses an attempt of a class under its share first, otherwise the
-// first by the queue's order: idle shares are borrowed. A tenant at its bound is
-// passed over while another tenant waits.
-func byShares(o *Owner, t time.Duration) *item {
+// byShares chooses an attempt of a class under its share first, otherwise the first in
+// the queue's order: idle shares are borrowed. A tenant at its limit is skipped while
+// another tenant waits.
+func byShares(o *Owner, t time.Duration) *pendingAttempt {
 	limit := o.limit.effective(t)
-	var best *item
+	var best *pendingAttempt
 	var bestBounded, bestUnder bool
-	for _, l := range o.queue.lanes {
-		it := l.best()
-		if o.held(t, it) || o.mustWait(it) {
+	for _, s := range o.queue.nonEmpty {
+		p := s.first()
+		if o.waitsForRecovery(t, p) || o.waitsForExclusive(p) {
 			continue
 		}
-		bounded := l.tenant.atBound(limit)
-		under := l.class.under(limit)
+		bounded := s.tenant.atBound(limit)
+		under := s.class.underShare(limit)
 		switch {
 		case best == nil:
 		case bounded != bestBounded:
@@ -173,10 +176,10 @@
 			if bestUnder {
 				continue
 			}
-		case !o.queue.before(it, best):
+		case !o.queue.before(p, best):
 			continue
 		}
-		best, bestBounded, bestUnder = it, bounded, under
+		best, bestBounded, bestUnder = p, bounded, under
 	}
 	return best
 }
--- a/internal/owner/sim_test.go
+++ b/internal/owner/sim_test.go
@@ -18,7 +18,7 @@
 type load struct {
 	class model.ClassName
 	worth float64
-	// part is the class's part of the work (slot time), and share its guarantee.
+	// part is the class's part of the work (slot time), share its guaranteed share.
 	part     float64
 	share    float64
 	service  time.Duration
@@ -27,12 +27,12 @@
 	// objective is the time within which an answer has its full worth; zero for none.
 	objective time.Duration
 	priority  int
-	// spread is the service time's deviation as a share of its mean; zero for an
-	// exponential one.
+	// spread is the deviation of the service time as a share of its mean; zero for an
+	// exponential distribution.
 	spread float64
 }
 
-// mixed is work of a payout service: statements are slow, lookups have no worth.
+// mixed is the work of a payout service: statements are slow, lookups have no worth.
 var mixed = []load{
 	{class: "payout", worth: 10, part: 0.2, share: 0.2, service: 20 * time.Millisecond, deadline: 300 * time.Millisecond},
 	{class: "statement", worth: 5, part: 0.35, share: 0.3, service: 80 * time.Millisecond, deadline: 800 * time.Millisecond},
@@ -42,9 +42,10 @@
 
 // worker is the simulated worker's behaviour.
 type worker struct {
-	// factor lengthens a service that starts at time at with n in flight.
+	// factor lengthens the service time of an attempt that starts at time at with n in
+	// flight.
 	factor func(at time.Duration, n int) float64
-	// capacity is the number it takes before it sheds; 0 means no bound.
+	// capacity is the number in flight from which the worker sheds; 0 means no bound.
 	capacity int
 }
 
@@ -59,18 +60,18 @@
 	prepare func(o *Owner)
 }
 
-// score is what the callers got of one class.
+// score is the outcome for the callers of one class.
 type score struct {
 	offered, answered, late, refused int
-	// inTime counts the answers within the objective, held the time from the offer to
-	// each refusal.
-	inTime int
-	held   []time.Duration
+	// inTime counts the answers within the objective; refusalDelays are the times from
+	// the offer to each refusal.
+	inTime        int
+	refusalDelays []time.Duration
 	// took is the time of each answered request.
 	took []time.Duration
 }
 
-// result is what the callers got in all.
+// result is the outcome for all callers.
 type result struct {
 	byClass map[model.ClassName]*score
 	// worth is the share of the offered worth that was answered in deadline.
@@ -81,8 +82,8 @@
 	tail map[model.ClassName]time.Duration
 }
 
-// part returns the share of a class's requests answered in deadline.
-func (r result) part(c model.ClassName) float64 {
+// answeredShare returns the share of a class's requests answered in deadline.
+func (r result) answeredShare(c model.ClassName) float64 {
 	return float64(r.byClass[c].answered) / float64(r.byClass[c].offered)
 }
 
@@ -105,16 +106,16 @@
 // sim is a run in progress.
 type sim struct {
 	scenario
-	rig     *rig
-	random  *rand.Rand
-	events  simEvents
-	now     time.Duration
-	atWork  int
-	pending map[model.AttemptID]simCall
-	result  result
+	rig      *rig
+	random   *rand.Rand
+	events   simEvents
+	now      time.Duration
+	inFlight int
+	pending  map[model.AttemptID]simRequest
+	result   result
 }
 
-type simCall struct {
+type simRequest struct {
 	load     *load
 	deadline time.Duration
 	arrived  time.Duration
@@ -124,8 +125,8 @@
 	heap.Push(&s.events, simEvent{s.now + d, run})
 }
 
-// arrive offers requests of one load for ever: Poisson, with bursts of 10 ms of
-// every 120 ms at four times the mean rate, a third of all arrivals.
+// arrive offers requests of one load without end: Poisson arrivals, with bursts of 10 ms
+// of every 120 ms at four times the mean rate, a third of all arrivals.
 func (s *sim) arrive(l *load) {
 	const burst, period, factor = 10, 120, 4.0
 	rate := s.level * float64(s.slots) * l.part / l.service.Seconds()
@@ -145,8 +146,8 @@
 	a.Class, a.Worth, a.Remaining, a.Tenant = l.class, l.worth, l.deadline, l.tenant
 	s.result.byClass[l.class].offered++
 	a.Objective = l.objective
-	s.pending[a.ID] = simCall{l, s.now + l.deadline, s.now}
-	switch got := s.rig.offer(a); got.Verdict {
+	s.pending[a.ID] = simRequest{l, s.now + l.deadline, s.now}
+	switch got := s.rig.offer(a); got.Kind {
 	case Start:
 		s.start(a.ID)
 	case Refuse:
@@ -158,7 +159,7 @@
 	call := s.pending[id]
 	sc := s.result.byClass[call.load.class]
 	sc.refused++
-	sc.held = append(sc.held, s.now-call.arrived)
+	sc.refusalDelays = append(sc.refusalDelays, s.now-call.arrived)
 	delete(s.pending, id)
 }
 
@@ -172,25 +173,25 @@
 	}
 }
 
-// start lets the worker serve, which gives up at the deadline.
+// start lets the worker serve an attempt; the owner's side gives up at the deadline.
 func (s *sim) start(id model.AttemptID) {
 	call := s.pending[id]
 	s.rig.o.Confirm(s.rig.now, id)
-	if s.worker.capacity > 0 && s.atWork >= s.worker.capacity {
+	if s.worker.capacity > 0 && s.inFlight >= s.worker.capacity {
 		s.after(100*time.Microsecond, func() { s.end(id, Completion{Shed: true, NotRun: true, Status: 503}) })
 		return
 	}
-	s.atWork++
+	s.inFlight++
 	service := s.serviceTime(call.load)
 	if s.worker.factor != nil {
-		service = time.Duration(float64(service) * s.worker.factor(s.now, s.atWork))
+		service = time.Duration(float64(service) * s.worker.factor(s.now, s.inFlight))
 	}
 	f := Completion{ServiceTime: service, Status: 200}
 	if left := call.deadline - s.now; service > left {
 		f = Completion{ServiceTime: left, Failed: true, Expired: true}
 	}
 	s.after(f.ServiceTime, func() {
-		s.atWork--
+		s.inFlight--
 		s.end(id, f)
 	})
 }
@@ -233,7 +234,7 @@
 	b := &bundle.Bundle{Name: "b", Version: 1}
 	s := &sim{
 		scenario: sc, rig: newRig(t, svc), random: rand.New(rand.NewPCG(sc.seed, 2)),
-		pending: map[model.AttemptID]simCall{}, result: result{byClass: map[model.ClassName]*score{}},
+		pending: map[model.AttemptID]simRequest{}, result: result{byClass: map[model.ClassName]*score{}},
 	}
 	for _, l := range sc.loads {
 		b.Classes = append(b.Classes, bundle.Class{
@@ -257,11 +258,11 @@
 		s.rig.now = start.Add(e.at)
 		e.run()
 	}
-	s.sum()
+	s.summarise()
 	return s.result
 }
 
-func (s *sim) sum() {
+func (s *sim) summarise() {
 	var offered, answered, offeredWorth, answeredWorth float64
 	s.result.tail = map[model.ClassName]time.Duration{}
 	for _, l := range s.loads {
--- a/internal/owner/tenants.go
+++ b/internal/owner/tenants.go
@@ -9,21 +9,21 @@
 	"gypsumstand/internal/model"
 )
 
-// rateSlack raises this owner's part of a tenant's fleet-wide rate, as entries
-// do not spread a tenant's requests evenly. A fleet whose every owner is used to
-// the full admits that much more than the bundle's rate.
+// rateSlack raises this owner's part of a tenant's fleet-wide rate, as entries do not
+// spread a tenant's requests evenly. When every owner is fully used, the fleet admits
+// this factor times the bundle's rate.
 const rateSlack = 1.25
 
-// tenant is the state of one tenant. Tenants that no bundle names are counted
-// under model.OtherTenant.
+// tenant is the state of one tenant. Tenants that no bundle names are counted under
+// model.OtherTenant.
 type tenant struct {
 	maxShare float64
 	inFlight int
-	// bucket is nil when the tenant's rate is not bounded.
+	// bucket is nil when the tenant's rate is not limited.
 	bucket *rate.Limiter
 }
 
-// atBound tells whether the tenant holds its share of limit slots.
+// atBound reports whether the tenant holds its share of limit slots.
 func (t *tenant) atBound(limit int) bool {
 	if t.maxShare >= 1 {
 		return false
@@ -31,7 +31,7 @@
 	return t.inFlight >= max(1, int(t.maxShare*float64(limit)))
 }
 
-// tenantSet holds the tenants of the bundle in force.
+// tenantSet holds the tenants of the current bundle.
 type tenantSet struct {
 	byName map[model.TenantName]*tenant
 	other  *tenant
@@ -41,8 +41,8 @@
 	return tenantSet{byName: map[model.TenantName]*tenant{}, other: &tenant{maxShare: 1}}
 }
 
-// configure takes the bundle's bounds; a tenant that stays keeps its bucket's
-// fill. Attempts of a tenant that goes keep its record until they end.
+// configure applies the bundle's limits; a tenant that stays keeps the tokens in its
+// bucket. Attempts of a removed tenant keep their reference to it until they end.
 func (s *tenantSet) configure(now time.Time, tenants []bundle.Tenant, upstreams int) {
 	old := s.byName
 	s.byName = make(map[model.TenantName]*tenant, len(tenants))
@@ -65,7 +65,7 @@
 	}
 }
 
-// setRate takes this owner's part of the tenant's rate and burst.
+// setRate sets this owner's part of the tenant's rate and burst.
 func (t *tenant) setRate(now time.Time, b *bundle.Tenant, upstreams int) {
 	if b.RatePerSecond <= 0 {
 		t.bucket = nil
@@ -90,8 +90,8 @@
 	return s.other
 }
 
-// wait returns how long until the tenant's rate lets one more request in; zero
-// when it does now.
+// wait returns the time until the tenant's rate admits one more request; zero when it
+// does now.
 func (s *tenantSet) wait(now time.Time, t *tenant) time.Duration {
 	if t.bucket == nil {
 		return 0
--- a/internal/owner/warming.go
+++ b/internal/owner/warming.go
@@ -6,189 +6,197 @@
 	"time"
 )
 
-// A worker that has just started bears only some requests a second for a while, and ends
-// under many more. It may begin to warm at any moment, so that its health answers tell it
-// late. So, whatever is believed, the starts within any one second that may have met a warming
-// worker stay under the most that it may get: those while it says that it is warming, and those
-// since the last sign of a warm one, as it may have begun to warm right after that. While it
-// says so they also come at an even pace.
+// A worker that has just started serves only a few requests a second for a while, and
+// crashes under many more. It may begin to warm at any moment, so its health answers
+// report it late. Whatever the last report, the starts within any one second that may
+// have met a warming worker stay under its maximum. Those are the starts while it reports
+// that it is warming, and the starts since it was last known to be warm, as it may have
+// begun to warm right after that. While it reports that it is warming, starts are also
+// spaced evenly.
 
 const (
-	// warmingWindow is the second in which starts are counted, and how far two starts may
-	// come nearer on their way to the worker; see warmingDelay.
+	// warmingWindow is the second in which starts are counted, plus the time by which two
+	// starts may move closer together on their path to the worker; see warmingDelay.
 	warmingWindow = time.Second + warmingDelay
-	// warmingDelay is the longest from a start to the attempt's first byte: a process whose
-	// processor quota is used up stands still for the rest of a tenth of a second.
+	// warmingDelay is the longest time from a start to the attempt's first byte: a
+	// process that has used up its processor quota is stopped for the rest of a period of
+	// 100 ms.
 	warmingDelay = 150 * time.Millisecond
-	// warmingBurst is the part of the most of a second that may start at once: requests come in
-	// clusters, and what waits for its turn mostly misses its objective.
-	warmingBurst = 1.0 / 3
-	// restartGap is the least time between the last attempt that a process sends and the start
-	// of the one that follows it.
+	// warmingBurstShare is the part of the maximum per second that may start at once:
+	// requests come in clusters, and those that wait for the even rate mostly miss their
+	// objective.
+	warmingBurstShare = 1.0 / 3
+	// restartGap is the least time between the last attempt that a process sends and the
+	// start of the next process.
 	restartGap = 100 * time.Millisecond
-	// signAge is the age of the last sign of a warm worker from which another is worth a
-	// health poll: a few attempts start within it.
-	signAge = 200 * time.Millisecond
+	// warmingSampleAge is the age from which the last report of a warm worker is worth
+	// renewing by a health poll: a few attempts start within it.
+	warmingSampleAge = 200 * time.Millisecond
 	// never is before all times of an owner's clock.
 	never = -time.Hour
 )
 
-// warming bounds the starts at a worker that may be warming. Times are on the owner's clock.
+// warming limits the starts at a worker that may be warming. Times are on the owner's
+// clock.
 type warming struct {
-	// perSecond is what a warming worker bears, in attempts a second; zero means that
-	// nothing is bounded. most is the most that it may get in a second, longest for how long
-	// it is warming at the most.
-	perSecond float64
-	most      int
-	longest   time.Duration
-	// until is when the worker is no longer warming, as it last said.
+	// perSecond is the rate that a warming worker can serve, in attempts a second; zero
+	// means no limit. maxInWindow is the most attempts that it may get in a second,
+	// maxDuration the longest time for which it is warming.
+	perSecond   float64
+	maxInWindow int
+	maxDuration time.Duration
+	// until is when the worker will be warm, by its last report.
 	until time.Duration
-	// sign is a lower bound of when the worker was last known not to be warming, and asked
-	// when it last said anything of it; never for neither.
-	sign, asked time.Duration
-	// tokens are the attempts that may start at the pace, as of filled.
-	tokens float64
-	filled time.Duration
-	// starts are those within the window that may have met a warming worker, in their order:
-	// the first sure of them by its word, the others since the last sign.
-	starts []time.Duration
-	sure   int
+	// notWarmingAt is a lower bound of the time at which the worker was last known not to
+	// be warming, sampledAt that of its last report; both are never before the first.
+	notWarmingAt, sampledAt time.Duration
+	// tokens are the attempts that may start at the even rate, as of refilledAt.
+	tokens     float64
+	refilledAt time.Duration
+	// starts are the starts within the window that may have met a warming worker, in
+	// order: the first knownWarming while it reported that it was warming, the others
+	// since notWarmingAt.
+	starts       []time.Duration
+	knownWarming int
 }
 
-func newWarming() warming { return warming{sign: never, asked: never} }
+func newWarming() warming { return warming{notWarmingAt: never, sampledAt: never} }
 
-// configure takes the bundle's bounds. The process that ran here before may have started the
-// most until shortly before this one's start.
-func (w *warming) configure(perSecond float64, most int, longest time.Duration) {
-	first := w.most == 0
-	w.perSecond, w.most, w.longest = perSecond, most, longest
+// configure applies the bundle's limits. The previous process on this instance may have
+// used up the maximum shortly before this one started.
+func (w *warming) configure(perSecond float64, maxInWindow int, maxDuration time.Duration) {
+	first := w.maxInWindow == 0
+	w.perSecond, w.maxInWindow, w.maxDuration = perSecond, maxInWindow, maxDuration
 	if first {
-		w.starts = slices.Repeat([]time.Duration{-restartGap}, most)
+		w.starts = slices.Repeat([]time.Duration{-restartGap}, maxInWindow)
 	}
 }
 
-// bounds tells whether starts are bounded at all.
-func (w *warming) bounds() bool { return w.perSecond > 0 && w.most > 0 }
+// enabled reports whether starts are limited at all.
+func (w *warming) enabled() bool { return w.perSecond > 0 && w.maxInWindow > 0 }
 
-// observe takes what the worker says: for how long it is warming, zero for not. asked is a
-// lower bound of when it said so.
-func (w *warming) observe(t, asked, left time.Duration) {
-	if asked < w.asked {
+// observe records the worker's report of how much longer it is warming, zero if it is
+// not. sampledAt is a lower bound of the time of the report.
+func (w *warming) observe(t, sampledAt, remaining time.Duration) {
+	if sampledAt < w.sampledAt {
 		return
 	}
-	first := w.asked == never
-	w.asked = asked
-	if left <= 0 {
+	first := w.sampledAt == never
+	w.sampledAt = sampledAt
+	if remaining <= 0 {
 		w.until = 0
-		w.signed(asked)
+		w.observeNotWarming(sampledAt)
 		return
 	}
-	if !w.on(t) {
-		w.tokens, w.filled = w.burst(), t
+	if !w.active(t) {
+		w.tokens, w.refilledAt = w.burst(), t
 	}
-	w.until = t + left
-	// It was not warming before it began to be, so that what the process before this one sent it
-	// may not count. One that says more than it should has begun at an unknown time.
-	if first && left <= w.longest {
-		w.signed(asked + left - w.longest)
+	w.until = t + remaining
+	// The worker was not warming before the period that it reports, so earlier starts by
+	// the previous process need not count. If it reports more than the longest period,
+	// the beginning of the period is unknown.
+	if first && remaining <= w.maxDuration {
+		w.observeNotWarming(sampledAt + remaining - w.maxDuration)
 	}
-	w.sure = len(w.starts)
+	w.knownWarming = len(w.starts)
 }
 
-// signed takes that the worker was not warming at a time, nor since it last said that it was.
-func (w *warming) signed(at time.Duration) {
-	w.sign = max(w.sign, at)
-	met := w.sure
-	for met < len(w.starts) && w.starts[met] <= w.sign {
-		met++
+// observeNotWarming records that the worker was not warming at a time after its last
+// report that it was.
+func (w *warming) observeNotWarming(at time.Duration) {
+	w.notWarmingAt = max(w.notWarmingAt, at)
+	end := w.knownWarming
+	for end < len(w.starts) && w.starts[end] <= w.notWarmingAt {
+		end++
 	}
-	w.starts = slices.Delete(w.starts, w.sure, met)
+	w.starts = slices.Delete(w.starts, w.knownWarming, end)
 }
 
-// on tells whether the worker is known to be warming.
-func (w *warming) on(t time.Duration) bool { return w.bounds() && t < w.until }
+// active reports whether the worker is known to be warming.
+func (w *warming) active(t time.Duration) bool { return w.enabled() && t < w.until }
 
-// stale tells whether the worker has said nothing lately of whether it is warming.
+// stale reports whether the worker has not reported recently whether it is warming.
 func (w *warming) stale(t time.Duration) bool {
-	return w.bounds() && t-w.asked > signAge
+	return w.enabled() && t-w.sampledAt > warmingSampleAge
 }
 
-// prune forgets the starts that are out of the window.
+// prune removes the starts before the window.
 func (w *warming) prune(t time.Duration) {
 	old := 0
 	for old < len(w.starts) && w.starts[old] <= t-warmingWindow {
 		old++
 	}
 	w.starts = slices.Delete(w.starts, 0, old)
-	w.sure = max(w.sure-old, 0)
+	w.knownWarming = max(w.knownWarming-old, 0)
 }
 
-// room returns how many attempts may start now.
-func (w *warming) room(t time.Duration) int {
-	if !w.bounds() {
+// available returns how many attempts may start now.
+func (w *warming) available(t time.Duration) int {
+	if !w.enabled() {
 		return math.MaxInt
 	}
 	w.prune(t)
-	room := w.most - len(w.starts)
-	if w.on(t) {
-		w.fill(t)
-		room = min(room, int(w.tokens))
+	n := w.maxInWindow - len(w.starts)
+	if w.active(t) {
+		w.refill(t)
+		n = min(n, int(w.tokens))
 	}
-	return room
+	return n
 }
 
-// start counts a start.
-func (w *warming) start(t time.Duration) {
-	if !w.bounds() {
+// recordStart counts a start.
+func (w *warming) recordStart(t time.Duration) {
+	if !w.enabled() {
 		return
 	}
 	w.prune(t)
 	w.starts = append(w.starts, t)
-	if w.on(t) {
-		w.fill(t)
+	if w.active(t) {
+		w.refill(t)
 		w.tokens--
-		w.sure = len(w.starts)
+		w.knownWarming = len(w.starts)
 	}
 }
 
-// pace is the even rate, in attempts a second, that keeps to the most of a second.
-func (w *warming) pace() float64 { return float64(w.most) / warmingWindow.Seconds() }
+// rate is the even rate, in attempts a second, that stays within the maximum of a window.
+func (w *warming) rate() float64 { return float64(w.maxInWindow) / warmingWindow.Seconds() }
 
 // burst is how many attempts a warming worker may get at once.
-func (w *warming) burst() float64 { return max(float64(w.most)*warmingBurst, 1) }
+func (w *warming) burst() float64 { return max(float64(w.maxInWindow)*warmingBurstShare, 1) }
 
-// fill adds the tokens of the time since the last call.
-func (w *warming) fill(t time.Duration) {
-	w.tokens = min(w.tokens+(t-w.filled).Seconds()*w.pace(), w.burst())
-	w.filled = t
+// refill adds the tokens for the time since the last call.
+func (w *warming) refill(t time.Duration) {
+	w.tokens = min(w.tokens+(t-w.refilledAt).Seconds()*w.rate(), w.burst())
+	w.refilledAt = t
 }
 
-// wait is the expected time until a number of attempts may have started.
+// wait is the expected time until the given number of attempts may have started.
 func (w *warming) wait(t time.Duration, attempts int) time.Duration {
-	if !w.bounds() {
+	if !w.enabled() {
 		return 0
 	}
 	wait := w.windowWait(t, attempts)
 	switch {
-	case w.on(t):
-		w.fill(t)
+	case w.active(t):
+		w.refill(t)
 		missing := max(float64(attempts)-w.tokens, 0)
-		return max(wait, min(time.Duration(missing/w.pace()*float64(time.Second)), w.until-t))
+		return max(wait, min(time.Duration(missing/w.rate()*float64(time.Second)), w.until-t))
 	case !w.stale(t):
-		// The worker speaks, so that its next sign comes before.
-		return min(wait, signAge)
+		// The worker reports regularly, so its next report comes earlier.
+		return min(wait, warmingSampleAge)
 	}
 	return wait
 }
 
-// windowWait is the time until the starts that count leave room for a number of attempts.
+// windowWait is the time until the counted starts leave room for the given number of
+// attempts.
 func (w *warming) windowWait(t time.Duration, attempts int) time.Duration {
 	w.prune(t)
-	missing := attempts - (w.most - len(w.starts))
+	missing := attempts - (w.maxInWindow - len(w.starts))
 	if missing <= 0 {
 		return 0
 	}
-	windows, last := (missing-1)/w.most, (missing-1)%w.most
+	windows, last := (missing-1)/w.maxInWindow, (missing-1)%w.maxInWindow
 	oldest := t
 	if last < len(w.starts) {
 		oldest = w.starts[last]
@@ -196,24 +204,24 @@
 	return oldest + time.Duration(windows+1)*warmingWindow - t
 }
 
-// limit returns how many of limit attempts a warming worker can have in hand at its pace,
-// where one takes service.
+// limit returns how many of limit attempts a warming worker can have in flight at the
+// even rate, when one takes service.
 func (w *warming) limit(t time.Duration, limit int, service time.Duration) int {
-	if !w.on(t) {
+	if !w.active(t) {
 		return limit
 	}
-	return min(limit, max(int(math.Ceil(w.pace()*service.Seconds())), 1))
+	return min(limit, max(int(math.Ceil(w.rate()*service.Seconds())), 1))
 }
 
-// ObserveWarming takes the worker's word of how much longer it is warming, zero for not, in
-// an answer to a question that was sent at asked. It returns who may start, and whether the
-// worker has begun to warm or is warm again.
-func (o *Owner) ObserveWarming(now, asked time.Time, left time.Duration) (ds []Decision, turned bool) {
+// ObserveWarming records the worker's report of how much longer it is warming, zero if it
+// is not, in the answer to a poll that was sent at sentAt. It returns decisions on queued
+// attempts, and whether the worker has begun to warm or has become warm.
+func (o *Owner) ObserveWarming(now, sentAt time.Time, left time.Duration) (ds []Decision, changed bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.clock(now)
-	was := o.warming.on(t)
-	o.warming.observe(t, asked.Sub(o.cfg.Started), left)
+	was := o.warming.active(t)
+	o.warming.observe(t, sentAt.Sub(o.cfg.Started), left)
 	o.dispatch(t)
-	return o.take(), was != o.warming.on(t)
+	return o.takeDecisions(), was != o.warming.active(t)
 }
