--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -1,7 +1,7 @@
-// Package health judges the life stage of a node's own worker from two kinds of
-// evidence: polls of its health endpoint, which lag and may mislead (brief),
-// and the worker's own behaviour towards real traffic, which does not. It does
-// no I/O. Design: docs/DESIGN.md, "The worker's life stage".
+// Package health determines the state of a node's own worker (cold, live or leaving) from
+// two sources: polls of its health endpoint, which may lag and be wrong, and the results
+// of real traffic, which are reliable. It does no I/O. Design: docs/DESIGN.md, "The
+// worker's life stage".
 package health
 
 import (
@@ -10,106 +10,111 @@
 	"gypsumstand/internal/model"
 )
 
-// Thresholds of the judgement.
+// Thresholds of the state changes.
 const (
-	// refusedToCold is the number of connections refused in a row that make a
-	// live worker cold: not even a lagging endpoint can contradict those.
+	// refusedToCold is the number of connections refused in a row that make a live worker
+	// cold. Refused connections are certain evidence, unlike the responses of a lagging
+	// endpoint.
 	refusedToCold = 2
-	// badPollsToCold is the number of bad polls in a row that make a live worker
-	// cold, unless traffic says otherwise.
+	// badPollsToCold is the number of bad polls in a row that make a live worker cold,
+	// unless it answered real traffic recently.
 	badPollsToCold = 3
-	// leavingPolls is the number of polls in a row that must say "leaving", which
-	// is final, before it is believed.
+	// leavingPolls is the number of polls in a row that must report "leaving" before the
+	// state, which is final, is adopted.
 	leavingPolls = 2
-	// trafficTrust is how long an answer to real traffic outweighs bad polls.
+	// trafficTrust is how long a response to real traffic outweighs bad polls.
 	trafficTrust = time.Second
 )
 
-// Poll is the outcome of one poll of the worker.
+// Poll is the result of one poll of the worker.
 type Poll struct {
-	// Refused: no connection could be had.
+	// Refused: no connection could be opened.
 	Refused bool
-	// Answered: a whole answer came in time.
+	// Answered: a complete response arrived in time.
 	Answered bool
-	// OK: the answer says that the worker takes work.
+	// OK: the response reports that the worker takes work.
 	OK bool
-	// Leaving: the answer says that the worker drains.
+	// Leaving: the response reports that the worker drains.
 	Leaving bool
 }
 
-// Tracker holds the evidence. It is used by one goroutine at a time.
+// Tracker determines the worker's state from polls and traffic. It must not be used
+// concurrently.
 type Tracker struct {
-	state   model.UpstreamState
-	refused int
-	bad     int
-	leaving int
-	answer  time.Time
-	// reachable says that any answer of a poll is good enough.
-	reachable bool
+	state             model.UpstreamState
+	refusedInRow      int
+	badPollsInRow     int
+	leavingPollsInRow int
+	lastResponse      time.Time
+	// reachabilityOnly: every answered poll counts as good, whatever it reports.
+	reachabilityOnly bool
 }
 
-// NewTracker returns a judge of a worker that is taken for cold.
+// NewTracker returns a tracker of a worker that starts as cold.
 func NewTracker() *Tracker { return &Tracker{state: model.StateCold} }
 
-// NewReachabilityTracker returns a judge that asks of polls only whether the worker
-// answers at all. It is for fleets where a directory says which workers take work
-// and health answers are known to be false either way: a worker that calls itself
-// ill and gets no work could not show by its work that it is well.
-func NewReachabilityTracker() *Tracker { return &Tracker{state: model.StateCold, reachable: true} }
+// NewReachabilityTracker returns a tracker for which polls only show whether the worker
+// answers at all. It is for fleets where a directory lists the workers that take work,
+// and where health responses may be wrong either way: a worker that wrongly reports
+// itself unhealthy would get no work, and so could not show by its responses that it is
+// healthy.
+func NewReachabilityTracker() *Tracker {
+	return &Tracker{state: model.StateCold, reachabilityOnly: true}
+}
 
-// State returns the present judgement.
-func (j *Tracker) State() model.UpstreamState { return j.state }
+// State returns the current state.
+func (t *Tracker) State() model.UpstreamState { return t.state }
 
-// ObservePoll takes a poll's outcome and returns the judgement.
-func (j *Tracker) ObservePoll(now time.Time, p Poll) model.UpstreamState {
-	if j.reachable {
+// ObservePoll records the result of a poll and returns the new state.
+func (t *Tracker) ObservePoll(now time.Time, p Poll) model.UpstreamState {
+	if t.reachabilityOnly {
 		p.OK, p.Leaving = p.Answered, false
 	}
-	j.countRefused(p.Refused)
+	t.countRefused(p.Refused)
 	if p.Leaving {
-		j.leaving++
+		t.leavingPollsInRow++
 	} else {
-		j.leaving = 0
+		t.leavingPollsInRow = 0
 	}
 	if p.OK {
-		j.bad = 0
-		j.become(model.StateLive)
+		t.badPollsInRow = 0
+		t.setState(model.StateLive)
 	} else {
-		j.bad++
+		t.badPollsInRow++
 	}
-	if j.leaving >= leavingPolls {
-		j.become(model.StateLeaving)
+	if t.leavingPollsInRow >= leavingPolls {
+		t.setState(model.StateLeaving)
 	}
-	if j.bad >= badPollsToCold && now.Sub(j.answer) > trafficTrust {
-		j.become(model.StateCold)
+	if t.badPollsInRow >= badPollsToCold && now.Sub(t.lastResponse) > trafficTrust {
+		t.setState(model.StateCold)
 	}
-	return j.state
+	return t.state
 }
 
-// ObserveTraffic takes the outcome of real work: refused tells that no connection could
-// be had, otherwise the worker answered.
-func (j *Tracker) ObserveTraffic(now time.Time, refused bool) model.UpstreamState {
-	j.countRefused(refused)
+// ObserveTraffic records a result of real traffic and returns the new state. refused
+// means that no connection could be opened; otherwise the worker answered.
+func (t *Tracker) ObserveTraffic(now time.Time, refused bool) model.UpstreamState {
+	t.countRefused(refused)
 	if !refused {
-		j.answer = now
+		t.lastResponse = now
 	}
-	return j.state
+	return t.state
 }
 
-func (j *Tracker) countRefused(refused bool) {
+func (t *Tracker) countRefused(refused bool) {
 	if !refused {
-		j.refused = 0
+		t.refusedInRow = 0
 		return
 	}
-	j.refused++
-	if j.refused >= refusedToCold {
-		j.become(model.StateCold)
+	t.refusedInRow++
+	if t.refusedInRow >= refusedToCold {
+		t.setState(model.StateCold)
 	}
 }
 
-// become changes the state; leaving is final.
-func (j *Tracker) become(s model.UpstreamState) {
-	if j.state < model.StateLeaving {
-		j.state = s
+// setState changes the state unless it is leaving, which is final.
+func (t *Tracker) setState(s model.UpstreamState) {
+	if t.state < model.StateLeaving {
+		t.state = s
 	}
 }
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -16,7 +16,7 @@
 	draining = health.Poll{Answered: true, Leaving: true}
 )
 
-func TestTheWorkersLifeStage(t *testing.T) {
+func TestWorkerState(t *testing.T) {
 	cases := []struct {
 		name  string
 		polls []health.Poll
@@ -24,25 +24,25 @@
 	}{
 		{"not polled yet", nil, model.StateCold},
 		{"one good poll", []health.Poll{ok}, model.StateLive},
-		{"two bad polls are doubted", []health.Poll{ok, bad, silent}, model.StateLive},
+		{"two bad polls are not enough", []health.Poll{ok, bad, silent}, model.StateLive},
 		{"three bad polls", []health.Poll{ok, bad, silent, bad}, model.StateCold},
-		{"a good poll between", []health.Poll{ok, bad, bad, ok, bad}, model.StateLive},
-		{"one refused connection is doubted", []health.Poll{ok, refused}, model.StateLive},
+		{"a good poll resets the count", []health.Poll{ok, bad, bad, ok, bad}, model.StateLive},
+		{"one refused connection is not enough", []health.Poll{ok, refused}, model.StateLive},
 		{"two refused connections", []health.Poll{ok, refused, refused}, model.StateCold},
 		{"back after a restart", []health.Poll{ok, refused, refused, ok}, model.StateLive},
-		{"one word of leaving is doubted", []health.Poll{ok, draining, ok}, model.StateLive},
-		{"two words of leaving", []health.Poll{ok, draining, draining}, model.StateLeaving},
-		{"leaving never turns back", []health.Poll{ok, draining, draining, ok, ok, refused, refused}, model.StateLeaving},
+		{"one report of leaving is not enough", []health.Poll{ok, draining, ok}, model.StateLive},
+		{"two reports of leaving", []health.Poll{ok, draining, draining}, model.StateLeaving},
+		{"leaving is final", []health.Poll{ok, draining, draining, ok, ok, refused, refused}, model.StateLeaving},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			j := health.NewTracker()
+			tracker := health.NewTracker()
 			now := time.Unix(1000, 0)
 			for _, p := range c.polls {
 				now = now.Add(time.Second)
-				j.ObservePoll(now, p)
+				tracker.ObservePoll(now, p)
 			}
-			if got := j.State(); got != c.want {
+			if got := tracker.State(); got != c.want {
 				t.Errorf("state %v, want %v", got, c.want)
 			}
 		})
@@ -50,19 +50,19 @@
 }
 
 func TestAnswersToTrafficOutweighBadPolls(t *testing.T) {
-	j := health.NewTracker()
+	tracker := health.NewTracker()
 	now := time.Unix(1000, 0)
-	j.ObservePoll(now, ok)
+	tracker.ObservePoll(now, ok)
 	for range 10 {
 		now = now.Add(100 * time.Millisecond)
-		j.ObserveTraffic(now, false)
-		j.ObservePoll(now, bad)
+		tracker.ObserveTraffic(now, false)
+		tracker.ObservePoll(now, bad)
 	}
-	if got := j.State(); got != model.StateLive {
-		t.Errorf("with traffic answered: state %v, want live", got)
+	if got := tracker.State(); got != model.StateLive {
+		t.Errorf("with answered traffic: state %v, want live", got)
 	}
 	now = now.Add(2 * time.Second)
-	if got := j.ObservePoll(now, bad); got != model.StateCold {
+	if got := tracker.ObservePoll(now, bad); got != model.StateCold {
 		t.Errorf("without traffic: state %v, want cold", got)
 	}
 }
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -29,7 +29,7 @@
 
 func allowed(budget float64) int { return max(1, int(budget)) }
 
-// gap draws a time between two messages: mostly short, sometimes none or long.
+// gap draws a time between two messages: mostly short, sometimes zero or long.
 func gap(t *rapid.T) time.Duration {
 	switch rapid.IntRange(0, 9).Draw(t, "kind of gap") {
 	case 0:
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestLandingKeepsBudgetInAnySecondOverGapsAndRestarts(t *testing.T) {
+func TestOwnerLimiterKeepsBudgetInAnySecond(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMeasuring(t)
 		now := start
@@ -60,7 +60,7 @@
 			case 0:
 				l = NewOwnerLimiter(now, m)
 			case 1:
-				// A flood.
+				// A flood of messages.
 				for range 2000 {
 					now = now.Add(time.Millisecond)
 					if l.AllowProbe(now) || l.AllowPoll(now) {
@@ -78,12 +78,12 @@
 			}
 		}
 		if most := mostInSecond(taken); most > allowed(m.PerUpstreamPerSecond) {
-			t.Fatalf("%d messages within a second at a budget of %v", most, m.PerUpstreamPerSecond)
+			t.Fatalf("%d messages within a second, budget %v", most, m.PerUpstreamPerSecond)
 		}
 	})
 }
 
-func TestLandingIgnoresTimeRunningBackwards(t *testing.T) {
+func TestOwnerLimiterIgnoresTimeRunningBackwards(t *testing.T) {
 	m := bundle.Measuring{PerUpstreamPerSecond: 2, PollShare: 0.5}
 	l := NewOwnerLimiter(start, m)
 	taken := 0
@@ -98,11 +98,11 @@
 		}
 	}
 	if taken != 1 {
-		t.Errorf("%d probes were taken at one moment, want 1", taken)
+		t.Errorf("%d probes were answered at one moment, want 1", taken)
 	}
 }
 
-func TestLandingKeepsPollShareUnderFloodOfProbes(t *testing.T) {
+func TestOwnerLimiterKeepsPollShareUnderProbeFlood(t *testing.T) {
 	for _, m := range []bundle.Measuring{
 		{PerUpstreamPerSecond: 1, PollShare: 0.1},
 		{PerUpstreamPerSecond: 5, PollShare: 0.1},
@@ -122,25 +122,25 @@
 				l.AllowProbe(now)
 			}
 			c := l.Counts()
-			// With a tick of 100 ms a poll may come one tick after its own token,
-			// and one more behind a probe.
+			// With a tick of 100 ms, a poll may be sent one tick after its own token, and
+			// one more after a probe.
 			spacing := 1/(m.PerUpstreamPerSecond*m.PollShare) + 0.2
 			if want := uint64(0.95 * seconds / spacing); c.PollsSent < want {
 				t.Errorf("%d polls in %d s, want at least %d (%+v)", c.PollsSent, seconds, want, c)
 			}
 			if m.PollShare < 0.9 && c.ProbesAnswered == 0 {
-				t.Errorf("no probe was taken: %+v", c)
+				t.Errorf("no probe was answered: %+v", c)
 			}
 		})
 	}
 }
 
 func TestZeroBudgetAllowsNothing(t *testing.T) {
-	l := NewOwnerLimiter(start, bundle.Measuring{})
-	o := NewEntryLimiter(nil)
+	ownerLimiter := NewOwnerLimiter(start, bundle.Measuring{})
+	entryLimiter := NewEntryLimiter(nil)
 	for i := range 100 {
 		now := start.Add(time.Duration(i) * time.Minute)
-		if l.AllowPoll(now) || l.AllowProbe(now) || o.Allow(now, "a", bundle.Measuring{}, 1) {
+		if ownerLimiter.AllowPoll(now) || ownerLimiter.AllowProbe(now) || entryLimiter.Allow(now, "a", bundle.Measuring{}, 1) {
 			t.Fatal("a message was allowed without a budget")
 		}
 	}
@@ -160,16 +160,16 @@
 		}
 	}
 	if most := mostInSecond(taken); most > 1 || len(taken) < 8 {
-		t.Errorf("%d messages in 10 s, %d within one, at a budget of 1", len(taken), most)
+		t.Errorf("%d messages in 10 s, at most %d in one second; want at least 8 and at most 1", len(taken), most)
 	}
 }
 
-func TestOriginKeepsItsPartOverGapsAndChanges(t *testing.T) {
+func TestEntryLimiterKeepsItsPart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMeasuring(t)
 		m.PollShare = min(m.PollShare, 0.9)
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		o := NewEntryLimiter(rng.Uint64)
+		l := NewEntryLimiter(rng.Uint64)
 		now, probers := start, 1
 		// earned is the part of the budget since the last probe, in probes.
 		earned := 1.0
@@ -180,24 +180,24 @@
 			if rapid.IntRange(0, 9).Draw(t, "change") == 0 {
 				probers = rapid.IntRange(1, 50).Draw(t, "probers")
 			}
-			if !o.Allow(now, "a", m, probers) {
+			if !l.Allow(now, "a", m, probers) {
 				continue
 			}
 			if earned < 1 {
-				t.Fatalf("a probe was sent on %v of one", earned)
+				t.Fatalf("a probe was sent after %v of its period", earned)
 			}
 			earned = 0
 		}
 	})
 }
 
-// sendAll asks all origins every tick and returns what arrived when.
-func sendAll(origins []*EntryLimiter, from time.Time, d time.Duration, m bundle.Measuring) []time.Time {
+// allowAll asks all limiters on every tick and returns the times of the allowed probes.
+func allowAll(limiters []*EntryLimiter, from time.Time, d time.Duration, m bundle.Measuring) []time.Time {
 	const tick = 100 * time.Millisecond
 	var arrived []time.Time
 	for at := time.Duration(0); at < d; at += tick {
-		for _, o := range origins {
-			if o.Allow(from.Add(at), "a", m, len(origins)) {
+		for _, l := range limiters {
+			if l.Allow(from.Add(at), "a", m, len(limiters)) {
 				arrived = append(arrived, from.Add(at))
 			}
 		}
@@ -205,14 +205,14 @@
 	return arrived
 }
 
-func TestOriginsThatWakeTogetherDoNotSendTogether(t *testing.T) {
+func TestEntryLimitersDoNotSynchronise(t *testing.T) {
 	const nodes = 200
 	const phase = 2 * time.Minute
 	m := bundle.Measuring{PerUpstreamPerSecond: 10, PollShare: 0.5}
 	rng := rand.New(rand.NewPCG(1, 2))
-	origins := make([]*EntryLimiter, nodes)
-	for i := range origins {
-		origins[i] = NewEntryLimiter(rng.Uint64)
+	limiters := make([]*EntryLimiter, nodes)
+	for i := range limiters {
+		limiters[i] = NewEntryLimiter(rng.Uint64)
 	}
 	cases := []struct {
 		name string
@@ -225,33 +225,33 @@
 	from := start
 	for _, c := range cases {
 		from = from.Add(c.gap)
-		arrived := sendAll(origins, from, phase, m)
+		arrived := allowAll(limiters, from, phase, m)
 		from = from.Add(phase)
-		// A Poisson number of mean 5 goes over 20 once in 10 million.
+		// A Poisson variable of mean 5 exceeds 20 once in 10 million draws.
 		if most := mostInSecond(arrived); most > 20 {
-			t.Errorf("%s: %d probes arrived within a second, 5 is the mean allowed", c.name, most)
+			t.Errorf("%s: %d probes arrived within a second, the mean is 5", c.name, most)
 		}
 		if n := len(arrived); n < 400 || n > 600 {
-			t.Errorf("%s: %d probes in %v, want most of 600", c.name, n, phase)
+			t.Errorf("%s: %d probes in %v, want 400 to 600", c.name, n, phase)
 		}
 	}
 }
 
-func TestOriginBoundsItsMemory(t *testing.T) {
+func TestEntryLimiterBoundsItsMemory(t *testing.T) {
 	m := bundle.Measuring{PerUpstreamPerSecond: 10, PollShare: 0.5}
-	o := NewEntryLimiter(nil)
+	l := NewEntryLimiter(nil)
 	for i := range 3 * maxTracked {
-		o.Allow(start, model.InstanceID(fmt.Sprint(i)), m, 1)
+		l.Allow(start, model.InstanceID(fmt.Sprint(i)), m, 1)
 	}
 	want := EntryCounts{Untracked: 2 * maxTracked}
-	got := o.Counts()
+	got := l.Counts()
 	got.Sent, got.Deferred = 0, 0
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	// Later, plans that no longer bind make room.
-	o.Allow(start.Add(time.Hour), "new", m, 1)
-	if len(o.upstream) != 1 {
-		t.Errorf("%d upstreams are remembered, want 1", len(o.upstream))
+	// Later, expired plans make room.
+	l.Allow(start.Add(time.Hour), "new", m, 1)
+	if len(l.plans) != 1 {
+		t.Errorf("%d upstreams are tracked, want 1", len(l.plans))
 	}
 }
--- a/internal/owner/breaker.go
+++ b/internal/owner/breaker.go
@@ -9,11 +9,11 @@
 // A worker can break every attempt while its health checks pass, and each attempt that
 // must not be repeated is lost there. After several broken attempts in a row the owner
 // therefore refuses new ones, which proves that they did not run, and lets a trial
-// through now and then. One answer closes the breaker. Cases: a worker that resets all
+// through now and then. One response closes the breaker. Cases: a worker that resets all
 // requests, or that goes down and up by turns, next to workers that restart.
 const (
 	// breakerThreshold is the number of broken attempts in a row that opens the breaker.
-	// A worker that loses two answers in five opens it once in 1,500 attempts. A
+	// A worker that loses two responses in five opens it once in 1,500 attempts. A
 	// threshold of 5 would open it once in a hundred, and refuse 4,000 submissions
 	// instead of 3,000 on a day with such workers.
 	breakerThreshold = 8
@@ -29,7 +29,7 @@
 // breaker refuses attempts to a worker that breaks all of them. Times are on the owner's
 // clock. The zero value is closed.
 type breaker struct {
-	// consecutive is the number of broken attempts since the last answer.
+	// consecutive is the number of broken attempts since the last response.
 	consecutive int
 	// nextTrial is the time of the next trial, interval the time from it to the one
 	// after.
@@ -72,7 +72,7 @@
 	return min(max(b.nextTrial-t, retryMin), breakerMaxInterval), true
 }
 
-// broken reports whether the worker dropped the attempt or corrupted its answer. A
+// broken reports whether the worker dropped the attempt or corrupted its response. A
 // time-out does not count: a hanging worker keeps its slots occupied, so it gets little
 // work anyway, and most of what queues meanwhile is served afterwards. Counting time-outs
 // lowered the worth answered by a worker that hangs for 0.7 of 2 s from 0.72 to 0.55
--- a/internal/owner/breaker_test.go
+++ b/internal/owner/breaker_test.go
@@ -97,7 +97,7 @@
 		b.observe(0, true)
 	}
 	if _, open := b.refuses(0, false); open {
-		t.Error("breaker open although an answer interrupted the failures")
+		t.Error("breaker open although a response interrupted the failures")
 	}
 }
 
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -34,7 +34,7 @@
 	started bool
 	// predicted is the wait that was predicted on arrival.
 	predicted time.Duration
-	// objective is the time up to which an answer has its full worth; zero when there is
+	// objective is the time up to which a response has its full worth; zero when there is
 	// none.
 	objective time.Duration
 	// late: queued behind the attempts that can still meet their objective.
@@ -132,7 +132,7 @@
 
 // minTimeShare is the share of the expected service time that must be left for a start.
 // Of service times that vary by a third, one in four is below 0.8 of the mean. With less
-// time left, an attempt mostly occupies a slot for an answer that comes after the
+// time left, an attempt mostly occupies a slot for a response that comes after the
 // deadline.
 const minTimeShare = 0.8
 
--- a/internal/owner/limit.go
+++ b/internal/owner/limit.go
@@ -27,7 +27,7 @@
 	signalServed
 	// signalShed: refused for load, or not reachable.
 	signalShed
-	// signalTimeout: no complete answer in time.
+	// signalTimeout: no complete response in time.
 	signalTimeout
 )
 
@@ -125,7 +125,7 @@
 	a.reduction = float64(slots) - max(1, a.ceiling(slots)*factor)
 }
 
-// increase adds one slot per round of answers, whether or not the limit was used up. The
-// limit cannot exceed the slots, and it also has to recover while another limit binds,
-// such as that of a tenant.
+// increase adds one slot per round of responses, whether or not the limit was used up.
+// The limit cannot exceed the slots, and it also has to recover while another limit
+// binds, such as that of a tenant.
 func (a *aimd) increase(slots int) { a.reduction = max(0, a.reduction-1/a.ceiling(slots)) }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -43,7 +43,7 @@
 
 // Completion describes how a started attempt ended at the worker.
 type Completion struct {
-	// ServiceTime is the time from the start to the complete answer.
+	// ServiceTime is the time from the start to the complete response.
 	ServiceTime time.Duration
 	// NotRun: the worker is proved not to have run the attempt (no byte was sent, or it
 	// said so). The attempt is fenced and its request id freed. If Confirm returned true,
@@ -61,12 +61,13 @@
 	// attempts would not help. It counts as a failure; with NotRun the attempt did not
 	// run.
 	SpuriousRefusal bool
-	// Expired, with Failed: the attempt's time ran out before a complete answer arrived.
+	// Expired, with Failed: the attempt's time ran out before a complete response
+	// arrived.
 	Expired bool
 	// Abandoned: the entry gave the attempt up, or its time ran out before a byte was
 	// sent, so its end shows nothing about the worker.
 	Abandoned bool
-	// Status is the worker's HTTP status; 0 without a complete answer.
+	// Status is the worker's HTTP status; 0 without a complete response.
 	Status int
 }
 
--- a/internal/owner/predict.go
+++ b/internal/owner/predict.go
@@ -28,15 +28,15 @@
 
 func (e *estimate) mean() time.Duration { return time.Duration(e.value) }
 
-// serviceStats holds statistics of the worker's answers.
+// serviceStats holds statistics of the worker's responses.
 type serviceStats struct {
 	all estimate
-	// failures is the smoothed share of failed answers, 0 to 1.
+	// failures is the smoothed share of failed responses, 0 to 1.
 	failures    float64
 	lastFailure time.Duration
 }
 
-// failing reports whether most of the worker's recent answers failed.
+// failing reports whether most of the worker's recent responses failed.
 func (s *serviceStats) failing(t time.Duration) bool {
 	return s.failures >= failingRate && t-s.lastFailure < failingMemory
 }
--- a/internal/owner/shares.go
+++ b/internal/owner/shares.go
@@ -18,7 +18,7 @@
 	name     model.ClassName
 	share    float64
 	priority int
-	// objective is the time within which an answer has its full worth; zero when the
+	// objective is the time within which a response has its full worth; zero when the
 	// bundle names none.
 	objective time.Duration
 	inFlight  int
--- a/internal/owner/sim_test.go
+++ b/internal/owner/sim_test.go
@@ -24,7 +24,7 @@
 	service  time.Duration
 	deadline time.Duration
 	tenant   model.TenantName
-	// objective is the time within which an answer has its full worth; zero for none.
+	// objective is the time within which a response has its full worth; zero for none.
 	objective time.Duration
 	priority  int
 	// spread is the deviation of the service time as a share of its mean; zero for an
@@ -63,7 +63,7 @@
 // score is the outcome for the callers of one class.
 type score struct {
 	offered, answered, late, refused int
-	// inTime counts the answers within the objective; refusalDelays are the times from
+	// inTime counts the responses within the objective; refusalDelays are the times from
 	// the offer to each refusal.
 	inTime        int
 	refusalDelays []time.Duration
--- a/internal/owner/warming.go
+++ b/internal/owner/warming.go
@@ -7,7 +7,7 @@
 )
 
 // A worker that has just started serves only a few requests a second for a while, and
-// crashes under many more. It may begin to warm at any moment, so its health answers
+// crashes under many more. It may begin to warm at any moment, so its health responses
 // report it late. Whatever the last report, the starts within any one second that may
 // have met a warming worker stay under its maximum. Those are the starts while it reports
 // that it is warming, and the starts since it was last known to be warm, as it may have
@@ -214,8 +214,8 @@
 }
 
 // ObserveWarming records the worker's report of how much longer it is warming, zero if it
-// is not, in the answer to a poll that was sent at sentAt. It returns decisions on queued
-// attempts, and whether the worker has begun to warm or has become warm.
+// is not, in the response to a poll that was sent at sentAt. It returns decisions on
+// queued attempts, and whether the worker has begun to warm or has become warm.
 func (o *Owner) ObserveWarming(now, sentAt time.Time, left time.Duration) (ds []Decision, changed bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/upstream/protocol_bench_test.go
+++ b/internal/upstream/protocol_bench_test.go
@@ -14,16 +14,16 @@
 	"gypsumstand/internal/upstream"
 )
 
-// Figures of the comparison.
+// Parameters of the comparison.
 const (
 	benchConcurrency = 64
-	benchAnswerBytes = 2 << 10
+	benchResponseBytes = 2 << 10
 	benchServiceTime = time.Millisecond
 )
 
-// BenchmarkProtocolBetweenNodes compares pooled HTTP/1.1 with cleartext HTTP/2
-// between two nodes: 64 calls at once, each 1 ms at the server, 2 KiB answers.
-// It reports the time that the way added at the median and the 99th percentile.
+// BenchmarkProtocolBetweenNodes compares pooled HTTP/1.1 with cleartext HTTP/2 between
+// two nodes: 64 concurrent calls, each 1 ms at the server, with responses of 2 KiB. It
+// reports the time that the path added at the median and the 99th percentile.
 func BenchmarkProtocolBetweenNodes(b *testing.B) {
 	b.Run("http1", func(b *testing.B) { benchProtocol(b, false) })
 	b.Run("h2c", func(b *testing.B) { benchProtocol(b, true) })
@@ -37,11 +37,11 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	answer := make([]byte, benchAnswerBytes)
+	response := make([]byte, benchResponseBytes)
 	s := &http.Server{Protocols: &protocols, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		timer := time.NewTimer(benchServiceTime)
 		<-timer.C
-		_, _ = w.Write(answer)
+		_, _ = w.Write(response)
 	})}
 	go s.Serve(l)
 	defer s.Close()
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -1,7 +1,7 @@
-// Package upstream sends attempts to this node's own worker by net/http, and
-// proves what became of them. net/http's Transport replays requests that it
-// takes for idempotent on a reused connection that dies; Seal takes every
-// ground for that away, so one call is one run at most.
+// Package upstream sends attempts to this node's own worker by net/http, and proves
+// whether they were sent. The Transport of net/http replays requests that it considers
+// idempotent when a reused connection breaks; PreventReplay removes every condition for
+// that, so that one call runs at most once.
 package upstream
 
 import (
@@ -18,21 +18,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// Options are the settings of a transport.
+// Options are the parameters of a transport.
 type Options struct {
-	// DialFunc opens connections; nil means TCP with DialTimeout and Silence.
+	// Dial opens connections; nil means TCP with DialTimeout and AckTimeout.
 	Dial DialFunc
-	// MaxIdleConns is how many idle connections are kept to each address, Connections how
-	// many are open to each at most (0: any number).
+	// MaxIdleConns is the number of idle connections kept to each address, MaxConns the
+	// most open connections to each (0: no limit).
 	MaxIdleConns, MaxConns int
 	// DialTimeout bounds opening a connection; zero means 2 s.
 	DialTimeout time.Duration
-	// IdleTimeout is how long an idle connection is kept; zero means 30 s. It must
-	// be shorter than the other side's: a request that crosses its close may have
-	// been read.
+	// IdleTimeout is how long an idle connection is kept; zero means 30 s. It must be
+	// shorter than the other side's timeout: a request that crosses the other side's
+	// close may have been read.
 	IdleTimeout time.Duration
-	// AckTimeout is how long the other side's kernel may acknowledge nothing before
-	// the connection ends; zero means 15 s.
+	// AckTimeout is how long the other side's kernel may leave data and keep-alive probes
+	// unacknowledged before the connection is closed; zero means 15 s.
 	AckTimeout time.Duration
 }
 
@@ -40,52 +40,53 @@
 const (
 	defaultDialTimeout = 2 * time.Second
 	defaultIdleTimeout = 30 * time.Second
-	defaultSilence     = 15 * time.Second
+	defaultAckTimeout  = 15 * time.Second
 )
 
 const (
 	maxHeaderBytes = 64 << 10
-	// silenceProbes is the number of keep-alive probes that go unanswered within
-	// Options.Silence.
-	silenceProbes = 2
+	// keepAliveProbes is the number of unanswered keep-alive probes within AckTimeout.
+	keepAliveProbes = 2
 )
 
-// Canonical and replay-proof names of the header that makes net/http take a
-// request for idempotent (net/http.Request.isReplayable looks for the canonical
-// map key; header names are case-insensitive on the wire, RFC 9110 section 5.1).
+// Names of the headers for which net/http considers a request idempotent, in canonical
+// form and in a form that does not cause a replay. net/http.Request.isReplayable looks
+// for the canonical map key; on the wire, header names are case-insensitive (RFC 9110
+// section 5.1).
 const (
-	idempotencyKey        = "Idempotency-Key"
-	idempotencyKeyX       = "X-Idempotency-Key"
-	idempotencyKeySealed  = "idempotency-key"
-	idempotencyKeyXSealed = "x-idempotency-key"
+	idempotencyKey       = "Idempotency-Key"
+	idempotencyKeyX      = "X-Idempotency-Key"
+	idempotencyKeyLower  = "idempotency-key"
+	idempotencyKeyXLower = "x-idempotency-key"
 )
 
-// DialFunc opens a connection; net.Dialer.DialContext is one.
+// DialFunc opens a connection, like net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// tcpDialer returns the Dial in use when none is given: connections that end when
-// the other side is silent, whether they are idle or have sent something.
-func tcpDialer(timeout, silence time.Duration) DialFunc {
-	interval := max(silence/(silenceProbes+1), time.Second)
+// tcpDialer returns the default DialFunc. Its connections are closed when the other side
+// acknowledges nothing, whether they are idle or have sent something.
+func tcpDialer(timeout, ackTimeout time.Duration) DialFunc {
+	interval := max(ackTimeout/(keepAliveProbes+1), time.Second)
 	dialer := net.Dialer{
 		Timeout:         timeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: interval, Interval: interval, Count: silenceProbes},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: interval, Interval: interval, Count: keepAliveProbes},
 		Control: func(_, _ string, c syscall.RawConn) error {
-			var failed error
+			var optionErr error
 			err := c.Control(func(fd uintptr) {
-				failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+				optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 			})
-			return errors.Join(err, failed)
+			return errors.Join(err, optionErr)
 		},
 	}
 	return dialer.DialContext
 }
 
-// NewTransport returns a transport that cannot replay a sealed request.
+// NewTransport returns a transport that cannot replay a request passed through
+// PreventReplay.
 func NewTransport(o Options) *http.Transport {
 	o.DialTimeout = cmp.Or(o.DialTimeout, defaultDialTimeout)
 	o.IdleTimeout = cmp.Or(o.IdleTimeout, defaultIdleTimeout)
-	o.AckTimeout = cmp.Or(o.AckTimeout, defaultSilence)
+	o.AckTimeout = cmp.Or(o.AckTimeout, defaultAckTimeout)
 	dial := o.Dial
 	if dial == nil {
 		dial = tcpDialer(o.DialTimeout, o.AckTimeout)
@@ -109,90 +110,89 @@
 	}
 }
 
-// errBarred is what a write gets after the connection was proved unused.
-var errBarred = errors.New("connection is barred: its request was proved not run")
+// errFenced is the error of a write after the connection was proved unused.
+var errFenced = errors.New("connection is fenced: its request was proved not run")
 
-// countingConn counts the bytes that left, so that "not one byte of the request
-// left" can be proved after an error, and kept true by barring later writes.
+// countingConn counts the bytes sent, to prove after an error that no byte of the request
+// was sent. Fencing it makes later writes fail, so that the proof stays true.
 type countingConn struct {
 	net.Conn
 
 	mu      sync.Mutex
 	written int64
 	writing bool
-	barred  bool
-	// first is what had been written before the present request, and expires the time
-	// after which its first byte must not leave; zero for none.
-	first   int64
-	expires time.Time
+	fenced  bool
+	// writtenBefore is the number of bytes written before the present request,
+	// sendDeadline the time after which its first byte must not be sent; zero for none.
+	writtenBefore int64
+	sendDeadline  time.Time
 }
 
 // Write implements net.Conn.
 func (c *countingConn) Write(p []byte) (int, error) {
-	if !c.begin() {
-		return 0, errBarred
+	if !c.beginWrite() {
+		return 0, errFenced
 	}
 	n, err := c.Conn.Write(p)
-	c.end(n)
+	c.endWrite(n)
 	return n, err
 }
 
-func (c *countingConn) begin() bool {
+func (c *countingConn) beginWrite() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.expires.IsZero() && c.written == c.first && time.Now().After(c.expires) {
-		c.barred = true
+	if !c.sendDeadline.IsZero() && c.written == c.writtenBefore && time.Now().After(c.sendDeadline) {
+		c.fenced = true
 	}
-	if c.barred {
+	if c.fenced {
 		return false
 	}
 	c.writing = true
 	return true
 }
 
-func (c *countingConn) end(n int) {
+func (c *countingConn) endWrite(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.writing = false
 	c.written += int64(n)
 }
 
-// begins takes that a request has this connection, whose first byte must not leave after
-// expires, unless that is zero. It returns the bytes that left so far.
-func (c *countingConn) begins(expires time.Time) int64 {
+// startRequest records that a request starts on this connection, and the deadline for its
+// first byte, zero for none. It returns the number of bytes sent so far.
+func (c *countingConn) startRequest(sendDeadline time.Time) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.first, c.expires = c.written, expires
+	c.writtenBefore, c.sendDeadline = c.written, sendDeadline
 	return c.written
 }
 
-// barUnused reports whether nothing left since before, and if so sees to it that
-// nothing will: the transport's own goroutine may still be about to write.
-func (c *countingConn) barUnused(before int64) bool {
+// fenceIfUnused reports whether nothing was sent since before, and if so makes all later
+// writes fail: the transport's own goroutine may still be about to write.
+func (c *countingConn) fenceIfUnused(before int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.writing || c.written != before {
 		return false
 	}
-	c.barred = true
+	c.fenced = true
 	return true
 }
 
-// emptyBody is a body without bytes that net/http does not know to be empty, so
-// that it cannot be replayed.
+// emptyBody is an empty body whose emptiness net/http cannot detect, so that it cannot
+// replay the request.
 type emptyBody struct{}
 
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
 func (emptyBody) Close() error             { return nil }
 
-// PreventReplay takes from r every ground on which net/http would send it twice: a body
-// that it could send again, a method that it takes for idempotent while there
-// is no body, and the idempotency headers. The request means the same on the
-// wire.
+// PreventReplay removes from r every condition under which net/http would send it twice:
+// a body that it could send again, a method that it considers idempotent without a body,
+// and the idempotency headers. The meaning of the request on the wire is unchanged.
 func PreventReplay(r *http.Request) {
 	r.GetBody = nil
-	rename(r.Header, idempotencyKey, idempotencyKeySealed)
-	rename(r.Header, idempotencyKeyX, idempotencyKeyXSealed)
+	renameHeader(r.Header, idempotencyKey, idempotencyKeyLower)
+	renameHeader(r.Header, idempotencyKeyX, idempotencyKeyXLower)
 	if r.Body != nil && r.Body != http.NoBody {
 		return
 	}
@@ -202,18 +202,18 @@
 	}
 }
 
-func rename(h http.Header, from, to string) {
+func renameHeader(h http.Header, from, to string) {
 	if values, ok := h[from]; ok {
 		delete(h, from)
 		h[to] = values
 	}
 }
 
-// ErrCloseDelimited says that an answer's end is marked by the connection's end
-// only, so that a cut one cannot be told from a whole one.
-var ErrCloseDelimited = errors.New("the answer has neither a length nor chunks, so its wholeness cannot be known")
+// ErrCloseDelimited means that only the end of the connection marks the end of the
+// response, so that a truncated response looks complete.
+var ErrCloseDelimited = errors.New("response has neither a content length nor chunked encoding: truncation cannot be detected")
 
-// CheckFraming reports whether the end of r's body can be told from a cut.
+// CheckFraming returns ErrCloseDelimited if a truncated body of r could not be detected.
 func CheckFraming(r *http.Response, method string) error {
 	if method == http.MethodHead || r.StatusCode == http.StatusNoContent || r.StatusCode == http.StatusNotModified {
 		return nil
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -17,26 +17,26 @@
 	"gypsumstand/internal/upstream"
 )
 
-// replayWorker answers the first request of each connection and, on later ones,
-// reads the request, counts it and closes the connection without a word.
-type replayWorker struct {
+// closingWorker answers the first request of each connection. On later requests it reads
+// and counts the request and closes the connection without a response.
+type closingWorker struct {
 	listener net.Listener
 	runs     atomic.Int64
 }
 
-func newReplayWorker(t *testing.T) *replayWorker {
+func newClosingWorker(t *testing.T) *closingWorker {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	w := &replayWorker{listener: l}
+	w := &closingWorker{listener: l}
 	go w.accept()
 	return w
 }
 
-func (w *replayWorker) accept() {
+func (w *closingWorker) accept() {
 	for {
 		conn, err := w.listener.Accept()
 		if err != nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-func (w *replayWorker) serve(conn net.Conn) {
+func (w *closingWorker) serve(conn net.Conn) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	for first := true; ; first = false {
@@ -73,7 +73,7 @@
 	}
 }
 
-func (w *replayWorker) request(method, path, body string, header http.Header) *http.Request {
+func (w *closingWorker) request(method, path, body string, header http.Header) *http.Request {
 	r := &http.Request{
 		Method: method,
 		URL:    &url.URL{Scheme: "http", Host: w.listener.Addr().String(), Path: path},
@@ -87,8 +87,8 @@
 	return r
 }
 
-// roundTrip warms one connection up and then sends r on it.
-func roundTrip(t *testing.T, w *replayWorker, r *http.Request) error {
+// roundTrip sends a first request on a connection and then r on the same one.
+func roundTrip(t *testing.T, w *closingWorker, r *http.Request) error {
 	t.Helper()
 	transport := upstream.NewTransport(upstream.Options{MaxIdleConns: 1, MaxConns: 1})
 	defer transport.CloseIdleConnections()
@@ -104,7 +104,7 @@
 	return err
 }
 
-func TestASealedRequestIsNeverReplayed(t *testing.T) {
+func TestPreventReplay(t *testing.T) {
 	key := http.Header{"Idempotency-Key": {"payout-1"}}
 	keyX := http.Header{"X-Idempotency-Key": {"payout-1"}}
 	cases := []struct {
@@ -121,24 +121,24 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			naive := newReplayWorker(t)
-			if err := roundTrip(t, naive, naive.request(c.method, "/run", c.body, c.header)); err != nil || naive.runs.Load() != 2 {
-				t.Fatalf("unsealed: %d runs, err %v; net/http no longer replays here, so this case proves nothing", naive.runs.Load(), err)
+			unprotected := newClosingWorker(t)
+			if err := roundTrip(t, unprotected, unprotected.request(c.method, "/run", c.body, c.header)); err != nil || unprotected.runs.Load() != 2 {
+				t.Fatalf("without PreventReplay: %d runs, err %v; net/http no longer replays here, so this case proves nothing", unprotected.runs.Load(), err)
 			}
-			w := newReplayWorker(t)
+			w := newClosingWorker(t)
 			r := w.request(c.method, "/run", c.body, c.header)
 			upstream.PreventReplay(r)
 			if err := roundTrip(t, w, r); err == nil {
-				t.Error("sealed: want an error")
+				t.Error("with PreventReplay: want an error")
 			}
 			if got := w.runs.Load(); got != 1 {
-				t.Errorf("sealed: %d runs, want 1", got)
+				t.Errorf("with PreventReplay: %d runs, want 1", got)
 			}
 		})
 	}
 }
 
-func TestASealedRequestMeansTheSameOnTheWire(t *testing.T) {
+func TestPreventReplayKeepsTheRequestOnTheWire(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestWhatProvesNotRun(t *testing.T) {
+func TestNotRun(t *testing.T) {
 	silent := func(conn net.Conn) { conn.Close() }
 	reading := func(conn net.Conn) {
 		_, _ = http.ReadRequest(bufio.NewReader(conn))
@@ -180,23 +180,23 @@
 		ctx    func() context.Context
 		notRun bool
 	}{
-		{"no one listens", nil, context.Background, true},
-		{"given up before a connection was had", silent, cancelled, true},
-		{"read and closed without an answer", reading, context.Background, false},
+		{"connection refused", nil, context.Background, true},
+		{"cancelled before a connection was opened", silent, cancelled, true},
+		{"read and closed without a response", reading, context.Background, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			address := serveConns(t, c.serve)
-			var proof upstream.RequestTrace
+			var trace upstream.RequestTrace
 			r := (&http.Request{Method: http.MethodPost, URL: &url.URL{Scheme: "http", Host: address, Path: "/"}, Header: http.Header{}}).WithContext(c.ctx())
-			r = proof.Attach(r)
+			r = trace.Attach(r)
 			upstream.PreventReplay(r)
 			transport := upstream.NewTransport(upstream.Options{MaxIdleConns: 1, MaxConns: 1})
 			defer transport.CloseIdleConnections()
 			if _, err := transport.RoundTrip(r); err == nil {
 				t.Fatal("want an error")
 			}
-			if got := proof.NotRun(); got != c.notRun {
+			if got := trace.NotRun(); got != c.notRun {
 				t.Errorf("NotRun() = %v, want %v", got, c.notRun)
 			}
 		})
@@ -209,8 +209,8 @@
 	return ctx
 }
 
-// serveConns returns an address at which each connection is given to serve; nil
-// leaves it closed.
+// serveConns returns an address whose connections are passed to serve; with nil, nothing
+// listens there.
 func serveConns(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -234,7 +234,7 @@
 	return l.Addr().String()
 }
 
-func TestACloseDelimitedAnswerCannotBeKnownWhole(t *testing.T) {
+func TestCheckFramingRejectsCloseDelimited(t *testing.T) {
 	address := serveConns(t, func(conn net.Conn) {
 		defer conn.Close()
 		if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
@@ -250,13 +250,13 @@
 	}
 	defer resp.Body.Close()
 	if err := upstream.CheckFraming(resp, http.MethodGet); !errors.Is(err, upstream.ErrCloseDelimited) {
-		t.Errorf("Whole() = %v, want %v", err, upstream.ErrCloseDelimited)
+		t.Errorf("CheckFraming() = %v, want %v", err, upstream.ErrCloseDelimited)
 	}
 }
 
-// stopBeforeWrite returns a context with which a request stands still past a time right
-// before its first byte is written, as in a process that is stopped there. The context
-// has no deadline: when the process wakes, timers may fire later than it writes.
+// stopBeforeWrite returns a context that delays a request right before its first byte is
+// written until after a time, like a process that is stopped there. The context has no
+// deadline: when a stopped process continues, timers may fire after it writes.
 func stopBeforeWrite(t *testing.T, until time.Time) context.Context {
 	t.Helper()
 	return httptrace.WithClientTrace(t.Context(), &httptrace.ClientTrace{
@@ -264,56 +264,56 @@
 	})
 }
 
-// A process that was stopped right before it wrote ran a payout at its worker after the
-// caller had been told that the call had ended.
-func TestNoFirstByteLeavesAfterItsTime(t *testing.T) {
-	w := newReplayWorker(t)
+// Guards against a process that is stopped right before it writes: its worker would run a
+// payout after the caller was informed that the call had ended.
+func TestNoFirstByteAfterTheSendDeadline(t *testing.T) {
+	w := newClosingWorker(t)
 	transport := upstream.NewTransport(upstream.Options{MaxIdleConns: 1})
 	warm, err := transport.RoundTrip(w.request(http.MethodGet, "/warm", "", http.Header{}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	warm.Body.Close()
-	expires := time.Now().Add(20 * time.Millisecond)
-	proof := upstream.RequestTrace{SendDeadline: expires}
-	late := proof.Attach(w.request(http.MethodPost, "/payout", "", http.Header{}).WithContext(stopBeforeWrite(t, expires)))
+	deadline := time.Now().Add(20 * time.Millisecond)
+	trace := upstream.RequestTrace{SendDeadline: deadline}
+	late := trace.Attach(w.request(http.MethodPost, "/payout", "", http.Header{}).WithContext(stopBeforeWrite(t, deadline)))
 	upstream.PreventReplay(late)
 	if _, err := transport.RoundTrip(late); err == nil {
-		t.Fatal("answered after its time")
+		t.Fatal("answered after its send deadline")
 	}
-	if !proof.NotRun() {
-		t.Error("not proved not run")
+	if !trace.NotRun() {
+		t.Error("NotRun() = false after the send deadline")
 	}
 	time.Sleep(10 * time.Millisecond)
 	if runs := w.runs.Load(); runs != 0 {
-		t.Fatalf("%d runs of a request whose first byte was late", runs)
+		t.Fatalf("%d runs of a request past its send deadline, want 0", runs)
 	}
 	transport.CloseIdleConnections()
 }
 
-// slowBody gives its last byte after a while.
+// slowBody returns its last byte at a given time.
 type slowBody struct {
 	until time.Time
-	over  bool
+	done  bool
 }
 
 func (b *slowBody) Read(p []byte) (int, error) {
 	time.Sleep(time.Until(b.until))
-	if b.over {
+	if b.done {
 		return 0, io.EOF
 	}
-	b.over = true
+	b.done = true
 	p[0] = 'x'
 	return 1, nil
 }
 
-func TestABodyGoesOnPastTheTimeOfTheFirstByte(t *testing.T) {
-	w := newReplayWorker(t)
-	proof := upstream.RequestTrace{SendDeadline: time.Now().Add(50 * time.Millisecond)}
+func TestBodyContinuesAfterTheSendDeadline(t *testing.T) {
+	w := newClosingWorker(t)
+	trace := upstream.RequestTrace{SendDeadline: time.Now().Add(50 * time.Millisecond)}
 	r := w.request(http.MethodPost, "/payout", "", http.Header{})
-	slow := &slowBody{until: proof.SendDeadline.Add(20 * time.Millisecond)}
+	slow := &slowBody{until: trace.SendDeadline.Add(20 * time.Millisecond)}
 	r.Body, r.ContentLength = io.NopCloser(io.MultiReader(strings.NewReader(strings.Repeat("x", 64<<10)), slow)), 64<<10+1
-	resp, err := upstream.NewTransport(upstream.Options{}).RoundTrip(proof.Attach(r))
+	resp, err := upstream.NewTransport(upstream.Options{}).RoundTrip(trace.Attach(r))
 	if err != nil {
 		t.Fatal(err)
 	}
