--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -106,7 +106,7 @@
 	o.warming.recordStart(t)
 }
 
-// release returns the resources that start took.
+// release removes a started attempt and returns its slot.
 func (o *Owner) release(p *pendingAttempt) {
 	delete(o.pending, p.id)
 	o.slowdownSum -= p.slowdown
--- a/internal/owner/offer.go
+++ b/internal/owner/offer.go
@@ -125,8 +125,8 @@
 	return model.Refusal{}
 }
 
-// refuseStale refuses an attempt whose remaining time may be used up, by the upper bound
-// of its age. That bound only grows, so an expired attempt stays refused without a
+// refuseStale refuses an attempt whose age may exceed its remaining time, or has no upper
+// bound. The bound of the age only grows, so an expired attempt stays refused without a
 // record.
 func (o *Owner) refuseStale(t time.Duration, a *model.Attempt, sameNode bool) model.Refusal {
 	remaining := min(a.Remaining, maxRemaining)
--- a/internal/owner/queue.go
+++ b/internal/owner/queue.go
@@ -23,8 +23,8 @@
 // missesObjective reports whether an attempt started at t is expected to end after its
 // objective, when its response has little of its worth left. In an overload this holds
 // for most of those that waited longest; serving them first would make all later ones
-// miss their objective too. Such an overload is a burst of 1.4 times the usual load for 5
-// s while a tenth of the workers leaves.
+// miss their objective too. Such an overload is a burst of 1.4 times the usual load for
+// 5 s while a tenth of the workers leaves.
 func (p *pendingAttempt) missesObjective(t time.Duration) bool {
 	return p.objective > 0 && t+p.class.expected() > p.objective
 }
--- a/internal/owner/stops_test.go
+++ b/internal/owner/stops_test.go
@@ -16,8 +16,8 @@
 // worker that leaves.
 const leaveGrace = 2 * time.Second
 
-// Guards against queued requests that start after leaveGrace: with an update that takes 1
-// s and a queue that goes on for another second, five requests start 5 ms too late.
+// Guards against queued requests that start after leaveGrace: with an update that takes
+// 1 s and a queue that goes on for another second, five requests start 5 ms too late.
 func TestQueuedAttemptsDoNotStartLateAtALeavingWorker(t *testing.T) {
 	for name, leave := range map[string]func(*rig){
 		"listed as leaving": func(r *rig) { r.o.SetWithdrawn(r.now, true) },
--- a/internal/upstream/protocol_bench_test.go
+++ b/internal/upstream/protocol_bench_test.go
@@ -16,9 +16,9 @@
 
 // Parameters of the comparison.
 const (
-	benchConcurrency = 64
+	benchConcurrency   = 64
 	benchResponseBytes = 2 << 10
-	benchServiceTime = time.Millisecond
+	benchServiceTime   = time.Millisecond
 )
 
 // BenchmarkProtocolBetweenNodes compares pooled HTTP/1.1 with cleartext HTTP/2 between
