--- a/internal/wire/spread.go
+++ b/internal/wire/bundles.go
@@ -6,49 +6,49 @@
 	"gypsumstand/internal/model"
 )
 
-// Kinds of the bundle spread's messages, 40 to 59.
+// Kinds of the messages that distribute bundles, 40 to 59.
 const (
 	kindBundleBeacon       Kind = 40
-	kindBundleNotice       Kind = 41
-	kindBundleWant         Kind = 42
+	kindBundleAnnouncement Kind = 41
+	kindBundleRequest      Kind = 42
 	kindBundleBody         Kind = 43
 	kindBundleDecline      Kind = 44
 	kindBundleCompare      Kind = 45
 	kindBundleCompareReply Kind = 46
-	kindBundleListAsk      Kind = 47
+	kindBundleListRequest  Kind = 47
 	kindBundleList         Kind = 48
 )
 
-// BundleBuckets is the number of parts that bundle names are hashed into, so
-// that two nodes list only the parts in which they differ. A set of parts is a
-// bit mask.
+// BundleBuckets is the number of buckets into which bundle names are hashed, so that two
+// nodes list only the buckets in which they differ. A set of buckets is a bit mask.
 const BundleBuckets = 64
 
-// BundleAgeNever is the age of what has not happened.
+// BundleAgeNever is the age of an event that has not happened.
 const BundleAgeNever = math.MaxUint32
 
-// BundleBeacon tells how old the fleet's readings of the configuration service
-// are. Ages are in milliseconds when sent, BundleAgeNever for none; the receiver
-// adds its own time to them.
+// BundleBeacon reports when nodes of the fleet last read the configuration service. Ages
+// are in milliseconds at the time of sending, BundleAgeNever for none; the receiver adds
+// the time since.
 type BundleBeacon struct {
-	// AttemptAgeMs is the age of the last attempt by anyone to read the index.
+	// AttemptAgeMs is the age of the last attempt of any node to read the index.
 	AttemptAgeMs uint32 `cbor:"1,keyasint"`
-	// SuccessAgeMs is the age of the last reading that was not stale.
+	// SuccessAgeMs is the age of the last read that was not stale.
 	SuccessAgeMs uint32 `cbor:"2,keyasint"`
-	// ReadAgeMs is the age of the newest such reading whose versions are all in
-	// force at its reader, and ReadDigest the digest of what is in force there. A
-	// node that has had the same digest holds what the configuration service said.
+	// ReadAgeMs is the age of the newest such read whose versions are all in force at the
+	// node that read them, and ReadDigest the digest of the versions in force there. A
+	// node that has had the same digest holds what the configuration service served.
 	ReadAgeMs  uint32 `cbor:"3,keyasint"`
 	ReadDigest uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// BundleAnnouncement says which versions the sender has newly in force and can send.
+// BundleAnnouncement lists versions that came into force at the sender and can be
+// requested from it.
 type BundleAnnouncement struct {
 	Versions []model.BundleVersion `cbor:"1,keyasint"`
 }
 
-// BundleRequest asks for these versions or newer ones. Each is answered by a
-// BundleBody or named in a BundleDecline.
+// BundleRequest asks for these versions or newer ones. Each is either sent in a
+// BundleBody or listed in a BundleDecline.
 type BundleRequest struct {
 	Versions []model.BundleVersion `cbor:"1,keyasint"`
 }
@@ -56,59 +56,59 @@
 // BundleBody carries one signed bundle.
 type BundleBody struct {
 	Version model.BundleVersion `cbor:"1,keyasint"`
-	// Packed is the CBOR form of bundle.Signed, compressed with DEFLATE (RFC
-	// 1951). The receiver bounds what it unpacks.
+	// Packed is the CBOR form of bundle.Signed, compressed with DEFLATE (RFC 1951). The
+	// receiver bounds the size of the unpacked form.
 	Packed []byte `cbor:"2,keyasint"`
 }
 
-// BundleDecline says which wanted versions do not come now.
+// BundleDecline lists requested versions that the sender does not send now.
 type BundleDecline struct {
 	Versions []model.BundleVersion `cbor:"1,keyasint"`
-	// RetryAfterMs is zero when the sender does not hold them, otherwise the
-	// milliseconds after which its upload has room again.
+	// RetryAfterMs is zero if the sender does not hold the versions; otherwise it is the
+	// time in milliseconds after which its upload budget has room again.
 	RetryAfterMs uint32 `cbor:"2,keyasint,omitempty"`
 }
 
 // BundleCompare asks a peer whether it holds the same versions.
 type BundleCompare struct {
-	// Nonce comes back in the reply, which so proves to be made after the
-	// question was asked.
+	// Nonce is copied into the reply, which proves that the reply was made after the
+	// question was sent.
 	Nonce  uint64 `cbor:"1,keyasint"`
 	Digest uint64 `cbor:"2,keyasint"`
 }
 
-// BundleCompareReply answers BundleCompare.
+// BundleCompareReply is the reply to a BundleCompare.
 type BundleCompareReply struct {
 	Nonce  uint64 `cbor:"1,keyasint"`
 	Digest uint64 `cbor:"2,keyasint"`
-	// Ready says that the sender is ready: it has asked others before.
+	// Ready reports that the sender has compared its own versions with others before.
 	Ready bool `cbor:"3,keyasint,omitempty"`
-	// Buckets are the digests of the parts, BundleBuckets of them when the
-	// digests differ, otherwise none.
+	// Buckets holds the digests of all BundleBuckets buckets if the digests differ,
+	// otherwise nothing.
 	Buckets []uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// BundleListRequest asks for the versions in some parts.
+// BundleListRequest asks for the versions in some buckets.
 type BundleListRequest struct {
 	Nonce   uint64 `cbor:"1,keyasint"`
 	Buckets uint64 `cbor:"2,keyasint"`
 }
 
-// BundleList answers BundleListRequest for some of the parts, lowest first; the
-// asker asks again for the rest.
+// BundleList lists the versions in some of the requested buckets, lowest first; the
+// requester asks again for the rest.
 type BundleList struct {
 	Nonce uint64 `cbor:"1,keyasint"`
-	// Buckets are the parts that Held lists whole.
+	// Buckets are the buckets that Held lists completely.
 	Buckets uint64       `cbor:"2,keyasint"`
 	Held    []HeldBundle `cbor:"3,keyasint,omitempty"`
 }
 
-// HeldBundle is one version in force at the sender.
+// HeldBundle is a version in force at the sender.
 type HeldBundle struct {
 	Name    model.BundleName `cbor:"1,keyasint"`
 	Version uint64           `cbor:"2,keyasint"`
-	// Content is a hash of the bundle's bytes; it tells two sign-offs of one
-	// version apart.
+	// Content is a hash of the bundle's bytes. It distinguishes two sign-offs of one
+	// version.
 	Content uint64 `cbor:"3,keyasint"`
 }
 
@@ -116,10 +116,10 @@
 func (BundleBeacon) Kind() Kind { return kindBundleBeacon }
 
 // Kind implements Message.
-func (BundleAnnouncement) Kind() Kind { return kindBundleNotice }
+func (BundleAnnouncement) Kind() Kind { return kindBundleAnnouncement }
 
 // Kind implements Message.
-func (BundleRequest) Kind() Kind { return kindBundleWant }
+func (BundleRequest) Kind() Kind { return kindBundleRequest }
 
 // Kind implements Message.
 func (BundleBody) Kind() Kind { return kindBundleBody }
@@ -134,7 +134,7 @@
 func (BundleCompareReply) Kind() Kind { return kindBundleCompareReply }
 
 // Kind implements Message.
-func (BundleListRequest) Kind() Kind { return kindBundleListAsk }
+func (BundleListRequest) Kind() Kind { return kindBundleListRequest }
 
 // Kind implements Message.
 func (BundleList) Kind() Kind { return kindBundleList }
--- a/internal/wire/caller.go
+++ b/internal/wire/caller.go
@@ -11,40 +11,40 @@
 	"gypsumstand/internal/model"
 )
 
-// Bounds of what callers send.
+// Bounds of the request headers that callers send.
 const (
 	// MaxRequestIDBytes bounds an Idempotency-Key.
 	MaxRequestIDBytes = 255
 	// MaxTenantBytes bounds a tenant's name.
 	MaxTenantBytes = 128
-	// MaxRetryBudget bounds a retry budget; more is read as this much.
+	// MaxRetryBudget caps a retry budget; a greater value is read as this one.
 	MaxRetryBudget = 100
-	// maxTimeoutMs keeps a timeout within time.Duration.
+	// maxTimeoutMs is the longest timeout that time.Duration can hold.
 	maxTimeoutMs = math.MaxInt64 / int64(time.Millisecond)
 )
 
-// CallerHeaders is what a caller's headers ask for.
+// CallerHeaders holds what a caller's request headers ask for.
 type CallerHeaders struct {
 	// Request is the caller's Idempotency-Key, or empty.
 	Request model.RequestID
-	// OneSubmission: Request names one sending only, so that the same id cannot
-	// arrive again by another way and needs no home.
+	// OneSubmission reports that Request identifies a single submission, so that the same
+	// id cannot arrive again through another node and needs no home node.
 	OneSubmission bool
-	// Tenant is as sent, or empty; it is not checked against a bundle.
+	// Tenant is the header's value, or empty; it is not checked against a bundle.
 	Tenant model.TenantName
-	// Timeout asked for; zero means none was named.
+	// Timeout is the requested time limit; zero means that the caller sent none.
 	Timeout time.Duration
-	// NotIdempotent: the caller says that the request must not run twice,
-	// whatever the bundle says. The reverse cannot be asked for.
+	// NotIdempotent reports that the request must not run twice, whatever the bundle
+	// allows. A caller cannot ask for the reverse.
 	NotIdempotent bool
-	// RetryBudget left to the path; valid when HasRetryBudget.
+	// RetryBudget is the number of extra attempts left on the request's path; it is valid
+	// if HasRetryBudget is set.
 	RetryBudget    int
 	HasRetryBudget bool
 }
 
-// ParseCallerHeaders reads a caller's headers. The error joins all faults, each
-// with its header's name. Gypsum-Idempotent: true is no fault and changes
-// nothing.
+// ParseCallerHeaders parses a caller's headers. The error joins all faults, each with the
+// name of its header. "Gypsum-Idempotent: true" is valid and changes nothing.
 func ParseCallerHeaders(h http.Header) (CallerHeaders, error) {
 	var c CallerHeaders
 	err := errors.Join(
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// single returns the header's one value; ok is false when it is absent or, with
-// an error, sent more than once. Two values that differ cannot both be obeyed.
+// single returns the only value of a header. ok is false if the header is absent or, with
+// an error, if it occurs more than once: two values that differ cannot both be obeyed.
 func single(h http.Header, name string) (value string, ok bool, err error) {
 	values := h[name]
 	switch len(values) {
@@ -128,7 +128,8 @@
 	return "", false, fmt.Errorf("%s: sent %d times, want once", name, len(values))
 }
 
-// token returns the header's one value of at most bound printable ASCII bytes.
+// token returns the only value of a header, which must consist of 1 to bound printable
+// ASCII bytes.
 func token(h http.Header, name string, bound int) (value string, ok bool, err error) {
 	value, ok, err = single(h, name)
 	if !ok {
--- a/internal/wire/caller_test.go
+++ b/internal/wire/caller_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestCallerHeadersAreRead(t *testing.T) {
+func TestParseCallerHeaders(t *testing.T) {
 	tests := map[string]struct {
 		header http.Header
 		want   CallerHeaders
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestAllFaultsOfCallerHeadersAreReportedTogether(t *testing.T) {
+func TestCallerHeaderErrorsAreJoined(t *testing.T) {
 	h := http.Header{
 		HeaderIdempotencyKey: {"a", "b"},
 		HeaderTenant:         {strings.Repeat("x", MaxTenantBytes+1)},
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestCallerHeaderIsRefused(t *testing.T) {
+func TestMalformedCallerHeaderIsRefused(t *testing.T) {
 	tests := map[string]http.Header{
 		"empty key":          {HeaderIdempotencyKey: {""}},
 		"long key":           {HeaderIdempotencyKey: {strings.Repeat("x", MaxRequestIDBytes+1)}},
--- a/internal/wire/decode_fuzz_test.go
+++ b/internal/wire/decode_fuzz_test.go
@@ -7,8 +7,8 @@
 	"gypsumstand/internal/model"
 )
 
-// FuzzDecode: whatever a peer sends, Decode returns; what it accepts encodes and
-// reads back as the same message.
+// FuzzDecode checks that Decode returns for any input, and that an accepted message
+// survives encoding and decoding unchanged.
 func FuzzDecode(f *testing.F) {
 	for _, m := range []Message{
 		Hello{Instance: model.Instance{ID: "n0", PeerAddress: "10.0.0.1:7400"}},
@@ -40,8 +40,8 @@
 	})
 }
 
-// sameMessage compares by encoding, since an absent list and an empty one are
-// the same to a receiver.
+// sameMessage compares the encoded forms, since a receiver does not distinguish an absent
+// list from an empty one.
 func sameMessage(a, b Message) bool {
 	if reflect.TypeOf(a) != reflect.TypeOf(b) {
 		return false
@@ -51,57 +51,57 @@
 	return errA == nil && errB == nil && string(first) == string(second)
 }
 
-// FuzzDecodeSuspects: whatever a peer sends, every reference of what is accepted names an
-// end, and the bounds hold.
+// FuzzDecodeSuspects checks that in every accepted update all references to crashes are
+// valid and the bounds hold.
 func FuzzDecodeSuspects(f *testing.F) {
-	news := SuspectUpdate{
+	update := SuspectUpdate{
 		From: "n1", Service: "ledger", Compare: true, Digests: make([]uint64, SuspectBuckets),
 		Crashes: []SuspectCrash{{ID: 7, Owner: "n1", AgeMs: 5}},
 		Records: []Suspect{{Content: model.Fingerprint{1}, Cleared: 1, Crashes: []CrashRef{NewCrashRef(0, true, false)}}},
 	}
-	data, err := EncodeSuspects(&news)
+	data, err := EncodeSuspects(&update)
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(data)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		news, err := DecodeSuspects(data)
+		update, err := DecodeSuspects(data)
 		if err != nil {
 			return
 		}
-		if len(news.Records) > MaxSuspects {
-			t.Fatalf("%d records", len(news.Records))
+		if len(update.Records) > MaxSuspects {
+			t.Fatalf("%d records", len(update.Records))
 		}
-		for _, r := range news.Records {
+		for _, r := range update.Records {
 			for _, ref := range r.Crashes {
-				_ = news.Crashes[ref.Index()]
+				_ = update.Crashes[ref.Index()]
 			}
 		}
 	})
 }
 
-func TestAReferenceToAnEndKeepsWhatItSays(t *testing.T) {
-	for _, doubted := range []bool{false, true} {
+func TestCrashRefRoundTrip(t *testing.T) {
+	for _, alreadySuspect := range []bool{false, true} {
 		for _, trial := range []bool{false, true} {
-			if r := NewCrashRef(511, doubted, trial); r.Index() != 511 || r.AlreadySuspect() != doubted || r.Trial() != trial {
-				t.Errorf("%v, %v became %d, %v, %v", doubted, trial, r.Index(), r.AlreadySuspect(), r.Trial())
+			if r := NewCrashRef(511, alreadySuspect, trial); r.Index() != 511 || r.AlreadySuspect() != alreadySuspect || r.Trial() != trial {
+				t.Errorf("%v, %v became %d, %v, %v", alreadySuspect, trial, r.Index(), r.AlreadySuspect(), r.Trial())
 			}
 		}
 	}
 }
 
-// A message of the greatest size that is sent is within the bound that receivers set.
-func TestTheLargestNewsOfSuspectsFits(t *testing.T) {
-	news := SuspectUpdate{From: model.InstanceID(make([]byte, 64)), Digests: make([]uint64, SuspectBuckets)}
+// A sender's largest message must be within the bound that receivers enforce.
+func TestLargestSuspectUpdateFits(t *testing.T) {
+	update := SuspectUpdate{From: model.InstanceID(make([]byte, 64)), Digests: make([]uint64, SuspectBuckets)}
 	for i := range MaxSuspects {
 		s := Suspect{Content: model.Fingerprint{byte(i)}, AgeMs: 1 << 31}
 		for k := range MaxSuspectCrashes {
 			s.Crashes = append(s.Crashes, NewCrashRef(i*MaxSuspectCrashes+k, true, true))
-			news.Crashes = append(news.Crashes, SuspectCrash{ID: 1 << 63, Owner: model.InstanceID(make([]byte, 64)), AgeMs: 1 << 31})
+			update.Crashes = append(update.Crashes, SuspectCrash{ID: 1 << 63, Owner: model.InstanceID(make([]byte, 64)), AgeMs: 1 << 31})
 		}
-		news.Records = append(news.Records, s)
+		update.Records = append(update.Records, s)
 	}
-	data, err := EncodeSuspects(&news)
+	data, err := EncodeSuspects(&update)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/directory.go
+++ b/internal/wire/directory.go
@@ -6,25 +6,27 @@
 	"gypsumstand/internal/model"
 )
 
-// MaxDirectoryBytes bounds a DirectoryChanges message: a configuration of a megabyte
-// and 10,000 workers of 100 bytes.
+// MaxDirectoryBytes bounds a DirectoryChanges message. It holds a configuration of one
+// megabyte and 10,000 workers of 100 bytes each.
 const MaxDirectoryBytes = 4 << 20
 
-// DirectoryChanges is a node's answer to a peer that follows the same directory. Its
-// fields are those of control.DirectoryRead; Config is packed.
+// DirectoryChanges is a node's reply to a peer that follows the same directory. Its
+// fields are those of control.DirectoryRead; Config is compressed.
 type DirectoryChanges struct {
 	Revision uint64 `cbor:"1,keyasint"`
-	// AgeMs is how long ago this was known to be the newest, in milliseconds.
+	// AgeMs is the time since Revision was last confirmed to be the newest, in
+	// milliseconds.
 	AgeMs    uint32           `cbor:"2,keyasint"`
 	Full     bool             `cbor:"3,keyasint"`
 	Listed   []model.Listing  `cbor:"4,keyasint"`
 	Unlisted []model.Unlisted `cbor:"5,keyasint"`
 	Config   *model.RawConfig `cbor:"6,keyasint"`
-	// Failing: the teller's own readings fail.
+	// ReadsFailing reports that the sender's own reads of the directory fail.
 	ReadsFailing bool `cbor:"7,keyasint,omitempty"`
-	// Refused is a configuration after Config that the teller cannot decode.
+	// Refused is a configuration newer than Config that the sender cannot decode.
 	Refused *model.RawConfig `cbor:"8,keyasint,omitempty"`
-	// Evacuations are those in force where Whole, otherwise those that changed.
+	// Evacuations holds all evacuations in force if Full is set, otherwise those that
+	// changed.
 	Evacuations []model.Evacuation `cbor:"9,keyasint,omitempty"`
 }
 
--- a/internal/wire/handover.go
+++ b/internal/wire/handover.go
@@ -8,26 +8,27 @@
 
 const kindKeyHandover Kind = 6
 
-// MaxHandoverKeys bounds the request ids of one KeyHandover.
+// MaxHandoverKeys bounds the number of request ids in one KeyHandover.
 const MaxHandoverKeys = 500
 
-// KeyHandover gives a request id's next home what the leaving home remembers of
-// it, from memory to memory.
+// KeyHandover transfers the records of request ids from a leaving home node to the nodes
+// that become their homes. They are held in memory only, on both sides.
 type KeyHandover struct {
 	Keys []KeyRecord `cbor:"1,keyasint"`
 }
 
-// KeyRecord is the memory of one request id.
+// KeyRecord is what a home node remembers of one request id.
 type KeyRecord struct {
 	// Request is the scoped id; see model.ScopedRequest.
 	Request model.RequestID `cbor:"1,keyasint"`
-	// Done: it has run. Otherwise it is running or was placed elsewhere.
+	// Done reports that the request has run. Otherwise it is running, or was delegated to
+	// another owner.
 	Done bool `cbor:"2,keyasint"`
-	// Attempt is the one that holds the id.
+	// Attempt is the attempt that holds the id.
 	Attempt model.AttemptID `cbor:"3,keyasint"`
-	// Remaining is how long the record is to be remembered.
+	// Remaining is how long the record must still be kept.
 	Remaining time.Duration `cbor:"4,keyasint"`
-	// Regions are those in which the request may run; see model.Attempt.
+	// Regions are the regions in which the request may run; see model.Attempt.
 	Regions model.Regions `cbor:"5,keyasint,omitempty"`
 }
 
--- a/internal/wire/headers.go
+++ b/internal/wire/headers.go
@@ -9,50 +9,50 @@
 	"gypsumstand/internal/model"
 )
 
-// Headers between callers and entry nodes, between nodes, and between an owner
-// and its worker. Who sends which: docs/DESIGN.md, "Headers". All are in the
-// canonical form of net/http.
+// Headers between callers and entry nodes, between nodes, and between an owner and its
+// worker, in net/http's canonical form. docs/DESIGN.md, "Headers", lists who sends which.
 const (
-	// HeaderIdempotencyKey is the request's id as the caller chose it.
+	// HeaderIdempotencyKey is the request id that the caller chose.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderTimeout is the time left to the deadline, in milliseconds.
+	// HeaderTimeout is the time left until the deadline, in milliseconds.
 	HeaderTimeout = "Gypsum-Timeout-Ms"
 	// HeaderTenant names the caller's tenant.
 	HeaderTenant = "Gypsum-Tenant"
-	// HeaderClass names the request's class, towards the worker.
+	// HeaderClass names the request's class to the worker.
 	HeaderClass = "Gypsum-Class"
-	// HeaderIdempotent may only tighten: "false" makes a request non-idempotent.
+	// HeaderIdempotent can only restrict: "false" makes a request non-idempotent.
 	HeaderIdempotent = "Gypsum-Idempotent"
-	// HeaderRetryBudget is the number of extra attempts left to the path.
+	// HeaderRetryBudget is the number of extra attempts left on the request's path.
 	HeaderRetryBudget = "Gypsum-Retry-Budget"
 
-	// HeaderOutcome is the outcome that the caller is told; see model.Outcome.
+	// HeaderOutcome is the outcome reported to the caller; see model.Outcome.
 	HeaderOutcome = "Gypsum-Outcome"
-	// HeaderReason is the model.Reason of an outcome without an answer.
+	// HeaderReason is the model.Reason of an outcome without a response.
 	HeaderReason = "Gypsum-Reason"
-	// HeaderUpstream names the instance that answered.
+	// HeaderUpstream names the instance that responded.
 	HeaderUpstream = "Gypsum-Upstream"
-	// HeaderBundle is the bundle version that the request was decided under.
+	// HeaderBundle is the version of the bundle that the request was routed by.
 	HeaderBundle = "Gypsum-Bundle"
-	// HeaderRetryAfter is RFC 9110's, in whole seconds, rounded up.
+	// HeaderRetryAfter is the header of RFC 9110, in whole seconds, rounded up.
 	HeaderRetryAfter = "Retry-After"
 
-	// HeaderAttempt is the attempt's id; owner and worker echo it.
+	// HeaderAttempt is the attempt's id, which owner and worker echo.
 	HeaderAttempt = "Gypsum-Attempt"
-	// HeaderOffer is the whole model.Attempt; see EncodeOffer.
+	// HeaderOffer is the complete model.Attempt; see EncodeOffer.
 	HeaderOffer = "Gypsum-Offer"
 	// HeaderReport is the owner's model.LoadReport; see EncodeReport.
 	HeaderReport = "Gypsum-Report"
 	// HeaderRefusal is the model.Reason of an owner's refusal.
 	HeaderRefusal = "Gypsum-Refusal"
-	// HeaderRefusalHome is the instance at whose owner alone a refused attempt may run.
+	// HeaderRefusalHome names the only instance whose owner may run a refused attempt.
 	HeaderRefusalHome = "Gypsum-Refusal-Home"
-	// HeaderRefusalGranted is "true" when the attempt there is to say model.Attempt.Lent.
+	// HeaderRefusalGranted is "true" if that owner is granted the right to run the
+	// request; the next attempt there sets model.Attempt.Granted.
 	HeaderRefusalGranted = "Gypsum-Refusal-Lent"
-	// HeaderNotRun is "true" when the sender proves that it did not run the
-	// attempt and never will.
+	// HeaderNotRun is "true" if the sender guarantees that it has not run the attempt and
+	// never will.
 	HeaderNotRun = "Gypsum-Not-Run"
-	// HeaderRetryAfterMs is an owner's advice in milliseconds, for entry nodes.
+	// HeaderRetryAfterMs is an owner's Retry-After for entry nodes, in milliseconds.
 	HeaderRetryAfterMs = "Gypsum-Retry-After-Ms"
 )
 
@@ -69,14 +69,12 @@
 	ErrBadReport     = errors.New("bad load report")
 )
 
-// EncodeOffer returns the Gypsum-Offer form of a: CBOR in base64url without
-// padding.
+// EncodeOffer returns a in the form of Gypsum-Offer: CBOR in base64url without padding.
 func EncodeOffer(a *model.Attempt) (string, error) {
 	return encodeHeader(a, MaxOfferBytes)
 }
 
-// DecodeOffer reads the form that EncodeOffer writes. Errors wrap
-// ErrHeaderTooLong or ErrBadOffer.
+// DecodeOffer reverses EncodeOffer. Errors wrap ErrHeaderTooLong or ErrBadOffer.
 func DecodeOffer(s string) (model.Attempt, error) {
 	var a model.Attempt
 	if err := decodeHeader(s, MaxOfferBytes, &a); err != nil {
@@ -110,14 +108,12 @@
 	return nil
 }
 
-// EncodeReport returns the Gypsum-Report form of r: CBOR in base64url without
-// padding.
+// EncodeReport returns r in the form of Gypsum-Report: CBOR in base64url without padding.
 func EncodeReport(r *model.LoadReport) (string, error) {
 	return encodeHeader(r, MaxReportBytes)
 }
 
-// DecodeReport reads the form that EncodeReport writes. Errors wrap
-// ErrHeaderTooLong or ErrBadReport.
+// DecodeReport reverses EncodeReport. Errors wrap ErrHeaderTooLong or ErrBadReport.
 func DecodeReport(s string) (model.LoadReport, error) {
 	var r model.LoadReport
 	if err := decodeHeader(s, MaxReportBytes, &r); err != nil {
@@ -129,8 +125,8 @@
 	return r, nil
 }
 
-// fullRate is a FailureRate of one, in thousandths.
-const fullRate = 1000
+// maxFailureRate is a failure rate of 100%, in thousandths.
+const maxFailureRate = 1000
 
 func checkReport(r *model.LoadReport) error {
 	switch {
@@ -142,8 +138,8 @@
 		return fmt.Errorf("service time %v is negative", r.ServiceTime)
 	case r.State > model.StateGone:
 		return fmt.Errorf("unknown state %d", r.State)
-	case r.FailureRate > fullRate:
-		return fmt.Errorf("failure rate %d is over %d", r.FailureRate, fullRate)
+	case r.FailureRate > maxFailureRate:
+		return fmt.Errorf("failure rate %d is over %d", r.FailureRate, maxFailureRate)
 	}
 	return nil
 }
--- a/internal/wire/headers_test.go
+++ b/internal/wire/headers_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestOfferSurvivesItsHeader(t *testing.T) {
+func TestOfferHeaderRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := sampleAttempt()
 		want.ID.Sequence = rapid.Uint64().Draw(t, "sequence")
@@ -58,7 +58,7 @@
 	})
 }
 
-func TestReportSurvivesItsHeader(t *testing.T) {
+func TestReportHeaderRoundTrip(t *testing.T) {
 	want := sampleReport()
 	s, err := EncodeReport(&want)
 	if err != nil {
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestOfferIsRefusedWhen(t *testing.T) {
+func TestInvalidOfferIsRefused(t *testing.T) {
 	tests := map[string]func(*model.Attempt){
 		"no attempt id":        func(a *model.Attempt) { a.ID = model.AttemptID{} },
 		"no incarnation":       func(a *model.Attempt) { a.ID.Incarnation = 0 },
@@ -102,14 +102,14 @@
 	}
 }
 
-func TestReportIsRefusedWhen(t *testing.T) {
+func TestInvalidReportIsRefused(t *testing.T) {
 	tests := map[string]func(*model.LoadReport){
 		"no owner":              func(r *model.LoadReport) { r.Owner = "" },
 		"no incarnation":        func(r *model.LoadReport) { r.Incarnation = 0 },
 		"negative clock":        func(r *model.LoadReport) { r.Clock = -1 },
 		"negative service time": func(r *model.LoadReport) { r.ServiceTime = -1 },
 		"unknown state":         func(r *model.LoadReport) { r.State = model.StateGone + 1 },
-		"rate over one":         func(r *model.LoadReport) { r.FailureRate = fullRate + 1 },
+		"rate over one":         func(r *model.LoadReport) { r.FailureRate = maxFailureRate + 1 },
 	}
 	for name, change := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -140,14 +140,14 @@
 	}
 }
 
-func TestOfferWithADuplicateKeyIsRefused(t *testing.T) {
+func TestOfferWithDuplicateKeyIsRefused(t *testing.T) {
 	data := []byte{0xa2, 0x02, 0x61, 'a', 0x02, 0x61, 'b'}
 	if _, err := DecodeOffer(base64.RawURLEncoding.EncodeToString(data)); !errors.Is(err, ErrBadOffer) {
 		t.Fatalf("error %v, want ErrBadOffer", err)
 	}
 }
 
-func TestRefusalSurvivesItsHeaders(t *testing.T) {
+func TestRefusalHeadersRoundTrip(t *testing.T) {
 	for _, want := range []model.Refusal{
 		{Reason: model.ReasonDeferred, NotRun: true, RetryAfter: time.Second, OnlyOwner: "ledger-3", Granted: true},
 		{Reason: model.ReasonOverloaded, NotRun: true, RetryAfter: 15 * time.Millisecond},
@@ -165,7 +165,7 @@
 	}
 }
 
-func TestRefusalThatCannotBeReadProvesNothing(t *testing.T) {
+func TestUnreadableRefusalDoesNotGuaranteeNotRun(t *testing.T) {
 	tests := map[string]http.Header{
 		"unknown reason":  {HeaderRefusal: {"tired"}, HeaderNotRun: {"true"}},
 		"two reasons":     {HeaderRefusal: {"leaving", "stale"}, HeaderNotRun: {"true"}},
@@ -179,7 +179,7 @@
 		t.Run(name, func(t *testing.T) {
 			r, ok, err := ReadRefusal(h)
 			if !ok || err == nil || r.NotRun {
-				t.Fatalf("refusal %+v, ok %v, error %v; want an error that proves nothing", r, ok, err)
+				t.Fatalf("refusal %+v, ok %v, error %v; want an error and no guarantee", r, ok, err)
 			}
 		})
 	}
--- a/internal/wire/hello.go
+++ b/internal/wire/hello.go
@@ -4,11 +4,11 @@
 
 const kindHello Kind = 10
 
-// Hello is the first message on a link, from both sides.
+// Hello is the first message that either side sends on a link.
 type Hello struct {
 	Instance model.Instance `cbor:"1,keyasint"`
-	// Transient marks a link opened for settlement only; it is no peer link and
-	// carries no membership or bundle traffic.
+	// Transient marks a link that was opened for direct messages only. It is no peer
+	// link and carries no membership or bundle traffic.
 	Transient bool `cbor:"2,keyasint"`
 }
 
--- a/internal/wire/member.go
+++ b/internal/wire/member.go
@@ -13,39 +13,39 @@
 	kindListBeacon      Kind = 21
 	kindRumours         Kind = 22
 	kindSnapshotRequest Kind = 23
-	kindSnapshotPiece   Kind = 24
+	kindSnapshotChunk   Kind = 24
 	kindDigest          Kind = 25
 	kindDigestBuckets   Kind = 26
 	kindBucketSummaries Kind = 27
-	kindWant            Kind = 28
+	kindRecordRequest   Kind = 28
 	kindProbe           Kind = 29
 	kindProbeReply      Kind = 30
 	kindLinkReject      Kind = 31
 )
 
-// Bounds of the membership messages. A receiver drops what is over them.
+// Bounds of the membership messages. A receiver drops what exceeds them.
 const (
-	// MaxMemberRecords bounds the records of one message.
+	// MaxMemberRecords bounds the number of records in one message.
 	MaxMemberRecords = 512
-	// MaxSuspicions bounds the accusations of one message.
+	// MaxSuspicions bounds the number of suspicions in one message.
 	MaxSuspicions = 64
-	// DigestBucketCount is the number of buckets that a digest splits the known
-	// instances into, by the hash of their ids.
+	// DigestBucketCount is the number of buckets into which a digest divides the known
+	// instances, by the hash of their ids.
 	DigestBucketCount = 256
-	// MaxSummaries bounds the buckets that one exchange compares in full.
+	// MaxSummaries bounds the number of buckets that one exchange compares in full.
 	MaxSummaries = 128
-	// MaxRequestedIDs bounds the ids of one Want.
+	// MaxRequestedIDs bounds the number of ids in one RecordRequest.
 	MaxRequestedIDs = 512
 )
 
-// Age is a time span in whole milliseconds, rounded up, plus one; zero means
-// that the event never happened or is not known. Ages only grow on their way.
+// Age is a time span in whole milliseconds, rounded up, plus one. Zero means that the
+// event never happened or is unknown. Forwarding an age can only increase it.
 type Age uint64
 
-// maxAge bounds ages so that they fit a time.Duration.
+// maxAge keeps ages within time.Duration.
 const maxAge = Age(365 * 24 * time.Hour / time.Millisecond)
 
-// AgeOf returns d as an Age; math.MaxInt64 (never) becomes zero.
+// AgeOf converts d to an Age; math.MaxInt64 (never) becomes zero.
 func AgeOf(d time.Duration) Age {
 	if d == math.MaxInt64 {
 		return 0
@@ -54,7 +54,7 @@
 	return min(Age(ms)+1, maxAge)
 }
 
-// Duration returns a as a time span; math.MaxInt64 for never.
+// Duration returns a as a time.Duration; never is math.MaxInt64.
 func (a Age) Duration() time.Duration {
 	if a == 0 {
 		return math.MaxInt64
@@ -62,25 +62,25 @@
 	return time.Duration(min(a, maxAge)-1) * time.Millisecond
 }
 
-// Clock is a node's monotonic clock in milliseconds since its start, plus one;
-// zero means that none was heard.
+// Clock is a node's monotonic clock in milliseconds since its start, plus one. Zero means
+// that no reading has been received.
 type Clock uint64
 
-// ListStatus is what the platform's list says of an instance.
+// ListStatus is the status of an instance in the platform's list.
 type ListStatus uint8
 
-// The marks.
+// Values of ListStatus.
 const (
-	// ListUnknown: no list that this node knows of has named the instance.
+	// ListUnknown: no list known to this node has named the instance.
 	ListUnknown ListStatus = iota
 	ListLive
 	ListLeaving
-	// ListAbsent: a list named it once and a newer one no longer does.
+	// ListAbsent: a list named the instance and a newer one does not.
 	ListAbsent
 )
 
-// MemberRecord is what a node knows of one instance. Records of one instance
-// form a join semilattice (package member).
+// MemberRecord is a node's knowledge of one instance. The records of an instance form a
+// join semilattice (package member).
 type MemberRecord struct {
 	ID          model.InstanceID    `cbor:"1,keyasint"`
 	Service     model.ServiceName   `cbor:"2,keyasint,omitempty"`
@@ -88,18 +88,19 @@
 	PeerAddress string              `cbor:"4,keyasint,omitempty"`
 	Incarnation model.Incarnation   `cbor:"5,keyasint,omitempty"`
 	State       model.UpstreamState `cbor:"6,keyasint,omitempty"`
-	// Counter orders the owner's words within an incarnation; the owner alone
-	// raises it. For incarnation zero it is the list revision that the record
-	// was read from.
+	// Counter orders the announcements of one incarnation; only the instance itself
+	// raises it. For incarnation zero it is the list revision that the record was read
+	// from.
 	Counter uint64 `cbor:"7,keyasint,omitempty"`
-	// ListRevision and ListStatus are the newest change on the platform's list.
+	// ListRevision and ListStatus are the newest change of the instance in the platform's
+	// list.
 	ListRevision uint64     `cbor:"8,keyasint,omitempty"`
 	ListStatus   ListStatus `cbor:"9,keyasint,omitempty"`
 }
 
-// Suspicion is one observer's word that it cannot reach an instance, while it
-// does reach others. It holds against the record with the same incarnation and
-// counter only, so the accused refutes it by raising its counter.
+// Suspicion reports that an observer cannot reach an instance while it does reach others.
+// It applies only to the record with the same incarnation and counter, so the suspected
+// instance refutes it by raising its counter.
 type Suspicion struct {
 	Target      model.InstanceID  `cbor:"1,keyasint"`
 	Incarnation model.Incarnation `cbor:"2,keyasint,omitempty"`
@@ -107,95 +108,96 @@
 	Observer    model.InstanceID  `cbor:"4,keyasint"`
 }
 
-// ListAges tells how long ago anyone read the platform's list.
+// ListAges holds the time since any node last read the platform's list.
 type ListAges struct {
 	Attempt   Age `cbor:"1,keyasint,omitempty"`
 	Confirmed Age `cbor:"2,keyasint,omitempty"`
-	// Revision is the newest list revision known.
+	// Revision is the newest known revision of the list.
 	Revision uint64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Heartbeat is sent on each link every second.
+// Heartbeat is sent on every link once a second.
 type Heartbeat struct {
 	// Clock is the sender's clock.
 	Clock Clock `cbor:"1,keyasint"`
-	// Echo is a lower bound of the receiver's clock at sending: the newest
-	// reading heard from it plus the time since. The receiver's clock minus Echo
-	// bounds the message's age from above, with no common clock.
+	// Echo is a lower bound of the receiver's clock at the time of sending: its newest
+	// reading received plus the time since. The receiver's clock minus Echo is an upper
+	// bound of the message's age, without synchronized clocks.
 	Echo Clock    `cbor:"2,keyasint,omitempty"`
 	List ListAges `cbor:"3,keyasint"`
 }
 
-// ListBeacon spreads a read of the platform's list at once; see Heartbeat.
+// ListBeacon propagates a read of the platform's list without waiting for the next
+// Heartbeat, whose fields it shares.
 type ListBeacon struct {
 	Echo Clock    `cbor:"1,keyasint,omitempty"`
 	List ListAges `cbor:"2,keyasint"`
 }
 
-// Rumours carries changed records and accusations.
+// Rumours carries changed records and suspicions.
 type Rumours struct {
 	Records    []MemberRecord `cbor:"1,keyasint,omitempty"`
 	Suspicions []Suspicion    `cbor:"2,keyasint,omitempty"`
-	// Repair says that the records are the answer of a digest exchange.
+	// Repair reports that the records are the result of a digest exchange.
 	Repair bool `cbor:"3,keyasint,omitempty"`
 }
 
-// SnapshotRequest asks for the records whose id comes after After.
+// SnapshotRequest asks for the records whose ids follow After.
 type SnapshotRequest struct {
 	After model.InstanceID `cbor:"1,keyasint,omitempty"`
 }
 
-// SnapshotChunk answers with the next records in the order of their ids.
+// SnapshotChunk holds the next records in the order of their ids.
 type SnapshotChunk struct {
-	// After repeats the request's.
+	// After is copied from the request.
 	After   model.InstanceID `cbor:"1,keyasint,omitempty"`
 	Records []MemberRecord   `cbor:"2,keyasint,omitempty"`
-	// Last says that no record comes after these.
+	// Last reports that no more records follow.
 	Last bool `cbor:"3,keyasint,omitempty"`
-	// Partial says that the sender has not loaded the whole fleet itself and
-	// sends nothing.
+	// Partial reports that the sender has not loaded the complete fleet itself and
+	// therefore sends no records.
 	Partial bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Digest opens an exchange that finds what rumours missed.
+// Digest starts an exchange that finds the records that rumours missed.
 type Digest struct {
-	// Root is the hash of all records whose instance is not gone.
+	// Root is the hash of all records of instances that are not gone.
 	Root uint64 `cbor:"1,keyasint"`
 }
 
-// DigestBuckets answers a Digest with another root.
+// DigestBuckets is the reply to a Digest whose root differs.
 type DigestBuckets struct {
-	// Hashes holds DigestBucketCount big-endian uint32, one a bucket.
+	// Hashes holds DigestBucketCount big-endian uint32, one for each bucket.
 	Hashes []byte `cbor:"1,keyasint"`
 }
 
-// BucketSummaries lists the sender's records of buckets whose hashes differ.
+// BucketSummaries lists the sender's records in the buckets whose hashes differ.
 type BucketSummaries struct {
 	Buckets []BucketSummary `cbor:"1,keyasint"`
 }
 
-// BucketSummary lists one bucket.
+// BucketSummary lists the records of one bucket.
 type BucketSummary struct {
 	Index uint16 `cbor:"1,keyasint"`
-	// Entries holds pairs of big-endian uint32: the hash of an id, the hash of
-	// its record.
+	// Entries holds pairs of big-endian uint32: the hash of an id and the hash of its
+	// record.
 	Entries []byte `cbor:"2,keyasint"`
 }
 
-// RecordRequest asks for the records with these hashes of ids.
+// RecordRequest asks for the records whose ids have these hashes.
 type RecordRequest struct {
 	Buckets []RecordRequestBucket `cbor:"1,keyasint"`
 }
 
-// RecordRequestBucket names records of one bucket.
+// RecordRequestBucket identifies records of one bucket.
 type RecordRequestBucket struct {
 	Index uint16 `cbor:"1,keyasint"`
 	// IDs holds big-endian uint32 hashes of ids.
 	IDs []byte `cbor:"2,keyasint"`
 }
 
-// Probe asks a peer to see for itself whether it reaches an instance. Without a
-// target it asks for an answer only.
+// Probe asks a peer to check whether it reaches an instance. Without a target it asks the
+// peer itself for a reply.
 type Probe struct {
 	Target      model.InstanceID  `cbor:"1,keyasint,omitempty"`
 	PeerAddress string            `cbor:"2,keyasint,omitempty"`
@@ -203,16 +205,17 @@
 	Counter     uint64            `cbor:"4,keyasint,omitempty"`
 }
 
-// ProbeReply says that the sender reaches the instance. A peer that does not
-// reach it accuses it by a rumour instead.
+// ProbeReply reports that the sender reaches the instance. A peer that does not reach it
+// sends a Suspicion in Rumours instead.
 type ProbeReply struct {
 	Target      model.InstanceID  `cbor:"1,keyasint,omitempty"`
 	Incarnation model.Incarnation `cbor:"2,keyasint,omitempty"`
 }
 
-// LinkReject asks the opener of a link to close it: the sender has enough.
+// LinkReject asks the node that opened a link to close it, because the sender has enough
+// links.
 type LinkReject struct {
-	// Alternatives are instances to try instead.
+	// Alternatives are other instances to connect to.
 	Alternatives []MemberRecord `cbor:"1,keyasint,omitempty"`
 }
 
@@ -229,7 +232,7 @@
 func (SnapshotRequest) Kind() Kind { return kindSnapshotRequest }
 
 // Kind implements Message.
-func (SnapshotChunk) Kind() Kind { return kindSnapshotPiece }
+func (SnapshotChunk) Kind() Kind { return kindSnapshotChunk }
 
 // Kind implements Message.
 func (Digest) Kind() Kind { return kindDigest }
@@ -241,7 +244,7 @@
 func (BucketSummaries) Kind() Kind { return kindBucketSummaries }
 
 // Kind implements Message.
-func (RecordRequest) Kind() Kind { return kindWant }
+func (RecordRequest) Kind() Kind { return kindRecordRequest }
 
 // Kind implements Message.
 func (Probe) Kind() Kind { return kindProbe }
--- a/internal/wire/member_test.go
+++ b/internal/wire/member_test.go
@@ -10,17 +10,17 @@
 	"gypsumstand/internal/model"
 )
 
-func TestMembershipMessagesSurviveTheWire(t *testing.T) {
+func TestMembershipMessageRoundTrip(t *testing.T) {
 	record := MemberRecord{
 		ID: "worker-1", Service: "payout", DataCentre: "kigali-1", PeerAddress: "10.0.0.1:7001",
 		Incarnation: 1_700_000_000_000_000, State: model.StateLeaving, Counter: 3, ListRevision: 9, ListStatus: ListLeaving,
 	}
-	accusation := Suspicion{Target: "worker-1", Incarnation: 7, Counter: 3, Observer: "worker-2"}
+	suspicion := Suspicion{Target: "worker-1", Incarnation: 7, Counter: 3, Observer: "worker-2"}
 	ages := ListAges{Attempt: AgeOf(time.Second), Confirmed: AgeOf(time.Minute), Revision: 9}
 	for _, m := range []Message{
 		Heartbeat{Clock: 5, Echo: 4, List: ages},
 		ListBeacon{Echo: 4, List: ages},
-		Rumours{Records: []MemberRecord{record}, Suspicions: []Suspicion{accusation}},
+		Rumours{Records: []MemberRecord{record}, Suspicions: []Suspicion{suspicion}},
 		SnapshotRequest{After: "worker-1"},
 		SnapshotChunk{After: "worker-1", Records: []MemberRecord{record}, Last: true, Partial: true},
 		Digest{Root: math.MaxUint64},
--- a/internal/wire/probe.go
+++ b/internal/wire/probe.go
@@ -8,11 +8,11 @@
 	kindLoadReply Kind = 5
 )
 
-// LoadProbe asks an owner for its load report. It counts as a measuring message and
-// is dropped without a word when it is over the budget.
+// LoadProbe asks an owner for its load report. It counts against the measuring budget and
+// is dropped without a reply when that is used up.
 type LoadProbe struct{}
 
-// LoadReply is the owner's answer.
+// LoadReply is the reply to a LoadProbe.
 type LoadReply struct {
 	Report model.LoadReport `cbor:"1,keyasint"`
 }
--- a/internal/wire/refusal.go
+++ b/internal/wire/refusal.go
@@ -9,10 +9,10 @@
 	"gypsumstand/internal/model"
 )
 
-// flagTrue is the only value of Gypsum-Not-Run that proves anything.
+// flagTrue is the only value of Gypsum-Not-Run that guarantees anything.
 const flagTrue = "true"
 
-// SetRefusal writes r as an owner's refusal headers.
+// SetRefusal writes r into the headers of an owner's refusal.
 func SetRefusal(h http.Header, r model.Refusal) {
 	h.Set(HeaderRefusal, r.Reason.String())
 	if r.NotRun {
@@ -30,9 +30,9 @@
 	}
 }
 
-// ReadRefusal reads what SetRefusal writes; ok is false when h holds no refusal.
-// A refusal that cannot be read whole proves nothing: NotRun is false and err
-// tells why.
+// ReadRefusal reverses SetRefusal; ok is false if h holds no refusal. A refusal that
+// cannot be parsed in full guarantees nothing: NotRun is then false and err is the
+// reason.
 func ReadRefusal(h http.Header) (r model.Refusal, ok bool, err error) {
 	name, ok, err := single(h, HeaderRefusal)
 	if !ok {
@@ -46,26 +46,26 @@
 	if err != nil {
 		return model.Refusal{Reason: reason}, true, err
 	}
-	after, err := readRetryAfterMs(h)
+	after, err := parseRetryAfterMs(h)
 	if err != nil {
 		return model.Refusal{Reason: reason}, true, err
 	}
-	home, _, err := single(h, HeaderRefusalHome)
+	onlyOwner, _, err := single(h, HeaderRefusalHome)
 	if err != nil {
 		return model.Refusal{Reason: reason}, true, err
 	}
-	lent, err := readFlag(h, HeaderRefusalGranted)
+	granted, err := parseFlag(h, HeaderRefusalGranted)
 	if err != nil {
 		return model.Refusal{Reason: reason}, true, err
 	}
-	return model.Refusal{Reason: reason, NotRun: notRun, RetryAfter: after, OnlyOwner: model.InstanceID(home), Granted: lent}, true, nil
+	return model.Refusal{Reason: reason, NotRun: notRun, RetryAfter: after, OnlyOwner: model.InstanceID(onlyOwner), Granted: granted}, true, nil
 }
 
-// ReadNotRun tells whether the sender says that it did not run the attempt.
-// Absent means false.
-func ReadNotRun(h http.Header) (bool, error) { return readFlag(h, HeaderNotRun) }
+// ReadNotRun reports whether the sender guarantees that it did not run the attempt. An
+// absent header means false.
+func ReadNotRun(h http.Header) (bool, error) { return parseFlag(h, HeaderNotRun) }
 
-func readFlag(h http.Header, name string) (bool, error) {
+func parseFlag(h http.Header, name string) (bool, error) {
 	value, ok, err := single(h, name)
 	if !ok {
 		return false, err
@@ -76,7 +76,7 @@
 	return value == flagTrue, nil
 }
 
-func readRetryAfterMs(h http.Header) (time.Duration, error) {
+func parseRetryAfterMs(h http.Header) (time.Duration, error) {
 	value, ok, err := single(h, HeaderRetryAfterMs)
 	if !ok {
 		return 0, err
@@ -88,8 +88,8 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// FormatRetryAfter returns d as Retry-After's whole seconds, rounded up and at
-// least 1, so that it never invites a caller too early.
+// FormatRetryAfter returns d in the form of Retry-After: whole seconds, rounded up, and
+// at least 1, so that it never invites a caller too early.
 func FormatRetryAfter(d time.Duration) string {
 	seconds := int64((d + time.Second - 1) / time.Second)
 	return strconv.FormatInt(max(seconds, 1), 10)
--- a/internal/wire/suspects.go
+++ b/internal/wire/suspects.go
@@ -10,74 +10,76 @@
 const (
 	// MaxSuspects is the number of records in one message.
 	MaxSuspects = 64
-	// SuspectBuckets is the number of parts that records are compared in.
+	// SuspectBuckets is the number of buckets in which records are compared.
 	SuspectBuckets = 16
-	// MaxSuspectCrashes is the number of ends in one record.
+	// MaxSuspectCrashes is the number of crashes in one record.
 	MaxSuspectCrashes = 8
-	// MaxSuspectBytes bounds a message: its records with their ends and the ends' owners.
+	// MaxSuspectBytes bounds a message: its records with their crashes and the crashes'
+	// owners.
 	MaxSuspectBytes = 64 << 10
 )
 
-// SuspectUpdate is what nodes tell each other of requests under which workers end.
+// SuspectUpdate exchanges knowledge of requests during which workers crashed.
 type SuspectUpdate struct {
 	From model.InstanceID `cbor:"1,keyasint"`
-	// Service, when set, says that this is about the requests that only its nodes know of;
-	// empty stands for those that all nodes know of.
+	// Service is set if the update concerns requests that only nodes of that service
+	// record; empty means requests that all nodes record.
 	Service model.ServiceName `cbor:"2,keyasint,omitempty"`
-	// Digests are of the records of that kind that the sender holds, in SuspectBuckets parts
-	// by fingerprint, so that two nodes send each other only the parts in which they differ;
-	// none when it holds none.
+	// Digests are the digests of the sender's records of that kind, in SuspectBuckets
+	// buckets by fingerprint, so that two nodes exchange only the buckets in which they
+	// differ. It is empty if the sender holds none.
 	Digests []uint64  `cbor:"3,keyasint,omitempty"`
 	Records []Suspect `cbor:"4,keyasint,omitempty"`
-	// Crashes are those that the records refer to.
+	// Crashes are the crashes that the records refer to.
 	Crashes []SuspectCrash `cbor:"6,keyasint,omitempty"`
-	// Compare: the sender wants what it lacks; without it Digests are absent and the answer
-	// is empty.
+	// Compare reports that the sender asks for the records that it is missing. Without it
+	// Digests is absent and the reply is empty.
 	Compare bool `cbor:"5,keyasint,omitempty"`
 }
 
-// SuspectBucket returns the part that a request's record belongs to.
+// SuspectBucket returns the bucket of a request's record.
 func SuspectBucket(f model.Fingerprint) int { return int(f[len(f)-1]) % SuspectBuckets }
 
-// Suspect is what is known of one request under which workers ended.
+// Suspect is the record of one request during which workers crashed.
 type Suspect struct {
 	Content model.Fingerprint `cbor:"1,keyasint"`
-	// Cleared counts the whole runs that cleared the request; of two records with
-	// different counts the greater one's holds.
+	// Cleared counts the complete runs that cleared the request. Of two records with
+	// different counts the one with the greater count is valid.
 	Cleared uint32 `cbor:"2,keyasint,omitempty"`
-	// Crashes are those with the request in hand.
+	// Crashes are the crashes with the request in flight.
 	Crashes []CrashRef `cbor:"3,keyasint,omitempty"`
 	// AgeMs is the time since the record last changed, in milliseconds.
 	AgeMs uint32 `cbor:"4,keyasint,omitempty"`
-	// Barred: it was put aside after the last clearing, whatever has explained its ends
-	// since.
+	// Quarantined reports that the request was quarantined after it was last cleared,
+	// even if its crashes have been explained since.
 	Quarantined bool `cbor:"5,keyasint,omitempty"`
 }
 
-// SuspectCrash is one end of a worker's life.
+// SuspectCrash is one crash of a worker.
 type SuspectCrash struct {
 	ID    uint64           `cbor:"1,keyasint"`
 	Owner model.InstanceID `cbor:"2,keyasint"`
 	AgeMs uint32           `cbor:"3,keyasint,omitempty"`
 }
 
-// CrashRef names an end of SuspectUpdate.Ends, with what is known of the request's run then.
-// One end is in the records of all that was in hand, so that naming it is most of a record.
+// CrashRef is an index into SuspectUpdate.Crashes with two flags of the request's run at
+// that time. A crash belongs to the records of all requests that were in flight, so
+// references to crashes make up most of a record.
 type CrashRef uint16
 
 const (
-	refDoubted CrashRef = 1 << iota
+	refAlreadySuspect CrashRef = 1 << iota
 	refTrial
-	refFlags = 2
+	refFlagBits = 2
 )
 
-// NewCrashRef returns a reference to the end at an index. doubted says that another end under
-// the request was known when the run began, trial that it was a trial of a request that was
-// put aside.
-func NewCrashRef(index int, doubted, trial bool) CrashRef {
-	r := CrashRef(index) << refFlags
-	if doubted {
-		r |= refDoubted
+// NewCrashRef returns a reference to the crash at an index. alreadySuspect reports that
+// another crash under the request was known when the run began, trial that the run was a
+// trial of a quarantined request.
+func NewCrashRef(index int, alreadySuspect, trial bool) CrashRef {
+	r := CrashRef(index) << refFlagBits
+	if alreadySuspect {
+		r |= refAlreadySuspect
 	}
 	if trial {
 		r |= refTrial
@@ -85,11 +87,11 @@
 	return r
 }
 
-// Index returns the end's index.
-func (r CrashRef) Index() int { return int(r >> refFlags) }
+// Index returns the crash's index.
+func (r CrashRef) Index() int { return int(r >> refFlagBits) }
 
-// AlreadySuspect reports whether another end was known when the run began.
-func (r CrashRef) AlreadySuspect() bool { return r&refDoubted != 0 }
+// AlreadySuspect reports whether another crash was known when the run began.
+func (r CrashRef) AlreadySuspect() bool { return r&refAlreadySuspect != 0 }
 
 // Trial reports whether the run was a trial.
 func (r CrashRef) Trial() bool { return r&refTrial != 0 }
@@ -97,7 +99,7 @@
 // EncodeSuspects returns the CBOR form of n.
 func EncodeSuspects(n *SuspectUpdate) ([]byte, error) { return Marshal(n) }
 
-// DecodeSuspects reads the form that EncodeSuspects writes.
+// DecodeSuspects reverses EncodeSuspects and checks all bounds and references.
 func DecodeSuspects(data []byte) (SuspectUpdate, error) {
 	if len(data) > MaxSuspectBytes {
 		return SuspectUpdate{}, fmt.Errorf("suspect requests: %d bytes are over the bound of %d", len(data), MaxSuspectBytes)
@@ -113,16 +115,16 @@
 		return SuspectUpdate{}, fmt.Errorf("suspect requests: %d digests; want none or %d", parts, SuspectBuckets)
 	}
 	for i := range n.Records {
-		if err := n.checkEnds(&n.Records[i]); err != nil {
+		if err := n.checkCrashes(&n.Records[i]); err != nil {
 			return SuspectUpdate{}, err
 		}
 	}
 	return n, nil
 }
 
-func (n *SuspectUpdate) checkEnds(s *Suspect) error {
-	if ends := len(s.Crashes); ends > MaxSuspectCrashes {
-		return fmt.Errorf("suspect requests: %d ends are over the bound of %d", ends, MaxSuspectCrashes)
+func (n *SuspectUpdate) checkCrashes(s *Suspect) error {
+	if crashes := len(s.Crashes); crashes > MaxSuspectCrashes {
+		return fmt.Errorf("suspect requests: %d ends are over the bound of %d", crashes, MaxSuspectCrashes)
 	}
 	for _, r := range s.Crashes {
 		if r.Index() >= len(n.Crashes) {
--- a/internal/wire/times.go
+++ b/internal/wire/times.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// HeaderTimes tells an entry node where an answered attempt's time went.
+// HeaderTimes reports to an entry node how an attempt's time was spent at its owner.
 const HeaderTimes = "Gypsum-Times"
 
-// AttemptTimes is where an answered attempt's time went at its owner.
+// AttemptTimes is how the time of an attempt with a response was spent at its owner.
 type AttemptTimes struct {
 	// Queued is the time in the owner's queue.
 	Queued time.Duration
-	// Worker is the time from the start to the head of the worker's answer.
+	// Worker is the time from the start until the worker's response header arrived.
 	Worker time.Duration
 }
 
@@ -25,8 +25,8 @@
 	h.Set(HeaderTimes, queued+" "+worker)
 }
 
-// ReadTimes reads what SetTimes writes; what cannot be read is zero, since it is
-// for measurements only.
+// ReadTimes reverses SetTimes. Unreadable values become zero, since they serve
+// measurements only.
 func ReadTimes(h http.Header) AttemptTimes {
 	queued, worker, _ := strings.Cut(h.Get(HeaderTimes), " ")
 	return AttemptTimes{Queued: microseconds(queued), Worker: microseconds(worker)}
--- a/internal/wire/lost_test.go
+++ b/internal/wire/unreachable_test.go
@@ -11,7 +11,7 @@
 	"gypsumstand/internal/model"
 )
 
-func TestLostOwnersSurviveTheirHeader(t *testing.T) {
+func TestUnreachableHeaderRoundTrip(t *testing.T) {
 	want := []model.InstanceID{"10.1.0.4", "a, b", "w-3"}
 	s, err := EncodeUnreachable(want)
 	if err != nil {
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestTooManyLostOwnersAreRefused(t *testing.T) {
+func TestTooManyUnreachableOwnersAreRefused(t *testing.T) {
 	var ids []model.InstanceID
 	for i := range MaxUnreachable + 1 {
 		ids = append(ids, model.InstanceID(fmt.Sprint("w", i)))
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, value := range map[string]string{"too many": s, "no base64": "%", "too long": strings.Repeat("a", 2*maxLostBytes)} {
+	for name, value := range map[string]string{"too many": s, "no base64": "%", "too long": strings.Repeat("a", 2*maxUnreachableBytes)} {
 		if _, err := DecodeUnreachable(value); !errors.Is(err, ErrBadUnreachable) {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,7 +1,7 @@
-// Package wire holds the typed messages between nodes and their CBOR codec
-// (RFC 8949). Every message is bounded in size and nesting, rejects duplicate
-// keys, tolerates unknown fields, and unknown kinds decode to ErrUnknownKind so
-// that the receiver counts and drops them. Design: docs/DESIGN.md.
+// Package wire holds the typed messages between nodes and their CBOR codec (RFC 8949).
+// Every message is bounded in size and nesting. Duplicate keys are rejected and unknown
+// fields ignored; an unknown kind decodes to ErrUnknownKind, so that the receiver counts
+// and drops it. Design: docs/DESIGN.md.
 package wire
 
 import (
@@ -12,30 +12,30 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ProtocolVersion is the version that this build writes. A receiver drops
-// envelopes of a greater major version.
+// ProtocolVersion is the version that this build writes. A receiver drops envelopes of
+// any other version.
 const ProtocolVersion = 1
 
 // Bounds of one message.
 const (
-	// MaxMessageBytes bounds an encoded envelope: a megabyte of bundle and its
-	// framing (brief: values up to a megabyte).
+	// MaxMessageBytes bounds an encoded envelope: a bundle of one megabyte, the largest
+	// value that the configuration service may hold, and its framing.
 	MaxMessageBytes = 1<<20 + 1<<16
 	maxArray        = 1 << 16
 	maxMapPairs     = 1 << 12
 	maxNesting      = 8
 )
 
-// Errors of Decode. Both mean: count, drop, keep the link.
+// Errors of Decode. The receiver counts and drops the message and keeps the link.
 var (
 	ErrUnknownKind    = errors.New("unknown message kind")
 	ErrUnknownVersion = errors.New("unknown protocol version")
 )
 
-// Kind numbers a message type on the wire; numbers are never reused.
+// Kind is the number of a message type on the wire. Numbers are never reused.
 type Kind uint16
 
-// Message is implemented by every message body.
+// Message is the body of a message.
 type Message interface {
 	// Kind returns the type's number on the wire.
 	Kind() Kind
@@ -77,8 +77,8 @@
 	return mode
 }
 
-// register makes a message type known to Decode. It is called from init
-// functions of this package only; two types of one kind are a bug and panic.
+// register makes a message type known to Decode. Only init functions of this package call
+// it; it panics if two types have the same kind.
 func register(m Message) {
 	k := m.Kind()
 	if _, taken := kinds[k]; taken {
@@ -87,7 +87,7 @@
 	kinds[k] = reflect.TypeOf(m)
 }
 
-// Encode returns the envelope of m, a non-pointer message.
+// Encode returns m, which must not be a pointer, in an envelope.
 func Encode(m Message) ([]byte, error) {
 	body, err := encMode.Marshal(m)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return out, nil
 }
 
-// Decode reads one envelope and returns its message by value.
+// Decode decodes one envelope and returns its message by value.
 func Decode(data []byte) (Message, error) {
 	if len(data) > MaxMessageBytes {
 		return nil, fmt.Errorf("message of %d bytes is over the bound of %d", len(data), MaxMessageBytes)
@@ -126,8 +126,10 @@
 	return ptr.Elem().Interface().(Message), nil
 }
 
-// Marshal encodes a bare value with the codec's options, for header values.
+// Marshal encodes a bare value with the codec's options, for header values and messages
+// over HTTP.
 func Marshal(v any) ([]byte, error) { return encMode.Marshal(v) }
 
-// Unmarshal decodes a bare value with the codec's bounds, for header values.
+// Unmarshal decodes a bare value within the codec's bounds, for header values and
+// messages over HTTP.
 func Unmarshal(data []byte, v any) error { return decMode.Unmarshal(data, v) }
