--- a/internal/server/body.go
+++ b/internal/server/body.go
@@ -9,92 +9,92 @@
 	"time"
 )
 
-// replayBytes bounds the request body that an entry holds whole so that it can
-// be sent again; longer ones stream.
-const replayBytes = 64 << 10
+// maxBufferedBody is the longest request body, in bytes, that an entry node buffers so
+// that it can be sent again; longer ones are streamed.
+const maxBufferedBody = 64 << 10
 
-// errBodyTooLarge says that a request body is over the bundle's bound.
-var errBodyTooLarge = errors.New("request body is over the bound")
+// errBodyTooLarge is returned for a request body over the bundle's limit.
+var errBodyTooLarge = errors.New("request body exceeds the limit")
 
-// requestBody is a caller's body: held whole, or streamed once.
+// requestBody is a caller's request body, either buffered or streamed once.
 type requestBody struct {
-	held   []byte
-	stream io.ReadCloser
-	length int64
-	// touched tells that a part of the stream is gone.
-	touched atomic.Bool
+	buffered []byte
+	stream   io.ReadCloser
+	length   int64
+	// partlyRead is set once a part of the stream has been consumed.
+	partlyRead atomic.Bool
 }
 
-// takeBody holds a body of up to replayBytes, or of unknown length up to limit,
-// and leaves a longer one of known length to be streamed.
-func takeBody(r *http.Request, limit int64) (*requestBody, error) {
+// bufferBody buffers a body of up to maxBufferedBody, or one of unknown length up to
+// limit. A longer one of known length is left to be streamed.
+func bufferBody(r *http.Request, limit int64) (*requestBody, error) {
 	if r.ContentLength > limit {
 		return nil, errBodyTooLarge
 	}
-	if r.ContentLength > replayBytes {
+	if r.ContentLength > maxBufferedBody {
 		return &requestBody{stream: r.Body, length: r.ContentLength}, nil
 	}
-	held, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
+	buffered, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
 		return nil, err
 	}
-	if int64(len(held)) > limit {
+	if int64(len(buffered)) > limit {
 		return nil, errBodyTooLarge
 	}
-	return &requestBody{held: held, length: int64(len(held))}, nil
+	return &requestBody{buffered: buffered, length: int64(len(buffered))}, nil
 }
 
 // open returns the body for one attempt.
 func (b *requestBody) open() io.ReadCloser {
 	if b.stream != nil {
-		return streamOnce{b}
+		return sharedStream{b}
 	}
-	if len(b.held) == 0 {
+	if len(b.buffered) == 0 {
 		return nil
 	}
-	return io.NopCloser(bytes.NewReader(b.held))
+	return io.NopCloser(bytes.NewReader(b.buffered))
 }
 
-// streamOnce reads the caller's stream; closing it leaves the stream open, for
-// another attempt when nothing was read.
-type streamOnce struct{ b *requestBody }
+// sharedStream reads the caller's stream. Closing it leaves the stream open, so that
+// another attempt can send it if nothing was read.
+type sharedStream struct{ b *requestBody }
 
 // Read implements io.Reader.
-func (s streamOnce) Read(p []byte) (int, error) {
-	s.b.touched.Store(true)
+func (s sharedStream) Read(p []byte) (int, error) {
+	s.b.partlyRead.Store(true)
 	return s.b.stream.Read(p)
 }
 
 // Close implements io.Closer.
-func (s streamOnce) Close() error { return nil }
+func (s sharedStream) Close() error { return nil }
 
-// closing ends a context with the body that is read under it.
-type closing struct {
+// cancelOnClose cancels the context of a response when its body is closed.
+type cancelOnClose struct {
 	io.ReadCloser
-	end func()
+	cancel func()
 }
 
 // Close implements io.Closer.
-func (c closing) Close() error {
+func (c cancelOnClose) Close() error {
 	err := c.ReadCloser.Close()
-	c.end()
+	c.cancel()
 	return err
 }
 
-// limitReading ends the reading of the request's body at t: no context ends a
-// read from the connection. net/http lifts the limit once the body is read, but not
-// where there is none: the limit would then end net/http's own watch of the
-// connection, and with it the contexts of all later requests there.
-func limitReading(w http.ResponseWriter, r *http.Request, t time.Time) {
+// setReadDeadline ends the reading of the request body at t, since no context interrupts
+// a read from the connection. net/http resets the deadline once the body has been read,
+// but not for a request without one: the deadline would then end net/http's background
+// read of the connection, and with it the contexts of all later requests on it.
+func setReadDeadline(w http.ResponseWriter, r *http.Request, t time.Time) {
 	if r.ContentLength == 0 {
 		return
 	}
-	// Only a writer without a connection, as in tests, refuses.
+	// Fails only for a writer without a connection, as in tests.
 	_ = http.NewResponseController(w).SetReadDeadline(t)
 }
 
-// limitWriting ends the writing of the response at t: no context ends a write to
-// a connection whose reader has stopped. net/http lifts the limit after it.
-func limitWriting(w http.ResponseWriter, t time.Time) {
+// setWriteDeadline ends the writing of the response at t, since no context interrupts a
+// write to a connection whose reader has stopped. net/http resets it afterwards.
+func setWriteDeadline(w http.ResponseWriter, t time.Time) {
 	_ = http.NewResponseController(w).SetWriteDeadline(t)
 }
--- a/internal/server/caller.go
+++ b/internal/server/caller.go
@@ -22,17 +22,17 @@
 	"gypsumstand/internal/wire"
 )
 
-// holdAnswerBytes bounds the answer that an entry holds until it is known to be
-// whole; longer ones stream.
-const holdAnswerBytes = 64 << 10
+// maxBufferedResponse is the number of bytes of a response that an entry node buffers
+// until it is known to be complete; longer responses are streamed.
+const maxBufferedResponse = 64 << 10
 
-// Recorder takes measurements of calls; metrics.Metrics is one.
+// Recorder takes measurements of calls; metrics.Metrics implements it.
 type Recorder interface {
-	// Call is told once per call, when the caller has been answered.
+	// Call is called once for each call, after the response to the caller.
 	Call(c CallRecord)
 }
 
-// CallRecord measures one call.
+// CallRecord holds the measurements of one call.
 type CallRecord struct {
 	Service  model.ServiceName
 	Class    model.ClassName
@@ -41,24 +41,24 @@
 	Reason   model.Reason
 	Latency  time.Duration
 	Attempts int
-	// Added is the time to the answer's head less the time in the owner's queue
-	// and at the worker; zero when there was no answer.
+	// Added is the time until the response header arrived, less the time in the owner's
+	// queue and at the worker; zero without a response.
 	Added time.Duration
 	// Queued is the time in the owner's queue.
 	Queued time.Duration
 }
 
-// Resolver asks owners about attempts, over control links.
+// OutcomeResolver exchanges messages about attempts with owners over control links.
 type OutcomeResolver interface {
-	// Resolve asks the owner to; it returns an error when there is no answer by
-	// ctx's end.
+	// Resolve asks the owner at to for the state of an attempt and fences it if it has
+	// not started. It returns an error if there is no reply before ctx ends.
 	Resolve(ctx context.Context, to model.Instance, s wire.Resolve) (wire.ResolveReply, error)
-	// Notify tells a request's home how it ended. It waits until the message is
-	// on its way when that says "not run", for a short bounded time.
+	// Notify reports to the home node of a request how it ended. If the outcome is "not
+	// run", it waits for a short bounded time until the message has been sent.
 	Notify(to model.Instance, r wire.KeyResult)
 }
 
-// CallerHandler serves callers: it carries out the steps of an entry.Call.
+// CallerHandler serves the caller port: it executes the steps of an entry.Call.
 type CallerHandler struct {
 	Self      model.InstanceID
 	Board     *blackboard.Board
@@ -70,36 +70,39 @@
 	Recorder  Recorder
 	// RequestLog takes the log lines about single requests.
 	RequestLog *zerolog.Logger
-	// BundleReported is told the bundle versions that owners report; it does not block.
+	// BundleReported is called with the bundle version of each owner's report; it must
+	// not block.
 	BundleReported func(from model.InstanceID, v model.BundleVersion)
-	// FreshnessReported is told the directory marks of owners; it does not block.
+	// FreshnessReported is called with the directory freshness of each owner's report; it
+	// must not block.
 	FreshnessReported func(from model.InstanceID, m model.DirectoryFreshness)
-	// DirectoryFreshness tells what this node knows of the directory.
+	// DirectoryFreshness returns the freshness of this node's view of the directory.
 	DirectoryFreshness func() model.DirectoryFreshness
-	// AttemptUnanswered is told of each owner that gave an attempt no answer, and why the
-	// attempt is proved not to have run, ReasonNone where it is not; it does not block.
+	// AttemptUnanswered is called for each owner that did not reply to an attempt. reason
+	// is why the attempt is known not to have run, or ReasonNone. It must not block.
 	AttemptUnanswered func(in model.Instance, reason model.Reason)
-	// UnreachableSignal tells attempts that their owner is out of reach.
+	// UnreachableSignal notifies attempts that their owner has become unreachable.
 	UnreachableSignal *UnreachableSignal
-	// ExtendRetryAfter changes advice to come back so that the node can still be reached then, where it
-	// is about to stop; nil leaves it as it is.
+	// ExtendRetryAfter adjusts a Retry-After so that this node can still be reached then
+	// if it is about to stop; nil leaves it unchanged.
 	ExtendRetryAfter func(after time.Duration) time.Duration
-	// Leaving tells whether callers are to be sent away (Connection: close).
+	// Leaving reports whether callers are asked to close their connections (Connection:
+	// close).
 	Leaving func() bool
-	// Quarantine tells which requests reach no worker.
+	// Quarantine holds the requests that must not reach a worker.
 	Quarantine *quarantine.Quarantine
-	// StopBound bounds calls by a planned stop.
+	// StopBound ends calls before a planned stop does.
 	StopBound *StopBound
-	// Dialect is how callers speak.
+	// Dialect defines the callers' headers.
 	Dialect dialect.Callers
-	// Service is the service beside whose worker this entry runs.
+	// Service is the service of the worker beside this entry node.
 	Service model.ServiceName
 }
 
 // ServeHTTP implements http.Handler.
 func (c *CallerHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
-	defer c.StopBound.hold()()
+	defer c.StopBound.trackCall()()
 	if c.Leaving() {
 		w.Header().Set("Connection", "close")
 	}
@@ -109,7 +112,7 @@
 		c.refuseUnrouted(w, r)
 		return
 	}
-	if most := target.Bundle.Callers.MaxHeaderBytes; most > 0 && headerBytes(r) > most {
+	if limit := target.Bundle.Callers.MaxHeaderBytes; limit > 0 && headerBytes(r) > limit {
 		c.refuseEarly(w, r, http.StatusRequestHeaderFieldsTooLarge, dialect.End{
 			Outcome: model.OutcomeNotRun, Reason: model.ReasonBadRequest, Bundle: target.Bundle.VersionID(),
 		})
@@ -124,8 +127,8 @@
 		return
 	}
 	request := c.entryRequest(headers, target)
-	limitReading(w, r, began.Add(request.Timeout))
-	body, err := takeBody(r, target.Service.BodyLimitBytes)
+	setReadDeadline(w, r, began.Add(request.Timeout))
+	body, err := bufferBody(r, target.Service.BodyLimitBytes)
 	if err != nil {
 		c.refuseBody(w, r, err, end)
 		return
@@ -134,7 +137,8 @@
 	x.serve()
 }
 
-// headerBytes returns the size of a request's header as it came, but for white space.
+// headerBytes returns the size of a request's header as received, except for optional
+// white space.
 func headerBytes(r *http.Request) int {
 	const separators = len(": \r\n")
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
@@ -146,12 +150,12 @@
 	return n
 }
 
-// notReadyRetry is the advice to a caller who came before this node was ready.
+// notReadyRetry is the Retry-After for callers that arrive before this node is ready.
 const notReadyRetry = time.Second
 
-// refuseUnrouted refuses a request that no route of this node matches. A node
-// that is not ready yet knows too little to say that there is none, nor that an
-// earlier sending of the caller's own id was not run.
+// refuseUnrouted refuses a request that matches no route of this node. A node that is not
+// ready yet cannot know that there is no route, nor that an earlier submission with the
+// caller's own id was not run.
 func (c *CallerHandler) refuseUnrouted(w http.ResponseWriter, r *http.Request) {
 	if ready := c.Board.Readiness.Get(); ready != nil && ready.Ready {
 		c.refuseEarly(w, r, http.StatusNotFound, dialect.End{Outcome: model.OutcomeNotRun, Reason: model.ReasonNoRoute})
@@ -174,7 +178,7 @@
 	c.refuseEarly(w, r, http.StatusBadRequest, end)
 }
 
-// entryRequest applies the bundle's bounds to what the caller asked for.
+// entryRequest applies the bundle's limits to the caller's headers.
 func (c *CallerHandler) entryRequest(h wire.CallerHeaders, t bundle.Target) entry.Request {
 	req := entry.Request{
 		ID:          h.Request,
@@ -199,21 +203,21 @@
 		req.RequestedTimeout = h.Timeout
 		req.Timeout = min(h.Timeout, t.Class.MaxDeadline())
 	}
-	req.Timeout = c.StopBound.within(time.Now(), req.Timeout)
+	req.Timeout = c.StopBound.limit(time.Now(), req.Timeout)
 	if h.HasRetryBudget {
 		req.RetryBudget = min(req.RetryBudget, h.RetryBudget)
 	}
 	return req
 }
 
-// newRequestID makes an id for a request whose caller named none. Chance alone
-// keeps it unique: 122 bits.
+// newRequestID returns an id for a request without one. Its 122 random bits make it
+// unique.
 func (c *CallerHandler) newRequestID() model.RequestID {
 	return model.RequestID(string(c.Self) + "." + strconv.FormatUint(rand.Uint64(), 36) + strconv.FormatUint(rand.Uint64(), 36))
 }
 
-// setLength sets Content-Length where the length is known and the status has one
-// (RFC 9110, section 8.6).
+// setLength sets Content-Length if the length is known and the status allows one (RFC
+// 9110, section 8.6).
 func setLength(h http.Header, status int, length int64) {
 	if status == http.StatusNoContent || status == http.StatusNotModified {
 		return
@@ -223,7 +227,7 @@
 	}
 }
 
-// statusOf gives the HTTP status of an outcome without an answer.
+// statusOf returns the HTTP status of an outcome without a response.
 func statusOf(step entry.Step) int {
 	switch {
 	case step.Outcome == model.OutcomeNotRun && step.Reason == model.ReasonTenantLimit:
@@ -236,25 +240,25 @@
 	return http.StatusBadGateway
 }
 
-// endWith tells the caller an outcome without an answer.
-func (c *CallerHandler) endWith(w http.ResponseWriter, r *http.Request, status int, e dialect.End) {
+// writeEnd sends the caller an outcome without a response.
+func (c *CallerHandler) writeEnd(w http.ResponseWriter, r *http.Request, status int, e dialect.End) {
 	c.Dialect.Ended(w.Header(), r.Header, e)
 	w.WriteHeader(status)
 }
 
-// refusedBodyTime is how long the body of a refused request is waited for: net/http reads it
-// before the refusal goes out. A caller that sends one has it on its way; one that does not
-// would hold its connection, and a planned stop, for as long as it likes.
-const refusedBodyTime = 500 * time.Millisecond
+// refusedBodyTimeout bounds the reading of a refused request's body, which net/http reads
+// before it sends the refusal. A caller that sends the body has it on its way; one that
+// does not would hold its connection, and a planned stop, indefinitely.
+const refusedBodyTimeout = 500 * time.Millisecond
 
-// refuseEarly ends a request that was never placed.
+// refuseEarly refuses a request that was never placed.
 func (c *CallerHandler) refuseEarly(w http.ResponseWriter, r *http.Request, status int, e dialect.End) {
-	limitReading(w, r, time.Now().Add(refusedBodyTime))
-	c.endWith(w, r, status, e)
-	// What cannot be read names no request.
-	asked, _ := c.Dialect.ReadRequest(r.Header)
+	setReadDeadline(w, r, time.Now().Add(refusedBodyTimeout))
+	c.writeEnd(w, r, status, e)
+	// An unreadable header yields no request id.
+	headers, _ := c.Dialect.ReadRequest(r.Header)
 	event.Log(c.RequestLog, event.CallRefusedEarly).
-		Str("request", string(asked.Request)).Str("host", r.Host).Str("path", r.URL.Path).
+		Str("request", string(headers.Request)).Str("host", r.Host).Str("path", r.URL.Path).
 		Str("reason", e.Reason.String()).Int("status", int64(status)).
 		Str("bundle", e.Bundle.String()).Send()
 }
--- a/internal/server/carrier_test.go
+++ b/internal/server/callrunner_test.go
@@ -20,7 +20,7 @@
 	"gypsumstand/internal/wire"
 )
 
-func TestACallerThatLeavesDoesNotSpeakAgainstTheUpstream(t *testing.T) {
+func TestCallerCancellationIsNoUpstreamFailure(t *testing.T) {
 	now := time.Now()
 	b := &bundle.Bundle{
 		Name: "b", Version: 1,
@@ -30,8 +30,8 @@
 	target := bundle.Target{Bundle: b, Service: &b.Services[0], Class: &b.Classes[0], Idempotent: true}
 	failures := map[string]time.Duration{}
 	for name, cause := range map[string]func(context.Context) (context.Context, context.CancelFunc){
-		"caller gone": context.WithCancel,
-		"way broken":  func(ctx context.Context) (context.Context, context.CancelFunc) { return ctx, func() {} },
+		"caller gone":       context.WithCancel,
+		"connection broken": func(ctx context.Context) (context.Context, context.CancelFunc) { return ctx, func() {} },
 	} {
 		table := route.NewTable(route.Config{Self: "e"})
 		up := model.Instance{ID: "w1", Service: "shop", State: model.StateLive}
@@ -40,51 +40,51 @@
 		call := engine.Begin(now, entry.Request{ID: "r", Target: target, Timeout: time.Second, Idempotent: true, Replayable: true})
 		step := call.Next(now)
 		log := zerolog.Nop()
-		c := &carrier{exchange: &exchange{caller: &CallerHandler{RequestLog: &log}}, call: call}
-		ctx, leave := cause(context.Background())
-		leave()
-		c.ended(ctx, now, step, errors.New("broken"))
+		c := &callRunner{exchange: &exchange{caller: &CallerHandler{RequestLog: &log}}, call: call}
+		ctx, cancel := cause(context.Background())
+		cancel()
+		c.interrupted(ctx, now, step, errors.New("broken"))
 		for _, e := range table.Explain(now, &route.Query{Service: "shop"}) {
 			failures[name] = e.Failure
 		}
 	}
-	if failures["caller gone"] != 0 || failures["way broken"] == 0 {
+	if failures["caller gone"] != 0 || failures["connection broken"] == 0 {
 		t.Errorf("expected loss by failure: %v", failures)
 	}
 }
 
-func TestAnAnswersWayIsWhatNeitherOwnerNorWorkerHeld(t *testing.T) {
+func TestTransitExcludesOwnerAndWorkerTime(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		whole time.Duration
-		held  wire.AttemptTimes
-		want  time.Duration
+		name      string
+		elapsed   time.Duration
+		ownerTime wire.AttemptTimes
+		want      time.Duration
 	}{
-		{"answered at once", 605 * time.Millisecond, wire.AttemptTimes{Queued: 200 * time.Millisecond, Worker: 400 * time.Millisecond}, 5 * time.Millisecond},
-		{"held up behind a cut link", 3 * time.Second, wire.AttemptTimes{Worker: 500 * time.Millisecond}, 2500 * time.Millisecond},
-		{"refused after a wait that is not told", 300 * time.Millisecond, wire.AttemptTimes{}, 300 * time.Millisecond},
-		{"clocks that differ by their rounding", time.Millisecond, wire.AttemptTimes{Worker: 2 * time.Millisecond}, 0},
+		{"response at once", 605 * time.Millisecond, wire.AttemptTimes{Queued: 200 * time.Millisecond, Worker: 400 * time.Millisecond}, 5 * time.Millisecond},
+		{"delayed behind a cut link", 3 * time.Second, wire.AttemptTimes{Worker: 500 * time.Millisecond}, 2500 * time.Millisecond},
+		{"refused after an unreported wait", 300 * time.Millisecond, wire.AttemptTimes{}, 300 * time.Millisecond},
+		{"rounding differences", time.Millisecond, wire.AttemptTimes{Worker: 2 * time.Millisecond}, 0},
 	} {
-		if got := transit(tt.whole, tt.held); got != tt.want {
+		if got := transit(tt.elapsed, tt.ownerTime); got != tt.want {
 			t.Errorf("%s: %s, want %s", tt.name, got, tt.want)
 		}
 	}
 }
 
-// A panic in an attempt with a hedge beside it, or in the hedge, ended the process and with
-// it every request in hand: both run in goroutines that are no handler's. One without a
-// hedge cut its caller off.
-func TestAPanicOfAnAttemptIsAnAttemptThatBroke(t *testing.T) {
+// A panic in an attempt beside a hedge, or in the hedge, ended the process and with it
+// every request in flight, because both run outside a handler's goroutine. Without a
+// hedge it cut off the caller.
+func TestAttemptPanicCountsAsBrokenAttempt(t *testing.T) {
 	now := time.Now()
 	for name, hedgeAt := range map[string]time.Time{"alone": {}, "to be hedged": now.Add(time.Hour)} {
 		t.Run(name, func(t *testing.T) {
 			var log bytes.Buffer
-			c, step := panickingCarrier(now, &log)
+			c, step := panickingRunner(now, &log)
 			step.HedgeAt = hedgeAt
-			result, heard, err := c.attemptHedged(t.Context(), step)
+			result, reported, err := c.attemptHedged(t.Context(), step)
 			var panicked *task.Panicked
-			if result.Response != nil || heard || !errors.As(err, &panicked) || panicked.Value != "the cause" {
-				t.Errorf("%+v, heard %v, error %v", result, heard, err)
+			if result.Response != nil || reported || !errors.As(err, &panicked) || panicked.Value != "the cause" {
+				t.Errorf("%+v, reported %v, error %v", result, reported, err)
 			}
 			if line := log.String(); !strings.Contains(line, `"event":111,`) || !strings.Contains(line, "the cause") {
 				t.Errorf("log %q", line)
@@ -93,11 +93,11 @@
 	}
 }
 
-func TestAPanicOfAHedgeEndsItWithAnUnknownOutcome(t *testing.T) {
+func TestHedgePanicEndsWithUnknownOutcome(t *testing.T) {
 	var log bytes.Buffer
-	c, _ := panickingCarrier(time.Now(), &log)
+	c, _ := panickingRunner(time.Now(), &log)
 	c.caller.AttemptUnanswered = func(model.Instance, model.Reason) { panic("another cause") }
-	if step := c.carryOut(t.Context()); step.Kind != entry.StepEnd || step.Outcome != model.OutcomeUnknown {
+	if step := c.runRecovering(t.Context()); step.Kind != entry.StepEnd || step.Outcome != model.OutcomeUnknown {
 		t.Errorf("ends with %+v", step)
 	}
 	if line := log.String(); !strings.Contains(line, "another cause") {
@@ -105,8 +105,9 @@
 	}
 }
 
-// panickingCarrier returns a carrier whose attempts panic, and the first step of its call.
-func panickingCarrier(now time.Time, out io.Writer) (*carrier, entry.Step) {
+// panickingRunner returns a callRunner whose attempts panic, and the first step of its
+// call.
+func panickingRunner(now time.Time, out io.Writer) (*callRunner, entry.Step) {
 	b := &bundle.Bundle{
 		Name: "b", Version: 1,
 		Classes:  []bundle.Class{{Name: "view", DeadlineMs: 60_000}},
@@ -126,5 +127,5 @@
 	x := &exchange{caller: caller, r: &http.Request{}, request: request, body: &requestBody{}, began: now}
 	call := engine.Begin(now, request)
 	step := entry.Step{Kind: entry.StepSend, To: up}
-	return &carrier{exchange: x, call: call}, step
+	return &callRunner{exchange: x, call: call}, step
 }
--- a/internal/server/exchange.go
+++ b/internal/server/exchange.go
@@ -14,7 +14,7 @@
 	"gypsumstand/internal/model"
 )
 
-// exchange is one caller's request in hand.
+// exchange is one caller's request in flight.
 type exchange struct {
 	caller  *CallerHandler
 	w       http.ResponseWriter
@@ -25,52 +25,52 @@
 	began   time.Time
 }
 
-// serve carries the call out and answers the caller.
+// serve runs the call and sends the response to the caller.
 func (x *exchange) serve() {
-	if x.barred() {
+	if x.refuseQuarantined() {
 		return
 	}
 	call := x.caller.Engine.Begin(x.began, x.request)
-	ctx, release := x.caller.StopBound.bound(x.r.Context())
+	ctx, release := x.caller.StopBound.withContext(x.r.Context())
 	defer release()
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline())
 	defer cancel()
-	first := &carrier{exchange: x, call: call}
-	step := first.carry(ctx)
-	winner, step := first.decide(step)
-	x.end(winner, step, first.sent())
+	first := &callRunner{exchange: x, call: call}
+	step := first.run(ctx)
+	winner, step := first.pickWinner(step)
+	x.finish(winner, step, first.totalAttempts())
 }
 
-// barred refuses a request that is put aside without the way to an owner. What its caller
-// keyed goes to the home of its id, which alone knows of earlier sendings, and what streams
-// is known only in part here.
-func (x *exchange) barred() bool {
+// refuseQuarantined refuses a quarantined request without asking an owner. A request with
+// a caller's key goes to its home node, which alone knows earlier submissions, and of a
+// streamed body this node knows only a part.
+func (x *exchange) refuseQuarantined() bool {
 	q := x.caller.Quarantine
 	keyed := x.request.CallerKey && !x.request.Idempotent
 	if q == nil || q.Empty() || keyed || x.body.stream != nil {
 		return false
 	}
 	host := x.caller.Board.Bundles.Get().RouteHost(x.r.Host, x.r.Method, x.r.URL.Path)
-	content := model.NewFingerprint(x.r.Method, host, x.r.URL, x.request.Tenant, x.body.length, x.body.held)
-	after, barred := q.Blocked(x.began, content)
-	if !barred {
+	fingerprint := model.NewFingerprint(x.r.Method, host, x.r.URL, x.request.Tenant, x.body.length, x.body.buffered)
+	after, blocked := q.Blocked(x.began, fingerprint)
+	if !blocked {
 		return false
 	}
-	notePutAside(x.caller.RequestLog, x.request.ID, content, after)
-	x.end(&carrier{exchange: x}, entry.Step{
+	logQuarantined(x.caller.RequestLog, x.request.ID, fingerprint, after)
+	x.finish(&callRunner{exchange: x}, entry.Step{
 		Kind: entry.StepEnd, Outcome: model.OutcomeNotRun, Reason: model.ReasonQuarantined, RetryAfter: after,
 	}, 0)
 	return true
 }
 
-// end tells the caller and measures. The request's home is told first, so that a
-// caller who comes back at once finds the id free.
-func (x *exchange) end(c *carrier, step entry.Step, attempts int) {
+// finish sends the outcome to the caller and records the call. The request's home node is
+// notified first, so that a caller that retries at once finds the id free.
+func (x *exchange) finish(c *callRunner, step entry.Step, attempts int) {
 	if step.Notify != nil {
 		x.caller.Resolver.Notify(step.To, *step.Notify)
 	}
-	if c.cutBeforeBegun(step) {
-		c.drop()
+	if c.expiredBeforeStart(step) {
+		c.dropResponse()
 		step.Outcome, step.Reason = model.OutcomeUnknown, model.ReasonExpired
 	}
 	if x.caller.ExtendRetryAfter != nil {
@@ -83,73 +83,73 @@
 		Outcome: step.Outcome, Reason: step.Reason, RetryAfter: step.RetryAfter,
 		Upstream: c.upstream, Bundle: x.target.Bundle.VersionID(),
 	}
-	if step.Outcome != model.OutcomeAnswered || c.held == nil {
-		x.caller.endWith(x.w, x.r, status, end)
+	if step.Outcome != model.OutcomeAnswered || c.buffered == nil {
+		x.caller.writeEnd(x.w, x.r, status, end)
 		return
 	}
-	status = c.held.answer.Status
-	if err := x.answer(c.held, end); err != nil {
+	status = c.buffered.response.Status
+	if err := x.writeResponse(c.buffered, end); err != nil {
 		c.call.Interrupted(time.Now(), true)
 		outcome = model.OutcomeUnknown
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// answer sends the answer on; an error means that the caller sees it broken off.
-func (x *exchange) answer(held *heldAnswer, end dialect.End) error {
-	a := held.answer
+// writeResponse passes the response on. An error means that the caller sees it cut off.
+func (x *exchange) writeResponse(buffered *bufferedResponse, end dialect.End) error {
+	a := buffered.response
 	defer a.Body.Close()
-	x.limitAnswer(held)
+	x.setResponseDeadline(buffered)
 	h := x.w.Header()
 	copyInto(h, a.Header)
 	x.caller.Dialect.Answered(h, end)
 	length := a.ContentLength
-	if held.whole && x.r.Method != http.MethodHead {
-		length = int64(len(held.start))
+	if buffered.complete && x.r.Method != http.MethodHead {
+		length = int64(len(buffered.prefix))
 	}
 	setLength(h, a.Status, length)
 	x.w.WriteHeader(a.Status)
-	if held.whole {
-		_, err := x.w.Write(held.start)
+	if buffered.complete {
+		_, err := x.w.Write(buffered.prefix)
 		return err
 	}
-	return copyFlushing(x.w, io.MultiReader(bytes.NewReader(held.start), a.Body))
+	return copyFlushing(x.w, io.MultiReader(bytes.NewReader(buffered.prefix), a.Body))
 }
 
-// cutBeforeBegun tells whether the time is over for an answer that streams and of
-// which the caller has had nothing yet. Its rest can no longer come, and the caller is
-// better told so than by a connection that closes without a word.
-func (c *carrier) cutBeforeBegun(step entry.Step) bool {
-	return step.Outcome == model.OutcomeAnswered && c.held != nil && !c.held.whole &&
+// expiredBeforeStart reports whether the deadline has passed for a streamed response of
+// which the caller has received nothing yet. Its rest can no longer arrive, and an
+// explicit outcome serves the caller better than a closed connection.
+func (c *callRunner) expiredBeforeStart(step entry.Step) bool {
+	return step.Outcome == model.OutcomeAnswered && c.buffered != nil && !c.buffered.complete &&
 		!time.Now().Before(c.call.Deadline())
 }
 
-// headWriteTimeout is the least time for writing the beginning of an answer that
-// streams, so that a deadline which passes meanwhile does not close the connection on a
-// caller who has read nothing. It is long beside a write into an empty socket buffer,
-// and a tenth of a second is all that a caller who does not read holds the slot longer.
-const headWriteTimeout = 100 * time.Millisecond
+// minStreamWriteTime is the minimum time for writing the beginning of a streamed
+// response, so that a deadline that passes meanwhile does not close the connection of a
+// caller that has read nothing. It is long compared to a write into an empty socket
+// buffer, and a caller that does not read holds the slot for at most this much longer.
+const minStreamWriteTime = 100 * time.Millisecond
 
-// heldWriteTimeout bounds the writing of an answer that is held whole, and so
-// takes nobody's slot.
-const heldWriteTimeout = 10 * time.Second
+// bufferedWriteTimeout bounds the writing of a completely buffered response, which holds
+// no slot.
+const bufferedWriteTimeout = 10 * time.Second
 
-// limitAnswer bounds the writing of the answer: one that streams holds the
-// worker's slot and ends with the call's deadline.
-func (x *exchange) limitAnswer(held *heldAnswer) {
-	if held.whole {
-		limitWriting(x.w, time.Now().Add(heldWriteTimeout))
+// setResponseDeadline bounds the writing of the response. A streamed response holds the
+// worker's slot, so it ends with the call's deadline.
+func (x *exchange) setResponseDeadline(buffered *bufferedResponse) {
+	if buffered.complete {
+		setWriteDeadline(x.w, time.Now().Add(bufferedWriteTimeout))
 		return
 	}
 	deadline := x.began.Add(x.request.Timeout)
-	least := time.Now().Add(headWriteTimeout)
-	if deadline.Before(least) {
-		deadline = least
+	earliest := time.Now().Add(minStreamWriteTime)
+	if deadline.Before(earliest) {
+		deadline = earliest
 	}
-	limitWriting(x.w, deadline)
+	setWriteDeadline(x.w, deadline)
 }
 
-func (x *exchange) record(c *carrier, o model.Outcome, reason model.Reason, status, attempts int) {
+func (x *exchange) record(c *callRunner, o model.Outcome, reason model.Reason, status, attempts int) {
 	latency := time.Since(x.began)
 	x.caller.Recorder.Call(CallRecord{
 		Service:  x.target.Service.Name,
@@ -172,7 +172,8 @@
 		Str("bundle", x.target.Bundle.VersionID().String()).Send()
 }
 
-// outgoingHeader returns the caller's end-to-end headers and whence they came.
+// outgoingHeader returns the caller's end-to-end headers, with the caller's address added
+// by the dialect.
 func (x *exchange) outgoingHeader() http.Header {
 	h := endToEnd(x.r.Header)
 	x.caller.Dialect.Forward(h, x.r.RemoteAddr)
--- a/internal/server/exchange_test.go
+++ b/internal/server/exchange_test.go
@@ -19,13 +19,13 @@
 	"gypsumstand/internal/wire"
 )
 
-// noRecords drops measurements.
+// noRecords discards measurements.
 type noRecords struct{}
 
 func (noRecords) Call(CallRecord) {}
 
-// streamedTo serves one call whose answer has begun to come, but not to its end,
-// this long after the call began. The call's timeout is one second.
+// streamedTo serves one call of which an incomplete response has arrived the given time
+// after the call began. The call's timeout is one second.
 func streamedTo(t *testing.T, after time.Duration, start string) *httptest.Server {
 	t.Helper()
 	b := &bundle.Bundle{
@@ -41,30 +41,30 @@
 		began := time.Now().Add(-after)
 		request := entry.Request{ID: "r", Target: target, Timeout: time.Second, Idempotent: true, Replayable: true}
 		x := &exchange{caller: caller, w: w, r: r, target: target, request: request, began: began}
-		c := &carrier{exchange: x, call: engine.Begin(began, request)}
-		c.held = &heldAnswer{start: []byte(start), answer: &Response{
+		c := &callRunner{exchange: x, call: engine.Begin(began, request)}
+		c.buffered = &bufferedResponse{prefix: []byte(start), response: &Response{
 			Status: http.StatusOK, Header: http.Header{}, ContentLength: int64(2 * len(start)),
 			Body: io.NopCloser(strings.NewReader(start)),
 		}}
-		x.end(c, entry.Step{Kind: entry.StepEnd, Outcome: model.OutcomeAnswered}, 1)
+		x.finish(c, entry.Step{Kind: entry.StepEnd, Outcome: model.OutcomeAnswered}, 1)
 	}))
 	t.Cleanup(s.Close)
 	return s
 }
 
-func TestAnAnswerThatCannotEndInTimeIsToldInFullNotByAClosedConnection(t *testing.T) {
-	type told struct {
+func TestResponsePastDeadlineGetsOutcomeNotClosedConnection(t *testing.T) {
+	type result struct {
 		Status          int
 		Outcome, Reason string
 		Bytes           int
 	}
-	start := strings.Repeat("a", holdAnswerBytes)
+	start := strings.Repeat("a", maxBufferedResponse)
 	tests := map[string]struct {
 		after time.Duration
-		want  told
+		want  result
 	}{
-		"in time":  {0, told{http.StatusOK, "answered", "", 2 * holdAnswerBytes}},
-		"too late": {2 * time.Second, told{http.StatusGatewayTimeout, "unknown", "expired", 0}},
+		"in time":  {0, result{http.StatusOK, "answered", "", 2 * maxBufferedResponse}},
+		"too late": {2 * time.Second, result{http.StatusGatewayTimeout, "unknown", "expired", 0}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +77,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got := told{r.StatusCode, r.Header.Get(wire.HeaderOutcome), r.Header.Get(wire.HeaderReason), len(body)}
+			got := result{r.StatusCode, r.Header.Get(wire.HeaderOutcome), r.Header.Get(wire.HeaderReason), len(body)}
 			if diff := cmp.Diff(tt.want, got); diff != "" {
 				t.Error(diff)
 			}
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -1,6 +1,6 @@
-// Package server holds a node's three ports: callers, peers and operators. The
-// handlers carry out what the entry and owner packages decide; they decide
-// nothing themselves. Design: docs/DESIGN.md.
+// Package server implements the HTTP handlers of a node's caller port and peer port. They
+// execute the decisions of the packages entry and owner and make none of their own.
+// Design: docs/DESIGN.md.
 package server
 
 import (
@@ -21,31 +21,32 @@
 	"gypsumstand/internal/wire"
 )
 
-// AttemptMessage is one attempt with its message, as it goes to the worker.
+// AttemptMessage is an attempt with the HTTP request that goes to the worker.
 type AttemptMessage struct {
 	Attempt model.Attempt
 	Method  string
-	// URL holds the path and the query.
+	// URL holds only path and query.
 	URL    *url.URL
 	Host   string
 	Header http.Header
-	// Body is read only once the worker's slot is had; nil means none.
+	// Body is read only after the attempt has a slot at the worker; nil means no body.
 	Body          io.ReadCloser
 	ContentLength int64
-	// BufferedBody is the whole body where it is here; a long one streams.
+	// BufferedBody is the complete body if it has been received; a long one is streamed.
 	BufferedBody []byte
-	// SameNode tells that the entry is this node.
+	// SameNode reports that the entry node is this node.
 	SameNode bool
-	// AcknowledgeBy is when the entry withdraws an attempt that its owner has not begun to
-	// answer; zero lets the body leave at once.
+	// AcknowledgeBy is when the entry node withdraws the attempt if its owner has not
+	// begun to reply. If it is zero, the body is sent at once.
 	AcknowledgeBy time.Time
-	// FetchBody gets the body that the entry withholds, once the attempt is admitted; an error
-	// means that there is none and that nothing may run. Nil where the body is here.
+	// FetchBody requests the body that the entry node has not sent yet, after the attempt
+	// was admitted. An error means that the body is not available and nothing may run.
+	// Nil means that the body needs no request.
 	FetchBody func() error
 }
 
-// request makes the message of an attempt to its next hop at u. It is HTTP/1.1
-// and has a header of its own.
+// request returns the HTTP/1.1 request of the attempt to its next hop at u, with a copy
+// of the header.
 func (w *AttemptMessage) request(ctx context.Context, u *url.URL) *http.Request {
 	return (&http.Request{
 		Method:        w.Method,
@@ -60,102 +61,105 @@
 	}).WithContext(ctx)
 }
 
-// hold takes the body in unless it is a long one, so that what the request asks for is known
-// after its run.
-func (w *AttemptMessage) hold(r *http.Request) error {
+// bufferBody buffers the body unless it is a long one, so that the fingerprint can still
+// be computed after the run.
+func (w *AttemptMessage) bufferBody(r *http.Request) error {
 	if r.ContentLength == 0 {
 		return nil
 	}
-	body, err := takeBody(r, max(r.ContentLength, 0))
+	body, err := bufferBody(r, max(r.ContentLength, 0))
 	if err != nil || body.stream != nil {
 		return err
 	}
-	w.Body, w.BufferedBody = body.open(), body.held
+	w.Body, w.BufferedBody = body.open(), body.buffered
 	return nil
 }
 
-// Response is a worker's answer; Body must be closed.
+// Response is a worker's response; Body must be closed.
 type Response struct {
 	Status int
-	// Header is end-to-end only.
+	// Header holds only end-to-end headers.
 	Header http.Header
-	// ContentLength is -1 when unknown.
+	// ContentLength is -1 if unknown.
 	ContentLength int64
 	Body          io.ReadCloser
 }
 
-// Result is an answer, or the refusal in its place.
+// Result is a response, or a refusal if Response is nil.
 type Result struct {
 	Response *Response
 	Refusal  model.Refusal
 	Report   model.LoadReport
-	// Times is where an answered attempt's time went at the owner.
+	// Times is how the time of an attempt with a response was spent at the owner.
 	Times wire.AttemptTimes
 }
 
-// Executor runs admitted attempts on this node's worker. Safe for concurrent use.
+// Executor runs admitted attempts on this node's worker. It is safe for concurrent use.
 type Executor struct {
-	owner   *owner.Owner
-	address string
-	traffic func(refused bool)
-	dialect dialect.Workers
-	// worker tells the worker's present life, empty when none is known.
-	worker   func() model.WorkerID
-	requests *zerolog.Logger
-	refresh  func(ctx context.Context)
-	mark     func() model.DirectoryFreshness
-	said     func(model.WorkerID)
-	broke    func(quarantine.Run) (ended bool)
-	suspects *quarantine.Quarantine
+	owner              *owner.Owner
+	address            string
+	connectionObserved func(refused bool)
+	dialect            dialect.Workers
+	// worker returns the id of the worker's current incarnation, or empty if unknown.
+	worker           func() model.WorkerID
+	requestLog       *zerolog.Logger
+	refreshLoad      func(ctx context.Context)
+	freshness        func() model.DirectoryFreshness
+	workerIdentified func(model.WorkerID)
+	detectCrash      func(quarantine.Run) (crashed bool)
+	quarantine       *quarantine.Quarantine
 	// portClosed is ExecutorConfig.PortClosed.
 	portClosed func()
 	// routeHost is ExecutorConfig.RouteHost.
 	routeHost func(host, method, path string) string
-	// transport is for idempotent requests, cautious for others; see cautiousIdle.
-	transport atomic.Pointer[http.Transport]
-	cautious  atomic.Pointer[http.Transport]
-	echo      atomic.Bool
-	limits    limits
-	// peers counts the attempts of other entries that have not ended.
-	peers atomic.Int64
+	// transport is for idempotent requests, freshTransport for others; see
+	// nonIdempotentIdle.
+	transport      atomic.Pointer[http.Transport]
+	freshTransport atomic.Pointer[http.Transport]
+	requireEcho    atomic.Bool
+	limits         limits
+	// peerAttempts counts the attempts of other entry nodes that have not ended.
+	peerAttempts atomic.Int64
 
 	mu      sync.Mutex
 	waiters map[model.AttemptID]chan owner.Decision
 }
 
-// ExecutorConfig is an executor's fixed setting. Its functions are called by many
-// goroutines at once and do not block.
+// ExecutorConfig configures an Executor. Its functions are called concurrently and must
+// not block, except where stated.
 type ExecutorConfig struct {
 	Owner *owner.Owner
-	// Address is the worker's ("ip:port").
+	// Address is the worker's "ip:port".
 	Address string
 	Dialect dialect.Workers
-	// Worker tells the worker's present life, empty when none is known.
+	// Worker returns the id of the worker's current incarnation, or empty if unknown.
 	Worker func() model.WorkerID
-	// ConnectionObserved is told whether the worker refused a connection or answered.
+	// ConnectionObserved is called when the worker refused a connection (refused) or
+	// responded.
 	ConnectionObserved func(refused bool)
 	// RequestLog takes the log lines about single requests.
 	RequestLog *zerolog.Logger
-	// RefreshLoad makes the owner's knowledge of the worker's pace fresh enough to
-	// decide on an attempt; nil where the worker tells none. It may block for a few
+	// RefreshLoad makes the owner's knowledge of the worker's slowdown recent enough to
+	// decide on an attempt; nil if the worker does not report it. It may block for a few
 	// milliseconds.
 	RefreshLoad func(ctx context.Context)
-	// DirectoryFreshness tells what this node knows of the directory.
+	// DirectoryFreshness returns the freshness of this node's view of the directory.
 	DirectoryFreshness func() model.DirectoryFreshness
-	// WorkerIdentified is told the worker that refused an attempt, where it says which it is; nil
-	// where workers are not told apart.
+	// WorkerIdentified is called with the worker id in a response; nil if workers do not
+	// identify themselves.
 	WorkerIdentified func(model.WorkerID)
-	// RouteHost returns a request's host where its route is for that host only, else empty.
-	// Nil stands for routes for any host.
+	// RouteHost returns the request's host if its route is for that host only, else
+	// empty. Nil means that all routes are for any host.
 	RouteHost func(host, method, path string) string
-	// Quarantine is asked about each request before its run, where it holds any; nil means
-	// that nothing is ever suspect.
+	// Quarantine evaluates each request before its run if it holds any; nil means that no
+	// request is ever suspect.
 	Quarantine *quarantine.Quarantine
-	// PortClosed is told that nobody listens on the worker's port; nil means nobody.
+	// PortClosed is called when nothing listens on the worker's port; it may be nil.
 	PortClosed func()
-	// DetectCrash is told each run that broke at the worker, and tells whether the worker seems to
-	// have ended. It may block for a tenth of a second. Nil means that nobody wants to know.
-	DetectCrash func(quarantine.Run) (ended bool)
+	// DetectCrash is called for each run that was interrupted at the worker and reports
+	// whether the worker seems to have crashed. It may block for a tenth of a second; nil
+	// means never.
+	DetectCrash func(quarantine.Run) (crashed bool)
 }
 
 // NewExecutor returns an executor for one worker.
@@ -173,18 +177,18 @@
 		cfg.DetectCrash = func(quarantine.Run) bool { return false }
 	}
 	x := &Executor{
-		owner:    cfg.Owner,
-		address:  cfg.Address,
-		dialect:  cfg.Dialect,
-		worker:   cfg.Worker,
-		traffic:  cfg.ConnectionObserved,
-		requests: cfg.RequestLog,
-		refresh:  cfg.RefreshLoad,
-		mark:     cfg.DirectoryFreshness,
-		said:     cfg.WorkerIdentified,
-		broke:    cfg.DetectCrash,
-		suspects: cfg.Quarantine,
-		waiters:  map[model.AttemptID]chan owner.Decision{},
+		owner:              cfg.Owner,
+		address:            cfg.Address,
+		dialect:            cfg.Dialect,
+		worker:             cfg.Worker,
+		connectionObserved: cfg.ConnectionObserved,
+		requestLog:         cfg.RequestLog,
+		refreshLoad:        cfg.RefreshLoad,
+		freshness:          cfg.DirectoryFreshness,
+		workerIdentified:   cfg.WorkerIdentified,
+		detectCrash:        cfg.DetectCrash,
+		quarantine:         cfg.Quarantine,
+		waiters:            map[model.AttemptID]chan owner.Decision{},
 
 		portClosed: cfg.PortClosed,
 		routeHost:  cfg.RouteHost,
@@ -193,19 +197,21 @@
 	return x
 }
 
-// InFlight returns the number of other entries' attempts that have come and not ended.
-func (x *Executor) InFlight() int64 { return x.peers.Load() }
+// InFlight returns the number of attempts of other entry nodes that have arrived and not
+// ended.
+func (x *Executor) InFlight() int64 { return x.peerAttempts.Load() }
 
-// hold counts an attempt of another entry until its end; a nil executor counts none.
-func (x *Executor) hold() (end func()) {
+// trackPeerAttempt counts an attempt of another entry node until end is called. A nil
+// Executor counts none.
+func (x *Executor) trackPeerAttempt() (end func()) {
 	if x == nil {
 		return func() {}
 	}
-	x.peers.Add(1)
-	return func() { x.peers.Add(-1) }
+	x.peerAttempts.Add(1)
+	return func() { x.peerAttempts.Add(-1) }
 }
 
-// Deliver hands the owner's decisions to the attempts that wait for them.
+// Deliver passes the owner's decisions to the attempts that wait for them.
 func (x *Executor) Deliver(ds []owner.Decision) {
 	for _, d := range ds {
 		x.mu.Lock()
@@ -218,9 +224,9 @@
 	}
 }
 
-// await makes room for an attempt's decision; nil when the same attempt already
-// waits for one.
-func (x *Executor) await(id model.AttemptID) chan owner.Decision {
+// addWaiter registers an attempt that waits for a decision. It returns nil if the same
+// attempt already waits for one.
+func (x *Executor) addWaiter(id model.AttemptID) chan owner.Decision {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.waiters[id] != nil {
@@ -231,14 +237,14 @@
 	return ch
 }
 
-func (x *Executor) unawait(id model.AttemptID) {
+func (x *Executor) removeWaiter(id model.AttemptID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	delete(x.waiters, id)
 }
 
-// Do offers the attempt, waits for its start and sends it to the worker. ctx
-// ends when the entry gives up.
+// Do offers the attempt to the owner, waits until it may start and sends it to the
+// worker. ctx ends when the entry node gives up.
 func (x *Executor) Do(ctx context.Context, w *AttemptMessage) Result {
 	ended := false
 	defer func() {
@@ -251,20 +257,20 @@
 	return r
 }
 
-// abandon lets go of an attempt that panicked: its slot would be lost for good, and it may
-// have run.
+// abandon releases the slot of an attempt that panicked, which would otherwise never be
+// freed. The attempt may have run.
 func (x *Executor) abandon(id model.AttemptID) {
-	x.unawait(id)
+	x.removeWaiter(id)
 	x.finish(id, owner.Completion{Failed: true})
 }
 
 func (x *Executor) do(ctx context.Context, w *AttemptMessage) Result {
-	if x.refresh != nil {
-		x.refresh(ctx)
+	if x.refreshLoad != nil {
+		x.refreshLoad(ctx)
 	}
 	offered := time.Now()
-	asked := x.contentOf(w)
-	refusal := x.admit(ctx, asked, offered)
+	fp := x.newFingerprinter(w)
+	refusal := x.admit(ctx, fp, offered)
 	if refusal != nil {
 		return x.refused(w, *refusal, offered)
 	}
@@ -274,47 +280,48 @@
 		return x.refused(w, model.Refusal{Reason: model.ReasonExpired, NotRun: true}, offered)
 	}
 	w.Attempt.Remaining -= started.Sub(offered)
-	r := x.run(ctx, asked, started)
+	r := x.run(ctx, fp, started)
 	r.Times = wire.AttemptTimes{Queued: started.Sub(offered), Worker: time.Since(started)}
 	r.Report = x.report(time.Now())
 	x.logEnd(w, &r)
 	return r
 }
 
-// admit returns nil once the attempt may start.
-func (x *Executor) admit(ctx context.Context, asked *content, now time.Time) *model.Refusal {
-	w := asked.work
+// admit waits until the attempt may start and then returns nil; otherwise it returns the
+// refusal.
+func (x *Executor) admit(ctx context.Context, fp *fingerprinter, now time.Time) *model.Refusal {
+	w := fp.message
 	id := w.Attempt.ID
-	ch := x.await(id)
+	ch := x.addWaiter(id)
 	if ch == nil {
 		return &model.Refusal{Reason: model.ReasonDuplicateRunning}
 	}
-	verdict, refusal := x.owner.OfferSuspect(now, &w.Attempt, w.SameNode, x.caution(now, asked))
-	if verdict == owner.Refuse {
-		x.unawait(id)
+	kind, refusal := x.owner.OfferSuspect(now, &w.Attempt, w.SameNode, x.restrictions(now, fp))
+	if kind == owner.Refuse {
+		x.removeWaiter(id)
 		return &refusal
 	}
 	if w.FetchBody != nil && w.FetchBody() != nil {
-		return x.withdrawn(id, ch, verdict)
+		return x.endWithdrawn(id, ch, kind)
 	}
-	if verdict == owner.Queue {
+	if kind == owner.Queue {
 		refusal := x.wait(ctx, id, ch)
 		if refusal != nil {
 			return refusal
 		}
 	}
-	x.unawait(id)
-	return x.lateRefusal(asked)
+	x.removeWaiter(id)
+	return x.refusalBeforeRun(fp)
 }
 
-// withdrawn ends an admitted attempt whose body the entry did not let go.
-func (x *Executor) withdrawn(id model.AttemptID, ch chan owner.Decision, verdict owner.DecisionKind) *model.Refusal {
-	if verdict == owner.Queue {
+// endWithdrawn ends an admitted attempt whose body the entry node did not send.
+func (x *Executor) endWithdrawn(id model.AttemptID, ch chan owner.Decision, kind owner.DecisionKind) *model.Refusal {
+	if kind == owner.Queue {
 		if refusal := x.cancel(id, ch); refusal != nil {
 			return refusal
 		}
 	}
-	x.unawait(id)
+	x.removeWaiter(id)
 	x.finish(id, owner.Completion{NotRun: true, Abandoned: true})
 	return &model.Refusal{Reason: model.ReasonCancelled, NotRun: true}
 }
@@ -322,26 +329,27 @@
 func (x *Executor) wait(ctx context.Context, id model.AttemptID, ch chan owner.Decision) *model.Refusal {
 	select {
 	case d := <-ch:
-		return decided(d)
+		return refusalOf(d)
 	case <-ctx.Done():
 		return x.cancel(id, ch)
 	}
 }
 
-// cancel gives up an attempt that waits; nil means that it had been started before.
+// cancel gives up a queued attempt. It returns nil if the attempt had already been
+// started.
 func (x *Executor) cancel(id model.AttemptID, ch chan owner.Decision) *model.Refusal {
 	notRun, ds := x.owner.Cancel(time.Now(), id)
 	if notRun {
-		x.unawait(id)
+		x.removeWaiter(id)
 		x.Deliver(ds)
 		return &model.Refusal{Reason: model.ReasonCancelled, NotRun: true}
 	}
 	x.Deliver(ds)
-	// The decision came first; it is in the channel or about to be.
-	return decided(<-ch)
+	// The owner decided first; the decision is in the channel or about to be sent.
+	return refusalOf(<-ch)
 }
 
-func decided(d owner.Decision) *model.Refusal {
+func refusalOf(d owner.Decision) *model.Refusal {
 	if d.Kind == owner.Refuse {
 		return &d.Refusal
 	}
--- a/internal/server/executor_test.go
+++ b/internal/server/executor_test.go
@@ -19,13 +19,13 @@
 	"gypsumstand/internal/task"
 )
 
-// await waits until the owner's report says what is asked for.
-func await(t *testing.T, o *owner.Owner, says func(model.LoadReport) bool) {
+// await waits until the owner's report satisfies a condition.
+func await(t *testing.T, o *owner.Owner, satisfied func(model.LoadReport) bool) {
 	t.Helper()
 	poll := time.NewTicker(time.Millisecond)
 	defer poll.Stop()
 	for range 10_000 {
-		if says(o.Report(time.Now())) {
+		if satisfied(o.Report(time.Now())) {
 			return
 		}
 		<-poll.C
@@ -33,10 +33,9 @@
 	t.Fatalf("the owner reports %+v", o.Report(time.Now()))
 }
 
-// A repeated message of an attempt that is queued took the first one's place in
-// the wait for the owner's decision: the slot that the owner then gave it was
-// never freed.
-func TestARepeatedOfferOfAQueuedAttemptLosesNoSlot(t *testing.T) {
+// A repeated message of a queued attempt replaced the first one as the waiter for the
+// owner's decision: the slot that the owner then granted was never freed.
+func TestRepeatedOfferOfQueuedAttemptLeaksNoSlot(t *testing.T) {
 	release := make(chan struct{})
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		<-release
@@ -45,12 +44,12 @@
 	defer worker.Close()
 	o, x := oneSlot(strings.TrimPrefix(worker.URL, "http://"))
 	results := make(chan Result, 2)
-	do := func(sequence uint64) { results <- x.Do(context.Background(), testWork(sequence)) }
+	do := func(sequence uint64) { results <- x.Do(context.Background(), testMessage(sequence)) }
 	go do(1)
 	await(t, o, func(r model.LoadReport) bool { return r.InFlight == 1 })
 	go do(2)
 	await(t, o, func(r model.LoadReport) bool { return r.Queued == 1 })
-	if r := x.Do(context.Background(), testWork(2)); r.Refusal.Reason != model.ReasonDuplicateRunning || r.Refusal.NotRun {
+	if r := x.Do(context.Background(), testMessage(2)); r.Refusal.Reason != model.ReasonDuplicateRunning || r.Refusal.NotRun {
 		t.Errorf("the repeated offer got %+v", r.Refusal)
 	}
 	close(release)
@@ -69,7 +68,7 @@
 	}
 }
 
-// oneSlot returns an executor of a worker with one slot, and its owner.
+// oneSlot returns an executor whose worker has one slot, and its owner.
 func oneSlot(address string) (*owner.Owner, *Executor) { return withSlots(1, address) }
 
 func withSlots(slots int, address string) (*owner.Owner, *Executor) {
@@ -92,7 +91,7 @@
 	return o, x
 }
 
-func testWork(sequence uint64) *AttemptMessage {
+func testMessage(sequence uint64) *AttemptMessage {
 	return &AttemptMessage{
 		Attempt: model.Attempt{
 			ID:    model.AttemptID{Entry: "n0", Incarnation: 1, Sequence: sequence},
@@ -107,16 +106,16 @@
 }
 
 // Each attempt that panicked kept its slot, until the worker had none left.
-func TestAnAttemptThatPanicsKeepsNoSlot(t *testing.T) {
+func TestPanickingAttemptReleasesSlot(t *testing.T) {
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {}))
 	defer worker.Close()
 	o, x := oneSlot(strings.TrimPrefix(worker.URL, "http://"))
-	sound := x.worker
+	working := x.worker
 	x.worker = func() model.WorkerID { panic("the cause") }
-	if task.Do(func() { x.Do(t.Context(), testWork(1)) }) == nil {
+	if task.Do(func() { x.Do(t.Context(), testMessage(1)) }) == nil {
 		t.Fatal("no panic")
 	}
-	x.worker = sound
+	x.worker = working
 	if n := o.Report(time.Now()).InFlight; n != 0 {
 		t.Errorf("%d attempts hold slots", n)
 	}
--- a/internal/server/executorlog.go
+++ b/internal/server/executorlog.go
@@ -10,7 +10,7 @@
 func (x *Executor) refused(w *AttemptMessage, r model.Refusal, offered time.Time) Result {
 	now := time.Now()
 	result := Result{Refusal: r, Report: x.report(now)}
-	event.Log(x.requests, event.AttemptRefused).
+	event.Log(x.requestLog, event.AttemptRefused).
 		Str("request", string(w.Attempt.Request)).Str("attempt", w.Attempt.ID.String()).
 		Str("class", string(w.Attempt.Class)).Str("reason", r.Reason.String()).Bool("not_run", r.NotRun).
 		Int("waited_ms", now.Sub(offered).Milliseconds()).Int("left_ms", w.Attempt.Remaining.Milliseconds()).
@@ -20,20 +20,21 @@
 	return result
 }
 
-// report returns the owner's report with this node's mark.
+// report returns the owner's report with this node's directory freshness.
 func (x *Executor) report(now time.Time) model.LoadReport {
 	r := x.owner.Report(now)
-	r.Directory = x.mark()
+	r.Directory = x.freshness()
 	return r
 }
 
-// logEnd logs how an attempt ended at the worker; of an answer the head has come.
+// logEnd logs how an attempt ended at the worker; of a response only the header has
+// arrived by then.
 func (x *Executor) logEnd(w *AttemptMessage, r *Result) {
 	status := 0
 	if r.Response != nil {
 		status = r.Response.Status
 	}
-	event.Log(x.requests, event.AttemptEnded).
+	event.Log(x.requestLog, event.AttemptEnded).
 		Str("request", string(w.Attempt.Request)).Str("attempt", w.Attempt.ID.String()).
 		Str("class", string(w.Attempt.Class)).Str("reason", r.Refusal.Reason.String()).Bool("not_run", r.Refusal.NotRun).
 		Int("status", int64(status)).Int("queued_ms", r.Times.Queued.Milliseconds()).
--- a/internal/server/executorrun.go
+++ b/internal/server/executorrun.go
@@ -15,16 +15,16 @@
 	"gypsumstand/internal/upstream"
 )
 
-// run sends the started attempt to the worker. Finish comes with the end of the
-// answer's body, or here when there is none.
-func (x *Executor) run(ctx context.Context, asked *content, started time.Time) Result {
-	w := asked.work
+// run sends the started attempt to the worker. The owner's Finish is called at the end of
+// the response body, or here if there is none.
+func (x *Executor) run(ctx context.Context, fp *fingerprinter, started time.Time) Result {
+	w := fp.message
 	deadline := started.Add(w.Attempt.Remaining)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
-	// A process that is stopped here wakes late: what it then writes would run after
-	// its caller was told that the call has ended.
-	proof := upstream.RequestTrace{SendDeadline: deadline}
-	req := proof.Attach(x.request(ctx, w))
+	// If this process is suspended here, it may resume after the deadline. Anything
+	// written then would run after the caller was told that the call had ended.
+	trace := upstream.RequestTrace{SendDeadline: deadline}
+	req := trace.Attach(x.request(ctx, w))
 	upstream.PreventReplay(req)
 	resp, err := x.transportFor(&w.Attempt).RoundTrip(req)
 	if err != nil {
@@ -32,124 +32,123 @@
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			x.portClosed()
 		}
-		return x.failed(ctx, asked, started, proof.NotRun())
+		return x.failed(ctx, fp, started, trace.NotRun())
 	}
-	x.traffic(false)
+	x.connectionObserved(false)
 	head := x.dialect.ReadAnswer(resp, &w.Attempt)
 	x.Deliver(x.owner.ObserveLoad(time.Now(), head.Load))
 	if refusal, ok := x.checkHead(w, resp, head); !ok {
-		proof.CloseConn()
+		trace.CloseConn()
 		resp.Body.Close()
 		cancel()
 		x.finish(w.Attempt.ID, owner.Completion{ServiceTime: time.Since(started), Failed: true})
 		return Result{Refusal: refusal}
 	}
-	if head.Life != "" && x.said != nil {
-		x.said(head.Life)
+	if head.Life != "" && x.workerIdentified != nil {
+		x.workerIdentified(head.Life)
 	}
 	if head.NotRun {
 		defer cancel()
 		defer resp.Body.Close()
 		shed := head.Refusal == model.ReasonWorkerShed
-		whim := shed && head.Load.HasRoom()
+		spurious := shed && head.Load.HasRoom()
 		x.finish(w.Attempt.ID, owner.Completion{
 			ServiceTime: time.Since(started), NotRun: true, Delegate: true,
-			Shed: shed && !whim, SpuriousRefusal: whim, Abandoned: !shed, Status: resp.StatusCode,
+			Shed: shed && !spurious, SpuriousRefusal: spurious, Abandoned: !shed, Status: resp.StatusCode,
 		})
 		after := head.RetryAfter
-		if whim && after == 0 {
-			after = whimRetry
+		if spurious && after == 0 {
+			after = spuriousRetry
 		}
-		return Result{Refusal: model.Refusal{Reason: delegated(&w.Attempt, head.Refusal), NotRun: true, RetryAfter: after}}
+		return Result{Refusal: model.Refusal{Reason: delegatedReason(&w.Attempt, head.Refusal), NotRun: true, RetryAfter: after}}
 	}
-	body := &answerBody{ReadCloser: resp.Body, done: func(whole bool) {
-		f := finishOf(resp.StatusCode, whole, time.Since(started))
-		f.Abandoned = !whole && givenUp(ctx)
-		f.Expired = !whole && ctx.Err() != nil && !f.Abandoned
+	body := &responseBody{ReadCloser: resp.Body, done: func(complete bool) {
+		f := completionOf(resp.StatusCode, complete, time.Since(started))
+		f.Abandoned = !complete && cancelledByEntry(ctx)
+		f.Expired = !complete && ctx.Err() != nil && !f.Abandoned
 		cancel()
 		x.finish(w.Attempt.ID, f)
 		switch {
-		case whole:
-			x.completed(asked)
+		case complete:
+			x.completed(fp)
 		case f.Abandoned || f.Expired:
-			x.suspects.RunAbandoned(time.Now(), asked.run(started))
+			x.quarantine.RunAbandoned(time.Now(), fp.run(started))
 		default:
-			x.broke(asked.run(started))
+			x.detectCrash(fp.run(started))
 		}
 	}}
-	answer := &Response{Status: resp.StatusCode, Header: endToEnd(resp.Header), ContentLength: resp.ContentLength, Body: body}
-	return Result{Response: answer}
+	response := &Response{Status: resp.StatusCode, Header: endToEnd(resp.Header), ContentLength: resp.ContentLength, Body: body}
+	return Result{Response: response}
 }
 
-// delegated gives the reason of a refusal after which the owner, as the home of
-// a caller's own request id, remembers that the entry goes elsewhere with it.
-func delegated(a *model.Attempt, otherwise model.Reason) model.Reason {
+// delegatedReason returns the reason of a refusal after which the owner, as the home node
+// of the caller's request id, records that the entry node tries another owner.
+func delegatedReason(a *model.Attempt, otherwise model.Reason) model.Reason {
 	if a.CallerKey && !a.Idempotent && !a.Delegated {
 		return model.ReasonDelegated
 	}
 	return otherwise
 }
 
-func finishOf(status int, whole bool, took time.Duration) owner.Completion {
-	f := owner.Completion{ServiceTime: took, Failed: !whole || status >= http.StatusInternalServerError}
-	if whole {
+func completionOf(status int, complete bool, took time.Duration) owner.Completion {
+	f := owner.Completion{ServiceTime: took, Failed: !complete || status >= http.StatusInternalServerError}
+	if complete {
 		f.Status = status
 	}
 	return f
 }
 
 // failed ends an attempt whose RoundTrip failed.
-func (x *Executor) failed(ctx context.Context, asked *content, started time.Time, notRun bool) Result {
-	w := asked.work
-	gaveUp := givenUp(ctx)
+func (x *Executor) failed(ctx context.Context, fp *fingerprinter, started time.Time, notRun bool) Result {
+	w := fp.message
+	cancelled := cancelledByEntry(ctx)
 	x.finish(w.Attempt.ID, owner.Completion{
 		ServiceTime: time.Since(started),
 		NotRun:      notRun,
-		Delegate:    notRun && !gaveUp,
-		Failed:      !gaveUp,
-		Expired:     ctx.Err() != nil && !gaveUp,
-		Abandoned:   gaveUp || notRun && ctx.Err() != nil,
+		Delegate:    notRun && !cancelled,
+		Failed:      !cancelled,
+		Expired:     ctx.Err() != nil && !cancelled,
+		Abandoned:   cancelled || notRun && ctx.Err() != nil,
 	})
 	if notRun && ctx.Err() == nil {
-		x.traffic(true)
+		x.connectionObserved(true)
 	}
 	reason := model.ReasonWorkerBroken
 	if !notRun && ctx.Err() != nil {
-		x.suspects.RunAbandoned(time.Now(), asked.run(started))
+		x.quarantine.RunAbandoned(time.Now(), fp.run(started))
 	}
 	switch {
-	case gaveUp:
+	case cancelled:
 		reason = model.ReasonCancelled
-	case notRun && asked.verdict.Crashes > 0:
-		return Result{Refusal: x.stillAway(asked)}
+	case notRun && fp.decision.Crashes > 0:
+		return Result{Refusal: x.refuseWorkerDown(fp)}
 	case notRun:
-		reason = delegated(&w.Attempt, model.ReasonWorkerUnreachable)
+		reason = delegatedReason(&w.Attempt, model.ReasonWorkerUnreachable)
 	case ctx.Err() != nil:
 		reason = model.ReasonExpired
-	case x.broke(asked.run(started)):
+	case x.detectCrash(fp.run(started)):
 		reason = model.ReasonWorkerCrashed
 	}
 	return Result{Refusal: model.Refusal{Reason: reason, NotRun: notRun}}
 }
 
-// givenUp tells an attempt that the entry gave up from one whose time ended. A
-// connection's read limit ends the context as a departing entry does, at the
-// deadline or a little earlier.
-func givenUp(ctx context.Context) bool {
+// cancelledByEntry distinguishes an attempt that the entry node gave up from one whose
+// time ran out. A connection's read deadline cancels the context just as a departing
+// entry node does, at the deadline or slightly earlier.
+func cancelledByEntry(ctx context.Context) bool {
 	deadline, ok := ctx.Deadline()
-	return errors.Is(ctx.Err(), context.Canceled) && (!ok || time.Until(deadline) > giveUpMargin)
+	return errors.Is(ctx.Err(), context.Canceled) && (!ok || time.Until(deadline) > cancelMargin)
 }
 
-// giveUpMargin is how long before its deadline a context that is cancelled is
-// taken to have reached it.
-const giveUpMargin = 5 * time.Millisecond
+// cancelMargin is how long before its deadline a cancelled context is treated as expired.
+const cancelMargin = 5 * time.Millisecond
 
-// checkHead refuses crossed answers, those whose wholeness cannot be known, and a
-// switch of protocols, which no request asked for (RFC 9110, section 15.2.2) and
-// whose body would end with the connection only.
+// checkHead refuses responses that belong to another request, responses whose
+// completeness cannot be checked, and protocol switches: no request asked for one (RFC
+// 9110, section 15.2.2), and its body would end only with the connection.
 func (x *Executor) checkHead(w *AttemptMessage, resp *http.Response, head dialect.WorkerHead) (model.Refusal, bool) {
 	broken := model.Refusal{Reason: model.ReasonWorkerBroken}
-	if head.Echo == dialect.EchoWrong || head.Echo == dialect.EchoAbsent && x.echo.Load() {
+	if head.Echo == dialect.EchoWrong || head.Echo == dialect.EchoAbsent && x.requireEcho.Load() {
 		return broken, false
 	}
 	if resp.StatusCode < http.StatusOK {
@@ -161,12 +160,13 @@
 	return model.Refusal{}, true
 }
 
-// whimRetry is when a request is worth another try that a worker refused although it
-// had room: another worker may take it, and so may this one. It is short beside the
-// objectives of callers (600 ms and more), and long enough for a slot to change hands.
-const whimRetry = 50 * time.Millisecond
+// spuriousRetry is the Retry-After for a request that a worker refused although it had
+// room; another worker may accept it, and so may this one. It is short compared to the
+// callers' latency objectives (600 ms and more), and long enough for a slot to become
+// free.
+const spuriousRetry = 50 * time.Millisecond
 
-// request makes the message to the worker.
+// request returns the HTTP request to the worker.
 func (x *Executor) request(ctx context.Context, w *AttemptMessage) *http.Request {
 	u := *w.URL
 	u.Scheme, u.Host = "http", x.address
@@ -175,27 +175,27 @@
 	return req
 }
 
-// answerBody tells once how the body ended: whole, cut, or given up.
-type answerBody struct {
+// responseBody calls done once when the body ends, is cut off, or is closed early.
+type responseBody struct {
 	io.ReadCloser
 	once sync.Once
-	done func(whole bool)
+	done func(complete bool)
 }
 
 // Read implements io.Reader.
-func (b *answerBody) Read(p []byte) (int, error) {
+func (b *responseBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err != nil {
-		b.end(err == io.EOF)
+		b.finish(err == io.EOF)
 	}
 	return n, err
 }
 
 // Close implements io.Closer.
-func (b *answerBody) Close() error {
+func (b *responseBody) Close() error {
 	err := b.ReadCloser.Close()
-	b.end(false)
+	b.finish(false)
 	return err
 }
 
-func (b *answerBody) end(whole bool) { b.once.Do(func() { b.done(whole) }) }
+func (b *responseBody) finish(complete bool) { b.once.Do(func() { b.done(complete) }) }
--- a/internal/server/forwarder.go
+++ b/internal/server/forwarder.go
@@ -17,58 +17,59 @@
 	"gypsumstand/internal/wire"
 )
 
-// Forwarder sends attempts to the owners of other nodes.
+// Forwarder sends attempts and messages to other nodes.
 type Forwarder struct {
 	transport *http.Transport
-	// probes opens a connection for each probe: one that is kept may be silent for
-	// good while new ones work, or the other way round.
+	// probes opens a new connection for each probe: a kept connection may be dead while
+	// new ones work, or the reverse.
 	probes *http.Transport
 	scheme string
-	// Unreachable carries which owners are out of reach; nil means that nothing is told. It is
-	// set before the first use.
+	// Unreachable exchanges the ids of unreachable owners with peers; nil disables this.
+	// It must be set before the first use.
 	Unreachable *UnreachableOwners
 }
 
-// PeerHeaderBytes bounds the headers that nodes add to a message between them,
-// the offer and the report among them.
+// PeerHeaderBytes bounds the headers that nodes add to a message between them, including
+// the offer and the report.
 const PeerHeaderBytes = 2 * wire.MaxOfferBytes
 
 // Settings of the transport between nodes.
 const (
-	// peerDialTimeout is some times the longest way between two regions (70 ms and
-	// back); a machine without power answers nothing.
+	// peerDialTimeout is several times the longest round trip between two regions (70
+	// ms). A machine without power does not reply at all.
 	peerDialTimeout = 400 * time.Millisecond
-	// peerIdleTimeout keeps connections to the peers that are used all the time; each
-	// costs both sides about 25 KB. It is far under DefaultIdleTimeout of the peer
-	// port, so that the side that asks closes first.
+	// peerIdleTimeout is long enough to keep connections to peers in constant use; each
+	// connection costs both sides about 25 KB. It is far below DefaultIdleTimeout of the
+	// peer port, so that the requesting side closes first.
 	peerIdleTimeout = 3 * time.Second
-	// peerSilence ends a connection to a machine that lost power or is cut off.
-	peerSilence     = 3 * time.Second
+	// peerAckTimeout ends a connection to a machine that lost power or is cut off from the
+	// network.
+	peerAckTimeout  = 3 * time.Second
 	peerIdlePerHost = 32
 	peerIdle        = 1024
-	// peerMaxHeaderBytes is what the worker may send and what its owner adds.
+	// peerMaxHeaderBytes is what a worker may send plus what its owner adds.
 	peerMaxHeaderBytes = 64<<10 + PeerHeaderBytes
-	// peerContinueTimeout is longer than any wait in an owner's queue: a body
-	// that streams is held back until the owner admits the attempt.
+	// peerContinueTimeout is longer than any wait in an owner's queue: a streamed body is
+	// not sent until the owner admits the attempt.
 	peerContinueTimeout = time.Hour
 )
 
-// NewForwarder returns a forwarder; secured, when not nil, is the mutual TLS of
-// the peers, and a nil dial means TCP. idle bounds the idle connections to all
-// nodes together; zero means the default.
+// NewForwarder returns a Forwarder. secured is the mutual TLS between nodes and may be
+// nil, a nil dial means TCP, and idle bounds the idle connections to all nodes together;
+// zero means the default.
 func NewForwarder(dial upstream.DialFunc, secured *tls.Config, idle int) *Forwarder {
 	if idle == 0 {
 		idle = peerIdle
 	}
 	t := upstream.NewTransport(upstream.Options{
 		Dial: dial, MaxIdleConns: peerIdlePerHost,
-		DialTimeout: peerDialTimeout, IdleTimeout: peerIdleTimeout, AckTimeout: peerSilence,
+		DialTimeout: peerDialTimeout, IdleTimeout: peerIdleTimeout, AckTimeout: peerAckTimeout,
 	})
 	t.MaxIdleConns = idle
 	t.MaxResponseHeaderBytes = peerMaxHeaderBytes
 	t.ExpectContinueTimeout = peerContinueTimeout
 	t.TLSClientConfig = secured
-	probes := upstream.NewTransport(upstream.Options{Dial: dial, DialTimeout: peerDialTimeout, AckTimeout: peerSilence})
+	probes := upstream.NewTransport(upstream.Options{Dial: dial, DialTimeout: peerDialTimeout, AckTimeout: peerAckTimeout})
 	probes.DisableKeepAlives = true
 	probes.TLSClientConfig = secured
 	scheme := "http"
@@ -81,58 +82,59 @@
 // Close closes idle connections.
 func (f *Forwarder) Close() { f.transport.CloseIdleConnections() }
 
-// ErrConnectionBroken says that the way to the owner broke after bytes had left.
-var ErrConnectionBroken = errors.New("the way to the owner broke")
+// ErrConnectionBroken is returned if the connection to the owner broke after bytes had
+// been sent.
+var ErrConnectionBroken = errors.New("connection to the owner broke")
 
-// Do sends the attempt to the owner at address. An error means ErrConnectionBroken; no
-// connection, and an attempt that was withdrawn, are refusals that prove "not run".
-// heard tells whether Report is the owner's.
-func (f *Forwarder) Do(ctx context.Context, address string, w *AttemptMessage) (result Result, heard bool, err error) {
+// Do sends the attempt to the owner at address. An error wraps ErrConnectionBroken. A
+// failed connection and a withdrawn attempt are not errors but refusals that guarantee
+// "not run". reported reports whether Result.Report comes from the owner.
+func (f *Forwarder) Do(ctx context.Context, address string, w *AttemptMessage) (result Result, reported bool, err error) {
 	offer, err := wire.EncodeOffer(&w.Attempt)
 	if err != nil {
 		return Result{Refusal: model.Refusal{Reason: model.ReasonBadRequest, NotRun: true}}, false, nil
 	}
-	if w.ContentLength > replayBytes || w.AcknowledgeBy.IsZero() {
-		return f.do(f.streamed(ctx, address, w, offer), w, nil)
+	if w.ContentLength > maxBufferedBody || w.AcknowledgeBy.IsZero() {
+		return f.do(f.streamedRequest(ctx, address, w, offer), w, nil)
 	}
-	body := withhold(w.Body)
-	ctx, end := withheldContext(ctx, body, w.AcknowledgeBy)
-	result, heard, err = f.do(f.withheld(ctx, address, w, offer, body), w, body)
+	body := newGatedBody(w.Body)
+	ctx, end := gatedContext(ctx, body, w.AcknowledgeBy)
+	result, reported, err = f.do(f.gatedRequest(ctx, address, w, offer, body), w, body)
 	if result.Response == nil {
 		end()
-		return result, heard, err
+		return result, reported, err
 	}
-	// The answer's body is read under the attempt's context.
-	result.Response.Body = closing{result.Response.Body, end}
-	return result, heard, err
+	// The response body is read under the attempt's context.
+	result.Response.Body = cancelOnClose{result.Response.Body, end}
+	return result, reported, err
 }
 
-// do carries out an attempt whose body is withheld; nil means that it leaves at once.
-func (f *Forwarder) do(req *http.Request, w *AttemptMessage, body *withheldBody) (result Result, heard bool, err error) {
-	var proof upstream.RequestTrace
-	req = proof.Attach(req)
+// do executes an attempt; body is nil if the request body is sent at once.
+func (f *Forwarder) do(req *http.Request, w *AttemptMessage, body *gatedBody) (result Result, reported bool, err error) {
+	var trace upstream.RequestTrace
+	req = trace.Attach(req)
 	upstream.PreventReplay(req)
 	resp, err := f.transport.RoundTrip(req)
 	switch {
 	case err == nil:
-		return f.read(w, resp, &proof)
-	case proof.NotRun():
-		return Result{Refusal: model.Refusal{Reason: unreached(err), NotRun: true}}, false, nil
-	case body != nil && body.bar():
+		return f.read(w, resp, &trace)
+	case trace.NotRun():
+		return Result{Refusal: model.Refusal{Reason: connectFailure(err), NotRun: true}}, false, nil
+	case body != nil && body.withdraw():
 		return Result{Refusal: model.Refusal{Reason: model.ReasonNotAcknowledged, NotRun: true}}, false, nil
 	}
 	return Result{}, false, errors.Join(ErrConnectionBroken, err)
 }
 
-// ReachPath is where a node answers probes on its peer port.
+// ReachPath is the path of probes on the peer port.
 const ReachPath = "/v1/reach"
 
-// probeTimeout bounds a probe: some times the longest way between two regions (70 ms
-// and back), for a connection and an answer.
+// probeTimeout bounds a probe, including the connection: several times the longest round
+// trip between two regions (70 ms).
 const probeTimeout = 600 * time.Millisecond
 
-// Probe asks the node at address for any answer, on a connection of its own. An error
-// means that there was none within probeTimeout.
+// Probe sends the node at address a request over a new connection. Any response is a
+// success; the error reports that there was none within probeTimeout.
 func (f *Forwarder) Probe(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -147,17 +149,19 @@
 	return resp.Body.Close()
 }
 
-// Get asks another node for what it tells on its peer port; most bounds the answer.
-func (f *Forwarder) Get(ctx context.Context, address, path string, most int64) ([]byte, error) {
-	return f.ask(ctx, http.MethodGet, address, path, nil, most)
+// Get requests data from another node's peer port. It reads one byte more than limit,
+// so that the caller can detect a longer response.
+func (f *Forwarder) Get(ctx context.Context, address, path string, limit int64) ([]byte, error) {
+	return f.fetch(ctx, http.MethodGet, address, path, nil, limit)
 }
 
-// Post tells another node something on its peer port; most bounds the answer.
-func (f *Forwarder) Post(ctx context.Context, address, path string, data []byte, most int64) ([]byte, error) {
-	return f.ask(ctx, http.MethodPost, address, path, data, most)
+// Post sends data to another node's peer port and returns the response body, read as in
+// Get.
+func (f *Forwarder) Post(ctx context.Context, address, path string, data []byte, limit int64) ([]byte, error) {
+	return f.fetch(ctx, http.MethodPost, address, path, data, limit)
 }
 
-func (f *Forwarder) ask(ctx context.Context, method, address, path string, data []byte, most int64) ([]byte, error) {
+func (f *Forwarder) fetch(ctx context.Context, method, address, path string, data []byte, limit int64) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, f.scheme+"://"+address+path, bytes.NewReader(data))
 	if err != nil {
 		return nil, err
@@ -170,31 +174,34 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("%s: %s", path, resp.Status)
 	}
-	return io.ReadAll(io.LimitReader(resp.Body, most+1))
+	return io.ReadAll(io.LimitReader(resp.Body, limit+1))
 }
 
-// unreached tells an owner that is not there from one that cannot be reached.
-func unreached(err error) model.Reason {
+// connectFailure distinguishes an owner that is not running from one that cannot be
+// reached.
+func connectFailure(err error) model.Reason {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return model.ReasonOwnerAbsent
 	}
 	return model.ReasonWorkerUnreachable
 }
 
-// streamed makes the message of an attempt whose body is not withheld. A long one goes on
-// from the caller to the worker as it comes, from the owner's start on.
-func (f *Forwarder) streamed(ctx context.Context, address string, w *AttemptMessage, offer string) *http.Request {
+// streamedRequest returns the request of an attempt whose body is sent without waiting
+// for a reply, or, if it is long, streamed from the caller to the worker once the owner
+// starts the attempt.
+func (f *Forwarder) streamedRequest(ctx context.Context, address string, w *AttemptMessage, offer string) *http.Request {
 	req := f.request(ctx, address, streamedPath, w, offer)
-	if w.ContentLength > replayBytes {
+	if w.ContentLength > maxBufferedBody {
 		req.Header.Set("Expect", "100-continue")
 	}
 	return req
 }
 
-// withheld makes the message of an attempt whose body leaves when the owner asks for it.
-// One without a body ends with an empty chunk, which is withheld in its place.
-func (f *Forwarder) withheld(ctx context.Context, address string, w *AttemptMessage, offer string, body *withheldBody) *http.Request {
-	req := f.request(ctx, address, withheldPath, w, offer)
+// gatedRequest returns the request of an attempt whose body is sent when the owner asks
+// for it. An empty body is sent chunked, so that its final empty chunk can be held back
+// instead.
+func (f *Forwarder) gatedRequest(ctx context.Context, address string, w *AttemptMessage, offer string, body *gatedBody) *http.Request {
+	req := f.request(ctx, address, gatedPath, w, offer)
 	req.Body = body
 	if req.ContentLength <= 0 {
 		req.ContentLength = -1
@@ -214,29 +221,29 @@
 	return req
 }
 
-// read takes the owner's word from the answer's head.
-func (f *Forwarder) read(w *AttemptMessage, resp *http.Response, proof *upstream.RequestTrace) (Result, bool, error) {
+// read evaluates the header of the owner's response.
+func (f *Forwarder) read(w *AttemptMessage, resp *http.Response, trace *upstream.RequestTrace) (Result, bool, error) {
 	if resp.Header.Get(wire.HeaderAttempt) != w.Attempt.ID.String() || upstream.CheckFraming(resp, w.Method) != nil {
-		proof.CloseConn()
+		trace.CloseConn()
 		resp.Body.Close()
 		return Result{}, false, ErrConnectionBroken
 	}
 	f.Unreachable.read(resp.Header)
 	var result Result
 	report, err := wire.DecodeReport(resp.Header.Get(wire.HeaderReport))
-	heard := err == nil
+	reported := err == nil
 	result.Report = report
 	refusal, refused, err := wire.ReadRefusal(resp.Header)
 	if err != nil {
 		resp.Body.Close()
-		return result, heard, errors.Join(ErrConnectionBroken, err)
+		return result, reported, errors.Join(ErrConnectionBroken, err)
 	}
 	if refused {
 		resp.Body.Close()
 		result.Refusal = refusal
-		return result, heard, nil
+		return result, reported, nil
 	}
 	result.Times = wire.ReadTimes(resp.Header)
 	result.Response = &Response{Status: resp.StatusCode, Header: endToEnd(resp.Header), ContentLength: resp.ContentLength, Body: resp.Body}
-	return result, heard, nil
+	return result, reported, nil
 }
--- a/internal/server/header.go
+++ b/internal/server/header.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// gypsumPrefix begins the names of this system's own headers; they are never
-// passed through from outside.
+// gypsumPrefix is the prefix of this system's own headers, which are never passed through
+// from outside.
 const gypsumPrefix = "Gypsum-"
 
-// hopByHop lists the headers that concern one connection only (RFC 9110,
-// section 7.6.1, and those that older practice adds).
+// hopByHop lists the hop-by-hop headers of RFC 9110, section 7.6.1, and those of older
+// practice.
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Proxy-Authenticate", "Proxy-Authorization",
 	"Expect", "Content-Length",
 }
 
-// endToEnd returns a copy of h without hop-by-hop headers, those that
-// Connection names, and this system's own.
+// endToEnd returns a copy of h without the hop-by-hop headers, those listed in
+// Connection, and this system's own.
 func endToEnd(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
--- a/internal/server/hedge.go
+++ b/internal/server/hedge.go
@@ -9,68 +9,69 @@
 	"gypsumstand/internal/task"
 )
 
-// hedge is a call that runs beside another one for the same request.
+// hedge is a second call for the same request.
 type hedge struct {
-	carrier *carrier
-	cancel  context.CancelFunc
-	// ended carries the hedge's end, once.
-	ended chan entry.Step
-	// step is its end, once it has been taken from ended.
+	runner *callRunner
+	cancel context.CancelFunc
+	// done receives the hedge's last step, once.
+	done chan entry.Step
+	// step is the hedge's last step after it has been received from done.
 	step  entry.Step
 	taken bool
 }
 
-// wait takes the hedge's end.
+// wait waits for the hedge's last step.
 func (h *hedge) wait() entry.Step {
 	if !h.taken {
-		h.step, h.taken = <-h.ended, true
+		h.step, h.taken = <-h.done, true
 	}
 	return h.step
 }
 
-// won tells whether the hedge is known to have the answer; h may be nil.
+// won reports whether the hedge is known to have a response; h may be nil.
 func (h *hedge) won() bool {
 	return h != nil && h.taken && h.step.Outcome == model.OutcomeAnswered
 }
 
-// attempted is the outcome of one attempt.
-type attempted struct {
-	result Result
-	heard  bool
-	err    error
+// attemptResult is the result of one attempt.
+type attemptResult struct {
+	result   Result
+	reported bool
+	err      error
 }
 
-// attemptHedged carries one attempt out, with a hedge beside it where the call allows
-// one: from the step's HedgeAt on, or once the owner is found out of reach. When the
-// hedge has an answer first, the attempt is given up.
-func (c *carrier) attemptHedged(ctx context.Context, step entry.Step) (Result, bool, error) {
-	if step.HedgeAt.IsZero() && !c.mayLose(step) || c.body.stream != nil {
+// attemptHedged executes one attempt. If the call allows, a hedge is started at the
+// step's HedgeAt, or once the owner becomes unreachable. The attempt is cancelled if the
+// hedge responds first.
+func (c *callRunner) attemptHedged(ctx context.Context, step entry.Step) (Result, bool, error) {
+	if step.HedgeAt.IsZero() && !c.hedgesIfUnreachable(step) || c.body.stream != nil {
 		return c.attempt(ctx, step)
 	}
-	attemptCtx, giveUp := context.WithCancel(ctx)
-	done := make(chan attempted, 1)
+	attemptCtx, cancelAttempt := context.WithCancel(ctx)
+	done := make(chan attemptResult, 1)
 	go func() {
-		var a attempted
-		a.result, a.heard, a.err = c.attempt(attemptCtx, step)
+		var a attemptResult
+		a.result, a.reported, a.err = c.attempt(attemptCtx, step)
 		done <- a
 	}()
-	a := c.raceHedge(ctx, step, done, giveUp)
+	a := c.raceHedge(ctx, step, done, cancelAttempt)
 	if a.result.Response == nil {
-		giveUp()
-		return a.result, a.heard, a.err
+		cancelAttempt()
+		return a.result, a.reported, a.err
 	}
-	// The answer's body is read under the attempt's context.
-	a.result.Response.Body = closing{a.result.Response.Body, giveUp}
-	return a.result, a.heard, a.err
+	// The response body is read under the attempt's context.
+	a.result.Response.Body = cancelOnClose{a.result.Response.Body, cancelAttempt}
+	return a.result, a.reported, a.err
 }
 
-// mayLose tells whether the attempt is worth a hedge should its owner be lost.
-func (c *carrier) mayLose(step entry.Step) bool {
+// hedgesIfUnreachable reports whether the attempt is to be hedged if its owner becomes
+// unreachable.
+func (c *callRunner) hedgesIfUnreachable(step entry.Step) bool {
 	return c.request.Idempotent && step.To.ID != c.caller.Self && c.hedge == nil
 }
 
-func (c *carrier) raceHedge(ctx context.Context, step entry.Step, done <-chan attempted, giveUp context.CancelFunc) attempted {
-	lost, end := c.caller.UnreachableSignal.wait(step.To.ID)
+func (c *callRunner) raceHedge(ctx context.Context, step entry.Step, done <-chan attemptResult, cancelAttempt context.CancelFunc) attemptResult {
+	unreachable, end := c.caller.UnreachableSignal.wait(step.To.ID)
 	defer end()
 	var late <-chan time.Time
 	if !step.HedgeAt.IsZero() {
@@ -83,7 +84,7 @@
 	case a := <-done:
 		return a
 	case <-late:
-	case <-lost:
+	case <-unreachable:
 		begin = c.call.HedgeUnreachable
 	}
 	if !c.startHedge(ctx, begin) {
@@ -92,40 +93,42 @@
 	select {
 	case a := <-done:
 		return a
-	case c.hedge.step = <-c.hedge.ended:
+	case c.hedge.step = <-c.hedge.done:
 		c.hedge.taken = true
 	}
 	if c.hedge.won() {
-		giveUp()
+		cancelAttempt()
 	}
 	return <-done
 }
 
-// startHedge begins a call beside this one; false when the budgets forbid it.
-func (c *carrier) startHedge(ctx context.Context, begin func(time.Time) (*entry.Call, bool)) bool {
+// startHedge starts a call beside this one; it returns false if the budgets do not allow
+// one.
+func (c *callRunner) startHedge(ctx context.Context, begin func(time.Time) (*entry.Call, bool)) bool {
 	call, ok := begin(time.Now())
 	if !ok {
 		return false
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	h := &hedge{carrier: &carrier{exchange: c.exchange, call: call}, cancel: cancel, ended: make(chan entry.Step, 1)}
+	h := &hedge{runner: &callRunner{exchange: c.exchange, call: call}, cancel: cancel, done: make(chan entry.Step, 1)}
 	c.hedge = h
-	go func() { h.ended <- h.carrier.carryOut(ctx) }()
+	go func() { h.done <- h.runner.runRecovering(ctx) }()
 	return true
 }
 
-// carryOut is carry for a goroutine that is no handler's, where a panic would end the
-// process: the call then ends with an unknown outcome.
-func (c *carrier) carryOut(ctx context.Context) (step entry.Step) {
-	if err := task.Do(func() { step = c.carry(ctx) }); err != nil {
-		c.panicked(err)
+// runRecovering is run for a goroutine outside a handler, where a panic would end the
+// process. After a panic the call ends with an unknown outcome.
+func (c *callRunner) runRecovering(ctx context.Context) (step entry.Step) {
+	if err := task.Do(func() { step = c.run(ctx) }); err != nil {
+		c.logPanic(err)
 		return entry.Step{Kind: entry.StepEnd, Outcome: model.OutcomeUnknown}
 	}
 	return step
 }
 
-// decide tells which of the two calls the caller's answer is from.
-func (c *carrier) decide(step entry.Step) (*carrier, entry.Step) {
+// pickWinner returns the call of a hedged pair that decides the caller's response, and
+// its last step.
+func (c *callRunner) pickWinner(step entry.Step) (*callRunner, entry.Step) {
 	h := c.hedge
 	if h == nil {
 		return c, step
@@ -133,30 +136,30 @@
 	if step.Outcome == model.OutcomeAnswered {
 		h.cancel()
 		h.wait()
-		h.carrier.drop()
+		h.runner.dropResponse()
 		return c, step
 	}
 	other := h.wait()
-	defer h.releaseUnlessHeld()
+	defer h.cancelUnlessBuffered()
 	if other.Outcome == model.OutcomeAnswered {
-		c.drop()
-		return h.carrier, other
+		c.dropResponse()
+		return h.runner, other
 	}
 	return c, entry.CombineOutcomes(step, other)
 }
 
-// releaseUnlessHeld ends the hedge's context, but not under an answer that is
-// still to be read; the exchange's own end does that.
-func (h *hedge) releaseUnlessHeld() {
-	if h.carrier.held == nil {
+// cancelUnlessBuffered cancels the hedge's context unless it has a response that is still
+// to be read; the exchange then cancels it at its own end.
+func (h *hedge) cancelUnlessBuffered() {
+	if h.runner.buffered == nil {
 		h.cancel()
 	}
 }
 
-// sent counts the attempts of a call and its hedge.
-func (c *carrier) sent() int {
+// totalAttempts counts the attempts of a call and its hedge.
+func (c *callRunner) totalAttempts() int {
 	if c.hedge == nil {
 		return c.attempts
 	}
-	return c.attempts + c.hedge.carrier.attempts
+	return c.attempts + c.hedge.runner.attempts
 }
--- a/internal/server/peer.go
+++ b/internal/server/peer.go
@@ -14,78 +14,81 @@
 	"gypsumstand/internal/wire"
 )
 
-// Prefixes of attempts on the peer port; the request's own path follows.
+// Path prefixes of attempts on the peer port; the request's own path follows.
 const (
-	// withheldPath is for attempts whose body leaves when the owner asks for it.
-	withheldPath = "/v1/withheld"
-	// streamedPath is for those whose body follows at once, as the worker reads it.
+	// gatedPath is for attempts whose body is sent when the owner asks for it.
+	gatedPath = "/v1/withheld"
+	// streamedPath is for attempts whose body follows at once and is streamed to the
+	// worker.
 	streamedPath = "/v1/attempt"
 )
 
-// AttemptPaths are the prefixes of the paths that Peer serves.
-var AttemptPaths = []string{withheldPath + "/", streamedPath + "/"}
+// AttemptPaths are the path prefixes that PeerHandler serves.
+var AttemptPaths = []string{gatedPath + "/", streamedPath + "/"}
 
 // PeerHandler serves attempts of other entry nodes.
 type PeerHandler struct {
 	Executor *Executor
-	// BundleReported is told the bundle version of each attempt; it does not block.
+	// BundleReported is called with the bundle version of each attempt; it must not
+	// block.
 	BundleReported func(from model.InstanceID, v model.BundleVersion)
-	// FreshnessReported is told the directory's revision on each attempt; it does not block.
+	// RevisionReported is called with the directory revision of each attempt; it must not
+	// block.
 	RevisionReported func(from model.InstanceID, revision uint64)
-	// Unreachable carries which owners are out of reach; nil means that nothing is told.
+	// Unreachable exchanges the ids of unreachable owners with peers; nil disables this.
 	Unreachable *UnreachableOwners
 }
 
 // ServeHTTP implements http.Handler.
 func (p *PeerHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	defer p.Executor.hold()()
-	// Nodes have no use for each other's date; a worker's own is passed on.
+	defer p.Executor.trackPeerAttempt()()
+	// Nodes do not use each other's Date; a worker's own is passed on.
 	w.Header()["Date"] = nil
-	if !strings.HasPrefix(r.URL.Path, withheldPath) {
+	if !strings.HasPrefix(r.URL.Path, gatedPath) {
 		p.serve(w, r, streamedPath)
 		return
 	}
-	// A refusal goes out before the body, which the entry then lets go. Only a writer
-	// without a connection, as in tests, refuses.
+	// A refusal is sent before the body, which the entry node then sends. Fails only for
+	// a writer without a connection, as in tests.
 	_ = http.NewResponseController(w).EnableFullDuplex()
-	if !p.serve(w, r, withheldPath) {
-		finishReading(w, r)
+	if !p.serve(w, r, gatedPath) {
+		drainRefused(w, r)
 	}
 }
 
-// serve carries out the attempt that a message to a path under prefix offers; false means
-// that it was refused, perhaps before its body was read.
+// serve executes the attempt offered by a request to a path under prefix. It returns
+// false if the attempt was refused, possibly before its body was read.
 func (p *PeerHandler) serve(w http.ResponseWriter, r *http.Request, prefix string) bool {
 	attempt, err := wire.DecodeOffer(r.Header.Get(wire.HeaderOffer))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
 	}
-	if !fitsHeaders(&attempt) {
+	if !validHeaderFields(&attempt) {
 		http.Error(w, "bad offer: a field is no header value", http.StatusBadRequest)
 		return false
 	}
 	deadline := time.Now().Add(min(attempt.Remaining, maxPeerTime))
-	limitReading(w, r, deadline)
+	setReadDeadline(w, r, deadline)
 	p.BundleReported(attempt.ID.Entry, attempt.Bundle)
 	p.RevisionReported(attempt.ID.Entry, attempt.DirectoryRevision)
 	p.Unreachable.read(r.Header)
-	work := &AttemptMessage{
+	message := &AttemptMessage{
 		Attempt:       attempt,
 		Method:        r.Method,
-		URL:           ownPath(r.URL, prefix),
+		URL:           stripPrefix(r.URL, prefix),
 		Host:          r.Host,
 		Header:        endToEnd(r.Header),
 		Body:          r.Body,
 		ContentLength: r.ContentLength,
 	}
-	if prefix == withheldPath {
-		work.FetchBody = func() error { return claim(w, r, work) }
-	} else if err := work.hold(r); err != nil {
+	if prefix == gatedPath {
+		message.FetchBody = func() error { return fetchBody(w, r, message) }
+	} else if err := message.bufferBody(r); err != nil {
 		writeRefusal(w, model.Refusal{Reason: model.ReasonCancelled, NotRun: true})
 		return false
 	}
-	result := p.Executor.Do(r.Context(), work)
+	result := p.Executor.Do(r.Context(), message)
 	p.Unreachable.write(w.Header())
 	w.Header().Set(wire.HeaderAttempt, attempt.ID.String())
 	if report, err := wire.EncodeReport(&result.Report); err == nil {
@@ -96,18 +99,18 @@
 		return false
 	}
 	wire.SetTimes(w.Header(), result.Times)
-	limitWriting(w, deadline)
-	sendAnswer(w, result.Response)
+	setWriteDeadline(w, deadline)
+	writeResponse(w, result.Response)
 	return true
 }
 
-// maxPeerTime bounds an attempt's time on the peer port.
+// maxPeerTime bounds the duration of an attempt on the peer port.
 const maxPeerTime = time.Hour
 
-// fitsHeaders reports whether the fields that go to the worker as header values
-// are fit for that: net/http would refuse the request without sending it, as if
-// the worker could not be reached.
-func fitsHeaders(a *model.Attempt) bool {
+// validHeaderFields reports whether the fields that are sent to the worker as header
+// values are valid. Otherwise net/http would refuse to send the request, which would look
+// like an unreachable worker.
+func validHeaderFields(a *model.Attempt) bool {
 	for _, s := range []string{string(a.ID.Entry), string(a.Request), string(a.Class), string(a.Tenant)} {
 		if !httpguts.ValidHeaderFieldValue(s) {
 			return false
@@ -116,8 +119,8 @@
 	return true
 }
 
-// ownPath takes the attempt's prefix off.
-func ownPath(u *url.URL, prefix string) *url.URL {
+// stripPrefix removes the prefix of attempts from the path.
+func stripPrefix(u *url.URL, prefix string) *url.URL {
 	out := &url.URL{Path: strings.TrimPrefix(u.Path, prefix), RawQuery: u.RawQuery}
 	if u.RawPath != "" {
 		out.RawPath = strings.TrimPrefix(u.RawPath, prefix)
@@ -135,9 +138,9 @@
 	w.WriteHeader(status)
 }
 
-// sendAnswer streams a to w. A cut answer ends the connection, so that it is
-// never taken for whole.
-func sendAnswer(w http.ResponseWriter, a *Response) {
+// writeResponse streams a to w. A response that is cut off ends the connection, so that
+// it is never taken for a complete one.
+func writeResponse(w http.ResponseWriter, a *Response) {
 	defer a.Body.Close()
 	copyInto(w.Header(), a.Header)
 	setLength(w.Header(), a.Status, a.ContentLength)
@@ -147,18 +150,18 @@
 	}
 }
 
-// copyBuffer is the size of a streaming copy's buffer, in bytes.
-const copyBuffer = 32 << 10
+// copyBufferSize is the size of the buffer of a streaming copy, in bytes.
+const copyBufferSize = 32 << 10
 
-// copyBuffers holds buffers for reuse: made anew for each answer they were over half of all
-// that a node allocates.
-var copyBuffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
+// copyBuffers reuses buffers: allocated for each response, they made up over half of a
+// node's allocations.
+var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// copyFlushing copies src to w and flushes after each read, so that a slow
-// answer is passed on as it comes.
+// copyFlushing copies src to w and flushes after each read, so that a slow response is
+// passed on as it arrives.
 func copyFlushing(w http.ResponseWriter, src io.Reader) error {
 	control := http.NewResponseController(w)
-	buf := copyBuffers.Get().(*[copyBuffer]byte)
+	buf := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(buf)
 	for {
 		n, err := src.Read(buf[:])
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -6,49 +6,50 @@
 	"time"
 )
 
-// StopBound ends calls in time for their callers to be answered before a planned stop
-// ends. It is safe for concurrent use; a nil one bounds nothing.
+// StopBound ends calls early enough before the end of a planned stop for their callers to
+// get a response. It is safe for concurrent use; a nil StopBound bounds nothing.
 type StopBound struct {
-	// at is the bound in Unix nanoseconds, zero while the node does not stop.
+	// at is the bound in Unix nanoseconds, zero while the node is not stopping.
 	at atomic.Int64
-	// ending ends at the bound.
-	ending context.Context
-	end    context.CancelFunc
-	// inHand counts the calls that have not ended.
-	inHand atomic.Int64
+	// ctx ends at the bound.
+	ctx    context.Context
+	cancel context.CancelFunc
+	// inFlight counts the calls that have not ended.
+	inFlight atomic.Int64
 }
 
-// leastTimeout is what a call gets that comes at the very end of a stop: enough to be
-// refused.
-const leastTimeout = time.Millisecond
+// minTimeout is the timeout of a call that arrives at the very end of a stop; it suffices
+// for a refusal.
+const minTimeout = time.Millisecond
 
-// NewStopBound returns a bound that is not set.
+// NewStopBound returns a StopBound that is not set.
 func NewStopBound() *StopBound {
 	b := &StopBound{}
-	b.ending, b.end = context.WithCancel(context.Background())
+	b.ctx, b.cancel = context.WithCancel(context.Background())
 	return b
 }
 
-// Set bounds all calls by at, those under way too.
+// Set bounds all calls by at, including those in flight.
 func (b *StopBound) Set(at time.Time) {
 	b.at.Store(at.UnixNano())
-	time.AfterFunc(time.Until(at), b.end)
+	time.AfterFunc(time.Until(at), b.cancel)
 }
 
-// InFlight returns the number of callers' requests that have been read and not answered.
-func (b *StopBound) InFlight() int64 { return b.inHand.Load() }
+// InFlight returns the number of callers' requests that have been read and not responded
+// to.
+func (b *StopBound) InFlight() int64 { return b.inFlight.Load() }
 
-// hold counts a call until its end.
-func (b *StopBound) hold() (end func()) {
+// trackCall counts a call until end is called.
+func (b *StopBound) trackCall() (end func()) {
 	if b == nil {
 		return func() {}
 	}
-	b.inHand.Add(1)
-	return func() { b.inHand.Add(-1) }
+	b.inFlight.Add(1)
+	return func() { b.inFlight.Add(-1) }
 }
 
-// within returns the part of timeout that is left before the bound.
-func (b *StopBound) within(now time.Time, timeout time.Duration) time.Duration {
+// limit shortens timeout so that it ends at the bound.
+func (b *StopBound) limit(now time.Time, timeout time.Duration) time.Duration {
 	if b == nil {
 		return timeout
 	}
@@ -56,21 +57,22 @@
 	if at == 0 {
 		return timeout
 	}
-	return max(min(timeout, time.Unix(0, at).Sub(now)), leastTimeout)
+	return max(min(timeout, time.Unix(0, at).Sub(now)), minTimeout)
 }
 
-// bound returns a context that also ends at the bound, as if the caller had gone. After the
-// bound it has ended at its return, so that the call is passed on to nobody.
-func (b *StopBound) bound(ctx context.Context) (context.Context, context.CancelFunc) {
+// withContext returns a context that also ends at the bound, as if the caller had gone.
+// After the bound the context has ended before withContext returns, so that the call is
+// never passed on.
+func (b *StopBound) withContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	if b == nil {
 		return ctx, cancel
 	}
-	if b.ending.Err() != nil {
+	if b.ctx.Err() != nil {
 		cancel()
 		return ctx, cancel
 	}
-	stop := context.AfterFunc(b.ending, cancel)
+	stop := context.AfterFunc(b.ctx, cancel)
 	return ctx, func() {
 		stop()
 		cancel()
--- a/internal/server/stop_test.go
+++ b/internal/server/stop_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// A call that came after the bound of a stop could still be passed on: what ends it came
-// from another goroutine, some time later. The evidence is this test on the code before,
-// where hardly a call in a thousand was ended at once.
-func TestACallThatComesAfterTheBoundOfAStopIsEndedBeforeItIsPassedOn(t *testing.T) {
+// A call that arrived after the bound of a stop could still be passed on, because another
+// goroutine cancelled its context some time later. Without the fix hardly one call in a
+// thousand ended at once.
+func TestCallAfterStopBoundIsNeverPassedOn(t *testing.T) {
 	b := NewStopBound()
 	b.Set(time.Now())
-	<-b.ending.Done()
+	<-b.ctx.Done()
 	passedOn := 0
 	for range 1000 {
-		ctx, end := b.bound(t.Context())
+		ctx, end := b.withContext(t.Context())
 		if ctx.Err() == nil {
 			passedOn++
 		}
--- a/internal/server/transports.go
+++ b/internal/server/transports.go
@@ -9,33 +9,32 @@
 	"gypsumstand/internal/upstream"
 )
 
-// limits are those that the transport was made for.
+// limits are the limits that the transports were created with.
 type limits struct{ slots, connections int }
 
-// Bounds of connections to the worker.
+// Settings of the connections to the worker.
 const (
 	workerDialTimeout = time.Second
-	// workerIdle is a fifth of the shortest time that workers were seen to keep
-	// idle connections (10 s).
+	// workerIdle is a fifth of the shortest idle timeout observed among workers (10 s).
 	workerIdle = 2 * time.Second
-	// cautiousIdle is how long a connection may have been idle to carry a request
-	// that must not run twice: a worker that has forgotten the connection resets it,
-	// and then nothing proves that the request did not run.
-	cautiousIdle = 250 * time.Millisecond
-	// workerSilence ends a connection to a worker whose machine is gone.
-	workerSilence = 3 * time.Second
+	// nonIdempotentIdle is how long a connection may have been idle to be used for a
+	// non-idempotent request: a worker that has dropped the connection resets it, and
+	// then nothing proves that the request did not run.
+	nonIdempotentIdle = 250 * time.Millisecond
+	// workerAckTimeout ends a connection to a worker whose machine is down.
+	workerAckTimeout = 3 * time.Second
 )
 
-// Transport limits until a bundle names them.
+// Limits of the transports until a bundle sets them.
 const (
 	initialSlots       = 16
 	initialConnections = 64
 )
 
-// Configure applies a bundle's limits; requests in flight go on with the old
-// transport. It is called from one goroutine.
+// Configure applies a bundle's limits; requests in flight keep the old transports. It
+// must be called from one goroutine only.
 func (x *Executor) Configure(svc *bundle.Service, self model.InstanceID) {
-	x.echo.Store(svc.RequireEcho)
+	x.requireEcho.Store(svc.RequireEcho)
 	want := limits{slots: svc.Slots, connections: svc.Connections}
 	for _, u := range svc.Upstreams {
 		if u.Instance == self && u.Slots > 0 {
@@ -52,16 +51,15 @@
 	x.renewTransports(want)
 }
 
-// renewTransports makes transports for other limits; requests in flight go on with
-// the old ones.
+// renewTransports replaces the transports by ones with the given limits.
 func (x *Executor) renewTransports(l limits) {
 	o := upstream.Options{
 		MaxIdleConns: l.slots, MaxConns: l.connections,
-		DialTimeout: workerDialTimeout, IdleTimeout: workerIdle, AckTimeout: workerSilence,
+		DialTimeout: workerDialTimeout, IdleTimeout: workerIdle, AckTimeout: workerAckTimeout,
 	}
 	before := []*http.Transport{x.transport.Swap(upstream.NewTransport(o)), nil}
-	o.IdleTimeout = cautiousIdle
-	before[1] = x.cautious.Swap(upstream.NewTransport(o))
+	o.IdleTimeout = nonIdempotentIdle
+	before[1] = x.freshTransport.Swap(upstream.NewTransport(o))
 	for _, t := range before {
 		if t != nil {
 			t.CloseIdleConnections()
@@ -69,16 +67,16 @@
 	}
 }
 
-// transportFor returns the transport that an attempt goes by.
+// transportFor returns the transport of an attempt.
 func (x *Executor) transportFor(a *model.Attempt) *http.Transport {
 	if a.Idempotent {
 		return x.transport.Load()
 	}
-	return x.cautious.Load()
+	return x.freshTransport.Load()
 }
 
 // Close closes idle connections to the worker.
 func (x *Executor) Close() {
 	x.transport.Load().CloseIdleConnections()
-	x.cautious.Load().CloseIdleConnections()
+	x.freshTransport.Load().CloseIdleConnections()
 }
--- a/internal/server/lostowners.go
+++ b/internal/server/unreachableowners.go
@@ -7,16 +7,16 @@
 	"gypsumstand/internal/wire"
 )
 
-// UnreachableOwners carries between nodes, on messages that go anyway, which owners the
-// sender cannot connect to. Whoever hears of one finds out for itself.
+// UnreachableOwners piggybacks the ids of owners that the sender cannot connect to on
+// messages between nodes. A receiver checks for itself.
 type UnreachableOwners struct {
-	// List returns the owners to name, at most wire.MaxLost.
+	// List returns the owners to report, at most wire.MaxUnreachable.
 	List func() []model.InstanceID
-	// FreshnessReported is told those that a peer named; it does not block.
+	// Reported is called with the owners that a peer reported; it must not block.
 	Reported func(ids []model.InstanceID)
 }
 
-// write names owners in a message's header, if there are any.
+// write adds the owners to a message's header, if there are any.
 func (l *UnreachableOwners) write(h http.Header) {
 	if l == nil {
 		return
@@ -25,14 +25,14 @@
 	if len(ids) == 0 {
 		return
 	}
-	// Names too long for the header are not told: a hint is no duty.
+	// Ids that are too long for the header are left out, since they are only hints.
 	if value, err := wire.EncodeUnreachable(ids); err == nil {
 		h.Set(wire.HeaderUnreachable, value)
 	}
 }
 
-// read takes what a message's header names. What a peer of another version words
-// otherwise is a hint less.
+// read reads the owners from a message's header. A value that cannot be decoded, as from
+// a peer of another version, is ignored.
 func (l *UnreachableOwners) read(h http.Header) {
 	value := h.Get(wire.HeaderUnreachable)
 	if l == nil || value == "" {
--- a/internal/server/lostowners_test.go
+++ b/internal/server/unreachableowners_test.go
@@ -11,28 +11,28 @@
 	"gypsumstand/internal/wire"
 )
 
-func TestWhatOneNodeHasLostItsPeersHear(t *testing.T) {
-	var heard [][]model.InstanceID
-	tells := func(ids ...model.InstanceID) *UnreachableOwners {
+func TestUnreachableOwnersArePassedToPeers(t *testing.T) {
+	var received [][]model.InstanceID
+	owners := func(ids ...model.InstanceID) *UnreachableOwners {
 		return &UnreachableOwners{
 			List:     func() []model.InstanceID { return ids },
-			Reported: func(ids []model.InstanceID) { heard = append(heard, ids) },
+			Reported: func(ids []model.InstanceID) { received = append(received, ids) },
 		}
 	}
-	var silent *UnreachableOwners
-	for _, l := range []*UnreachableOwners{silent, tells(), tells("w1", "w2")} {
+	var none *UnreachableOwners
+	for _, l := range []*UnreachableOwners{none, owners(), owners("w1", "w2")} {
 		h := http.Header{}
 		l.write(h)
-		tells().read(h)
-		silent.read(h)
+		owners().read(h)
+		none.read(h)
 	}
-	tells().read(http.Header{wire.HeaderUnreachable: {"not base64 %"}})
-	if diff := cmp.Diff([][]model.InstanceID{{"w1", "w2"}}, heard); diff != "" {
+	owners().read(http.Header{wire.HeaderUnreachable: {"not base64 %"}})
+	if diff := cmp.Diff([][]model.InstanceID{{"w1", "w2"}}, received); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestAnswersBetweenNodesCarryNoDate(t *testing.T) {
+func TestPeerResponsesOmitDate(t *testing.T) {
 	s := httptest.NewServer(&PeerHandler{})
 	defer s.Close()
 	resp, err := http.Get(s.URL)
--- a/internal/server/unrouted_test.go
+++ b/internal/server/unrouted_test.go
@@ -18,19 +18,19 @@
 	"gypsumstand/internal/wire"
 )
 
-func TestANodeThatIsNotReadyDoesNotSayThatACallersOwnIDWasNotRun(t *testing.T) {
-	type told struct {
+func TestUnreadyNodeDoesNotGuaranteeNotRunForCallerID(t *testing.T) {
+	type result struct {
 		Status  int
 		Outcome string
 	}
 	tests := map[string]struct {
 		ready bool
 		key   string
-		want  told
+		want  result
 	}{
-		"not ready, own id": {key: "payout-7", want: told{http.StatusServiceUnavailable, "unknown"}},
-		"not ready, no id":  {want: told{http.StatusServiceUnavailable, "not-run"}},
-		"ready, own id":     {ready: true, key: "payout-7", want: told{http.StatusNotFound, "not-run"}},
+		"not ready, own id": {key: "payout-7", want: result{http.StatusServiceUnavailable, "unknown"}},
+		"not ready, no id":  {want: result{http.StatusServiceUnavailable, "not-run"}},
+		"ready, own id":     {ready: true, key: "payout-7", want: result{http.StatusNotFound, "not-run"}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 			}
 			w := httptest.NewRecorder()
 			c.ServeHTTP(w, r)
-			got := told{w.Code, w.Header().Get(wire.HeaderOutcome)}
+			got := result{w.Code, w.Header().Get(wire.HeaderOutcome)}
 			if diff := cmp.Diff(tt.want, got); diff != "" {
 				t.Error(diff)
 			}
@@ -53,9 +53,9 @@
 	}
 }
 
-// A refused request whose body never came held its connection for good, and with it a planned
-// stop of its node, which then cut off all others.
-func TestARefusalIsSentAlsoWhereTheBodyDoesNotCome(t *testing.T) {
+// A refused request whose body never arrived held its connection indefinitely, and with
+// it a planned stop of its node, which then cut off all other callers.
+func TestRefusalIsSentWithoutBody(t *testing.T) {
 	board := &blackboard.Board{}
 	board.Bundles.Put(bundle.NewSet(nil))
 	board.Readiness.Put(&blackboard.Readiness{Ready: true})
@@ -70,7 +70,7 @@
 	if _, err := io.WriteString(conn, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	_ = conn.SetReadDeadline(time.Now().Add(20 * refusedBodyTime))
+	_ = conn.SetReadDeadline(time.Now().Add(20 * refusedBodyTimeout))
 	got, err := io.ReadAll(conn)
 	if err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 404 ") {
 		t.Errorf("got %q, %v", got, err)
