--- a/internal/event/directory.go
+++ b/internal/event/directory.go
@@ -2,40 +2,40 @@
 
 import "github.com/rs/zerolog"
 
-// Events of the directory: the source of workers and configuration.
+// Events of the directory, the source of workers and configuration.
 var (
-	DirectoryUnreachable = define(620, zerolog.WarnLevel, "directory does not answer",
-		"Reading the directory failed; the node goes on with what it knows. The detail is the age of the last answer.",
-		"Look after the directory when other nodes report it too; otherwise after this instance's network.")
-	DirectoryRecovered = define(621, zerolog.InfoLevel, "directory answers again",
-		"The directory was read after a failure, or for the first time. The detail is how long it was away.", "none")
+	DirectoryUnreachable = define(620, zerolog.WarnLevel, "directory unreachable",
+		"A read of the directory failed; the node continues with what it knows. The detail is the age of the last successful read.",
+		"Check the directory if other nodes report this too; otherwise check this instance's network.")
+	DirectoryRecovered = define(621, zerolog.InfoLevel, "directory reachable again",
+		"The directory was read after a failure, or for the first time. The detail is how long it was unreachable.", "none")
 	WorkerListed = define(622, zerolog.InfoLevel, "worker listed",
-		"The directory names a new life of a worker, or a new state of one. The subject is the worker, the detail its instance, service and state.", "none")
+		"The directory lists a new incarnation of a worker, or a new state of one. The subject is the worker, the detail its instance, service and state.", "none")
 	WorkerUnlisted = define(623, zerolog.InfoLevel, "worker no longer listed",
-		"The directory has removed a worker; no new work goes to it. The subject is the worker, the detail its instance and how long the removal was held back.", "none")
+		"The directory has removed a worker; no new work is sent to it. The subject is the worker, the detail its instance and by how much the removal was delayed.", "none")
 	WorkerMissing = define(624, zerolog.WarnLevel, "worker missing after an outage",
-		"The directory lacks a worker that it listed before it was away. The worker is used until the time in which living workers list themselves again has passed.", "none")
+		"The directory no longer contains a worker that it listed before it was unreachable. The worker is used until the time in which running workers list themselves again has passed.", "none")
 	ConfigInForce = define(625, zerolog.InfoLevel, "configuration in force",
-		"A newer configuration of the directory replaced the one before. The subject is its version, the detail who told it and how old the view was.", "none")
+		"A newer configuration from the directory replaced the previous one. The subject is its version, the detail where it came from and how old the view was.", "none")
 	ConfigOlder = define(626, zerolog.WarnLevel, "older configuration ignored",
-		"The directory told an older configuration than the one in force. The subject is its version, the detail the one in force.",
+		"The directory served an older configuration than the one in force. The subject is its version, the detail the one in force.",
 		"Find out whether an old copy of the directory was restored.")
-	DirectoryItemRefused = define(627, zerolog.ErrorLevel, "directory's item refused",
-		"An item of the directory could not be decoded: it has fields missing or of another type, an unknown state, or unreadable bytes. A worker's entry of that kind names no worker to use, also where it replaces a sound one; an older configuration stays in force. Logged once for each change. The subject is its key.",
+	DirectoryItemRefused = define(627, zerolog.ErrorLevel, "directory item refused",
+		"An item of the directory could not be decoded: a field is missing or has the wrong type, a state is unknown, or the bytes are unreadable. Such an entry of a worker makes the worker unusable, even where it replaces a valid one; for a configuration the previous one stays in force. Logged once for each change. The subject is the item's key.",
 		"Find out who wrote the item and in which version of the format.")
 	ConfigRefused = define(631, zerolog.ErrorLevel, "configuration refused",
-		"The directory's newest configuration cannot be decoded by this node; the one before it stays in force. The subject is its revision, the detail who told it.",
-		"Find out what the error names, and write a configuration without it. Where other nodes have it in force (625), this one runs an older program.")
-	DirectoryViewStale = define(628, zerolog.WarnLevel, "view of the directory is late",
-		"What this node knows of the directory was confirmed, by its own reading or a peer's, longer ago than a change may take to be in force. The subject says why: reading-fails, reading-slow, waits-for-peers, or configuration-refused (631).",
-		"reading-fails: look after the directory, or this instance's way to it. Otherwise: compare the detail with other nodes' 628 and 630.")
-	DirectoryViewFresh = define(629, zerolog.InfoLevel, "view of the directory is in time again",
-		"After event 628. The detail is for how long nothing had confirmed it.", "none")
+		"This node cannot decode the directory's newest configuration; the previous one stays in force. The subject is its revision, the detail where it came from.",
+		"Find out what the error names, and write a configuration without it. If other nodes have it in force (625), this one runs an older program.")
+	DirectoryViewStale = define(628, zerolog.WarnLevel, "view of the directory is stale",
+		"This node's view of the directory was last confirmed, by its own read or a peer's, longer ago than a change may take to come into force. The subject is the reason: reading-fails, reading-slow, waits-for-peers, or configuration-refused (631).",
+		"reading-fails: check the directory, or this instance's connection to it. Otherwise: compare the detail with other nodes' 628 and 630.")
+	DirectoryViewFresh = define(629, zerolog.InfoLevel, "view of the directory is current again",
+		"Follows event 628. The detail is for how long nothing had confirmed the view.", "none")
 	DataCentreEvacuated = define(632, zerolog.WarnLevel, "data centre evacuated",
-		"The directory says that nothing is to be sent to the workers of a data centre. Requests go to others; what waits for its workers is handed on; where a service has no other it is refused at once, not run. The subject is the data centre, the detail the directory's revision and who told it.",
-		"None where it was asked for. Otherwise find out who wrote that revision.")
-	DataCentreRestored = define(633, zerolog.InfoLevel, "data centre taken back",
-		"An evacuation has ended. Traffic returns as the workers there bear it. The subject is the data centre, the detail the directory's revision and who told it.", "none")
-	DirectoryReading = define(630, zerolog.InfoLevel, "directory is read",
-		"This node reads the directory itself. The subject says why: start (nothing is known yet), turn (nothing fresh was heard and its turn has come), behind (a newer revision was heard of and no peer tells it). The detail is what that rests on.", "none")
+		"The directory states that a data centre is evacuated: no requests are sent to its workers. Requests go to other data centres; those queued for its workers are passed on; a request of a service without workers elsewhere is refused at once, not run. The subject is the data centre, the detail the directory's revision and where it came from.",
+		"None if it was intended. Otherwise find out who wrote that revision.")
+	DataCentreRestored = define(633, zerolog.InfoLevel, "data centre in use again",
+		"An evacuation has ended. Traffic returns at the rate that the workers there can take. The subject is the data centre, the detail the directory's revision and where it came from.", "none")
+	DirectoryReading = define(630, zerolog.InfoLevel, "reading the directory",
+		"This node reads the directory itself. The subject is the reason: start (nothing is known yet), turn (no recent update was received and it is this node's turn), behind (a newer revision was announced and no peer has sent it). The detail is what the reason is based on.", "none")
 )
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,6 +1,6 @@
-// Package event numbers the events that the programs log. Each event has one
-// entry in the catalogue, with its cause and what an operator does;
-// docs/EVENTS.md is written from it and a test fails when the two differ.
+// Package event defines the numbered events that the programs log. Each has an entry in
+// the catalogue with its cause and the operator's action. docs/EVENTS.md is generated
+// from the catalogue, and a test fails if the two differ.
 package event
 
 import (
@@ -10,26 +10,27 @@
 	"github.com/rs/zerolog"
 )
 
-// ID numbers an event; numbers are never reused. Hundreds are areas:
-// 1xx process, 2xx bundle and spread, 3xx membership, 4xx requests,
-// 5xx owner and worker, 6xx links and platform.
+// ID is the number of an event; numbers are never reused. Ranges of a hundred are areas:
+// 1xx process, 2xx bundles and their distribution, 3xx membership, 4xx requests, 5xx
+// owner and worker, 6xx links, platform and directory.
 type ID uint16
 
-// Entry is the catalogue's text of an event.
+// Entry is the catalogue's entry of an event.
 type Entry struct {
 	ID    ID
 	Level zerolog.Level
-	// Name is a short constant text, the log line's message.
+	// Name is the message of the log line.
 	Name string
-	// Cause says what happened.
+	// Cause describes what happened.
 	Cause string
-	// Action says what an operator does; "none" is allowed.
+	// Action describes what an operator does about it; "none" is allowed.
 	Action string
 }
 
 var catalogue = map[ID]Entry{}
 
-// define adds an entry to the catalogue; used in this package's variables only.
+// define adds an entry to the catalogue. It is called only in variable declarations of
+// this package and panics on a duplicate number.
 func define(id ID, level zerolog.Level, name, cause, action string) ID {
 	if _, taken := catalogue[id]; taken {
 		panic(fmt.Sprintf("event: %d defined twice", id))
@@ -38,7 +39,7 @@
 	return id
 }
 
-// Catalogue returns all entries in the order of their numbers.
+// Catalogue returns all entries, ordered by number.
 func Catalogue() []Entry {
 	out := make([]Entry, 0, len(catalogue))
 	for _, e := range catalogue {
@@ -48,8 +49,8 @@
 	return out
 }
 
-// Log starts the log line of event id on logger at the catalogue's level. The
-// caller adds fields and must call Send.
+// Log begins a log line for event id at the catalogue's level. The caller adds fields and
+// must call Send.
 func Log(logger *zerolog.Logger, id ID) *Line {
 	e := catalogue[id]
 	return &Line{zl: logger.WithLevel(e.Level).Uint16("event", uint16(id)), name: e.Name}
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -16,7 +16,7 @@
 
 var update = flag.Bool("update", false, "write docs/EVENTS.md from the catalogue")
 
-func TestThePageHoldsTheCatalogue(t *testing.T) {
+func TestEventsPageMatchesCatalogue(t *testing.T) {
 	page := filepath.Join("..", "..", "docs", "EVENTS.md")
 	want := event.Markdown()
 	if *update {
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestEveryEntryIsWhole(t *testing.T) {
+func TestEveryEntryIsComplete(t *testing.T) {
 	for _, e := range event.Catalogue() {
 		if e.Name == "" || e.Cause == "" || e.Action == "" {
 			t.Errorf("event %d: name %q, cause %q, action %q", e.ID, e.Name, e.Cause, e.Action)
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestALineCarriesItsNumberAndFields(t *testing.T) {
+func TestLineHasNumberAndFields(t *testing.T) {
 	var out bytes.Buffer
 	logger := zerolog.New(&out)
 	event.Log(&logger, event.Paused).Int("milliseconds", 1500).Str("where", "loop").Send()
--- a/internal/event/markdown.go
+++ b/internal/event/markdown.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Markdown returns the catalogue as docs/EVENTS.md holds it.
+// Markdown returns the catalogue as the text of docs/EVENTS.md.
 func Markdown() string {
 	var b strings.Builder
 	b.WriteString("# Events\n\n")
