--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -1,14 +1,14 @@
-// Package answer makes and checks the bodies that the stand-in worker answers
-// with. A body says which request it answers and carries a checksum, so that a
-// caller can tell a cut answer, an altered one, and another request's.
+// Package answer makes and checks the response bodies of the stand-in worker. A body
+// identifies the request that it responds to and has a checksum, so that a caller can
+// detect a truncated body, an altered one, and one of another request.
 //
-// A body is one line, filler, and a trailer of fixed length:
+// A body consists of one line, filler, and a trailer of fixed length:
 //
 //	gypsum-answer 1 <size> <body hash> <quoted id> <quoted target>\n
 //	<filler>
 //	sum <16 hex digits>\n
 //
-// The size counts all bytes of the answer; the sum is the xxHash64 of all bytes
+// The size counts all bytes of the response body; the sum is the xxHash64 of all bytes
 // before the trailer.
 package answer
 
@@ -23,19 +23,19 @@
 	"gypsumstand/internal/model"
 )
 
-// Errors of Check, for errors.Is. A fault is told by the first that fits.
+// Errors of Check, for errors.Is. Check returns the first one that applies.
 var (
 	// ErrTruncated: the body ends before its declared size.
-	ErrTruncated = errors.New("answer is cut short")
-	// ErrMalformed: the body is not of this format at all.
-	ErrMalformed = errors.New("answer is malformed")
-	// ErrAltered: the checksum does not fit.
-	ErrAltered = errors.New("answer is altered")
-	// ErrMismatch: the body answers another request.
-	ErrMismatch = errors.New("answer belongs to another request")
+	ErrTruncated = errors.New("response body is truncated")
+	// ErrMalformed: the body does not have this format.
+	ErrMalformed = errors.New("response body is malformed")
+	// ErrAltered: the checksum does not match.
+	ErrAltered = errors.New("response body is altered")
+	// ErrMismatch: the body belongs to another request.
+	ErrMismatch = errors.New("response body belongs to another request")
 )
 
-// MaxBytes bounds an answer.
+// MaxBytes bounds the size of a response body.
 const MaxBytes = 64 << 20
 
 const (
@@ -44,25 +44,25 @@
 	lineFormat = magic + "%d %016x %q %q\n"
 )
 
-// filler is what the space between line and trailer is filled with.
+// filler is repeated to fill the space between the line and the trailer.
 const filler = "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ-\n"
 
-// Request is what an answer says of the request that it answers.
+// Request holds the properties of a request that its response body repeats.
 type Request struct {
-	// ID is the request's id as the worker got it; empty when it got none.
+	// ID is the request's id as the worker received it; empty if there was none.
 	ID model.RequestID
-	// Target is the path with its query. A caller that wants answers to requests
-	// without an id checked makes it unique.
+	// Target is the path with its query. It must be unique for responses to requests
+	// without an id to be told apart.
 	Target string
 	// BodyHash is the Hash of the request's body.
 	BodyHash uint64
 }
 
-// Hash returns the hash of a request's body that Request.BodyHash wants.
+// Hash returns the hash of a request's body for Request.BodyHash.
 func Hash(body []byte) uint64 { return xxhash.Sum64(body) }
 
-// Make returns the answer to r. It is of size bytes, or longer when the line and
-// the trailer need more; size is bounded by MaxBytes.
+// Make returns the response body for r. It has size bytes, at most MaxBytes, or more if
+// the line and the trailer need them.
 func Make(r Request, size int) []byte {
 	size = min(size, MaxBytes)
 	shortest := len(line(r, size)) + trailerLen
@@ -85,12 +85,12 @@
 
 func trailer(before []byte) string { return fmt.Sprintf("sum %016x\n", xxhash.Sum64(before)) }
 
-// Check returns nil when body is a whole answer to want, else one of the errors
-// above. An empty want.ID is not compared.
+// Check returns nil if body is a complete response to want, else one of the errors above.
+// An empty want.ID is not compared.
 func Check(body []byte, want Request) error {
 	end := bytes.IndexByte(body, '\n')
 	if end < 0 {
-		return withoutLine(body)
+		return checkPrefix(body)
 	}
 	got, size, err := parseLine(body[:end])
 	if err != nil {
@@ -100,7 +100,7 @@
 		return fmt.Errorf("%w: %d of %d bytes", ErrTruncated, len(body), size)
 	}
 	if len(body) > size || size < end+1+trailerLen {
-		return fmt.Errorf("%w: %d bytes, the line says %d", ErrMalformed, len(body), size)
+		return fmt.Errorf("%w: %d bytes, the line declares %d", ErrMalformed, len(body), size)
 	}
 	split := size - trailerLen
 	if string(body[split:]) != trailer(body[:split]) {
@@ -109,11 +109,11 @@
 	return compare(got, want)
 }
 
-// withoutLine tells a start of an answer from something else.
-func withoutLine(body []byte) error {
+// checkPrefix distinguishes the start of a truncated response body from other data.
+func checkPrefix(body []byte) error {
 	n := min(len(body), len(magic))
 	if string(body[:n]) == magic[:n] {
-		return fmt.Errorf("%w: %d bytes, no whole line", ErrTruncated, len(body))
+		return fmt.Errorf("%w: %d bytes, first line incomplete", ErrTruncated, len(body))
 	}
 	return ErrMalformed
 }
@@ -133,13 +133,13 @@
 
 func compare(got, want Request) error {
 	if want.ID != "" && got.ID != want.ID {
-		return fmt.Errorf("%w: of id %q, want %q", ErrMismatch, got.ID, want.ID)
+		return fmt.Errorf("%w: id %q, want %q", ErrMismatch, got.ID, want.ID)
 	}
 	if got.Target != want.Target {
-		return fmt.Errorf("%w: to %q, want %q", ErrMismatch, got.Target, want.Target)
+		return fmt.Errorf("%w: target %q, want %q", ErrMismatch, got.Target, want.Target)
 	}
 	if got.BodyHash != want.BodyHash {
-		return fmt.Errorf("%w: to a body of hash %016x, want %016x", ErrMismatch, got.BodyHash, want.BodyHash)
+		return fmt.Errorf("%w: body hash %016x, want %016x", ErrMismatch, got.BodyHash, want.BodyHash)
 	}
 	return nil
 }
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestWholeOwnAnswerPasses(t *testing.T) {
+func TestCompleteResponsePasses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := drawRequest(t, "r")
 		size := rapid.IntRange(0, 5000).Draw(t, "size")
@@ -27,22 +27,22 @@
 			t.Fatalf("%d bytes, want at least %d", len(body), size)
 		}
 		if err := Check(body, r); err != nil {
-			t.Fatalf("whole answer: %v", err)
+			t.Fatalf("complete response body: %v", err)
 		}
 	})
 }
 
-func TestEveryCutIsFound(t *testing.T) {
+func TestEveryTruncationIsDetected(t *testing.T) {
 	r := Request{ID: "id-1", Target: "/vouchers?n=1", BodyHash: 7}
 	body := Make(r, 300)
 	for n := range body {
 		if err := Check(body[:n], r); !errors.Is(err, ErrTruncated) {
-			t.Fatalf("cut at %d: %v, want ErrCut", n, err)
+			t.Fatalf("cut at %d: %v, want ErrTruncated", n, err)
 		}
 	}
 }
 
-func TestEveryAlteredByteIsFound(t *testing.T) {
+func TestEveryAlteredByteIsDetected(t *testing.T) {
 	r := Request{ID: "id-1", Target: "/vouchers?n=1", BodyHash: 7}
 	body := Make(r, 300)
 	for i := range body {
@@ -54,13 +54,13 @@
 	}
 }
 
-func TestAnswerOfAnotherRequestIsFound(t *testing.T) {
+func TestResponseToAnotherRequestIsDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawRequest(t, "a"), drawRequest(t, "b")
 		err := Check(Make(a, 100), b)
 		same := a == b || b.ID == "" && a.Target == b.Target && a.BodyHash == b.BodyHash
 		if !same && !errors.Is(err, ErrMismatch) {
-			t.Fatalf("other's answer: %v, want ErrOther", err)
+			t.Fatalf("body of another request: %v, want ErrMismatch", err)
 		}
 	})
 }
