--- a/internal/node/accept_test.go
+++ b/internal/node/accept_test.go
@@ -11,10 +11,11 @@
 	"testing"
 )
 
-// errNoMore is the end of a failingListener.
+// errNoMore ends a failingListener.
 var errNoMore = errors.New("no more connections")
 
-// failingListener fails with errno at the first Accept, and for good at the second.
+// failingListener fails with errno at the first Accept and with errNoMore at all later
+// ones.
 type failingListener struct {
 	errno  syscall.Errno
 	failed bool
@@ -31,36 +32,36 @@
 func (l *failingListener) Close() error   { return nil }
 func (l *failingListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// goesOn tells whether a server tries again after the first error of l.
-func goesOn(l net.Listener) bool {
+// retries reports whether a server continues after the first error of l.
+func retries(l net.Listener) bool {
 	s := &http.Server{ErrorLog: log.New(io.Discard, "", 0)}
 	return errors.Is(s.Serve(l), errNoMore)
 }
 
-// A server ended, and its node with it, by an error of one connection: accept(2) of Linux
-// passes those on.
-func TestAnErrorOfOneConnectionEndsNoPort(t *testing.T) {
-	for _, errno := range passing {
-		if goesOn(&failingListener{errno: errno}) {
-			t.Errorf("%v: net/http tries again by itself", errno)
+// An error of a single connection ended the server, and with it the node: accept(2) of
+// Linux passes such errors on.
+func TestConnectionErrorDoesNotEndServer(t *testing.T) {
+	for _, errno := range transientErrors {
+		if retries(&failingListener{errno: errno}) {
+			t.Errorf("%v: net/http retries by itself", errno)
 		}
-		if !goesOn(patientListener{&failingListener{errno: errno}}) {
-			t.Errorf("%v ends the port", errno)
+		if !retries(retryingListener{&failingListener{errno: errno}}) {
+			t.Errorf("%v ends the server", errno)
 		}
 	}
 	for _, errno := range []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.EINTR, syscall.EAGAIN, syscall.ETIMEDOUT,
 	} {
-		if !goesOn(patientListener{&failingListener{errno: errno}}) {
-			t.Errorf("%v ends the port", errno)
+		if !retries(retryingListener{&failingListener{errno: errno}}) {
+			t.Errorf("%v ends the server", errno)
 		}
 	}
 }
 
-func TestAnErrorOfTheListenerEndsThePort(t *testing.T) {
+func TestListenerErrorEndsServer(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT} {
-		if goesOn(patientListener{&failingListener{errno: errno}}) {
-			t.Errorf("%v is tried again", errno)
+		if retries(retryingListener{&failingListener{errno: errno}}) {
+			t.Errorf("%v is retried", errno)
 		}
 	}
 }
--- a/internal/node/callerconns.go
+++ b/internal/node/callerconns.go
@@ -14,37 +14,39 @@
 	"gypsumstand/internal/event"
 )
 
-// callerBounds bounds how long callers' connections may be idle, or slow with a request's
-// header, by the bundle in force. net/http's own bounds are fixed when a server starts.
-type callerBounds struct {
-	// inForce returns the bounds; zero fields mean the defaults.
-	inForce func() bundle.Callers
-	// log takes a line for each connection that a bound ends.
+// callerTimeouts limits how long callers' connections may be idle, or take to send a
+// request's header, according to the bundle in force. net/http's own limits are fixed
+// when a server starts.
+type callerTimeouts struct {
+	// current returns the limits in force; zero fields mean the defaults.
+	current func() bundle.Callers
+	// log receives a line for each connection that is closed by a timeout.
 	log *zerolog.Logger
 }
 
-// bound names what a connection waits for, and so which bound runs.
-type bound string
+// timeoutKind is what a connection waits for, which determines the timeout that runs.
+type timeoutKind string
 
 const (
-	// noBound: a request is in hand, and nothing but its answer ends the connection.
-	noBound bound = ""
-	// idleBound: the next request has not begun.
-	idleBound bound = "idle"
-	// headerBound: a request's header is not complete; it is the first one's state too.
-	headerBound bound = "header"
+	// noTimeout: a request is in flight, and only its response can end the connection.
+	noTimeout timeoutKind = ""
+	// idleTimeout: the next request has not begun.
+	idleTimeout timeoutKind = "idle"
+	// headerTimeout: a request's header is incomplete. A new connection starts in this
+	// state.
+	headerTimeout timeoutKind = "header"
 )
 
-// of returns how long b lasts.
-func (c *callerBounds) of(b bound) time.Duration {
-	in := c.inForce()
-	if b == idleBound {
+// duration returns the length of the timeout k.
+func (c *callerTimeouts) duration(k timeoutKind) time.Duration {
+	in := c.current()
+	if k == idleTimeout {
 		return orDefault(in.IdleTimeout(), DefaultIdleTimeout)
 	}
 	return orDefault(in.HeaderTimeout(), readHeaderTimeout)
 }
 
-// orDefault returns d, or otherwise where d is not set.
+// orDefault returns d, or otherwise if d is not set.
 func orDefault(d, otherwise time.Duration) time.Duration {
 	if d <= 0 {
 		return otherwise
@@ -52,24 +54,24 @@
 	return d
 }
 
-// state is the caller server's ConnState.
-func (c *callerBounds) state(conn net.Conn, s http.ConnState) {
+// state is the ConnState hook of the caller port's server.
+func (c *callerTimeouts) state(conn net.Conn, s http.ConnState) {
 	caller, ok := conn.(*callerConn)
 	if !ok {
 		return
 	}
 	switch s {
 	case http.StateActive:
-		caller.begin(noBound)
+		caller.start(noTimeout)
 	case http.StateIdle:
-		caller.begin(idleBound)
+		caller.start(idleTimeout)
 	}
 }
 
-// callerListener accepts callers' connections under bounds.
+// callerListener accepts callers' connections and applies the timeouts to them.
 type callerListener struct {
 	net.Listener
-	bounds *callerBounds
+	timeouts *callerTimeouts
 }
 
 // Accept implements net.Listener.
@@ -78,79 +80,79 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &callerConn{Conn: conn, bounds: l.bounds}
-	c.begin(headerBound)
+	c := &callerConn{Conn: conn, timeouts: l.timeouts}
+	c.start(headerTimeout)
 	return c, nil
 }
 
-// callerConn is a caller's connection. Its bounds are found to have ended by the goroutine
-// that reads it, and by nobody else: it has then got no request, so none can be under way
-// whose answer would have nowhere to go. With a timer beside it up to 40 of 400 requests ran
-// and were not answered when a node stood still for half a second over the end of an idle
-// bound; so none does.
+// callerConn is a caller's connection. Only the goroutine that reads it detects that a
+// timeout has expired: no request has been read then, so none can be in flight whose
+// response could not be delivered. With a separate timer, up to 40 of 400 requests were
+// run but got no response when a node was suspended for half a second across the end of
+// an idle timeout.
 type callerConn struct {
 	net.Conn
-	bounds *callerBounds
+	timeouts *callerTimeouts
 
 	mu      sync.Mutex
-	running bound
-	// since is when the running bound began.
+	running timeoutKind
+	// since is when the running timeout started.
 	since time.Time
-	// lookUntil is the end of the running bound's last look, zero before it.
-	lookUntil time.Time
+	// graceUntil is the end of the grace period of the running timeout, zero before it.
+	graceUntil time.Time
 }
 
-// lastLook is how long a connection is still read when its bound has ended. A process
-// that got no turn finds the bound ended and a request in the socket; one that was sent in
-// time may still be on its way between two regions (70 ms).
-const lastLook = 100 * time.Millisecond
+// readGrace is how long a connection is still read after its timeout has expired. A
+// process that was not scheduled finds the timeout expired and a request in the socket; a
+// request that was sent in time may still be on its way between two regions (70 ms).
+const readGrace = 100 * time.Millisecond
 
-// begin begins a bound, or none.
-func (c *callerConn) begin(b bound) {
+// start starts a timeout, or none.
+func (c *callerConn) start(k timeoutKind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.running, c.since, c.lookUntil = b, time.Now(), time.Time{}
+	c.running, c.since, c.graceUntil = k, time.Now(), time.Time{}
 }
 
-func (c *callerConn) waiting() (bound, time.Time) {
+func (c *callerConn) waiting() (timeoutKind, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.running, c.since
 }
 
-// look returns the end of the last look, which begins at the first call after the bound: a
-// caller that sends a header byte by byte gets one only.
-func (c *callerConn) look() time.Time {
+// graceEnd returns the end of the grace period, which starts at the first call after the
+// timeout expired. A caller that sends a header byte by byte gets only one grace period.
+func (c *callerConn) graceEnd() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.lookUntil.IsZero() {
-		c.lookUntil = time.Now().Add(lastLook)
+	if c.graceUntil.IsZero() {
+		c.graceUntil = time.Now().Add(readGrace)
 	}
-	return c.lookUntil
+	return c.graceUntil
 }
 
-// Read implements net.Conn. It returns os.ErrDeadlineExceeded where a bound has ended. A
-// bound that is raised lasts longer also for connections that wait; a lower one holds from
-// their next wait on.
+// Read implements net.Conn. It returns os.ErrDeadlineExceeded if a timeout has expired. A
+// raised limit also applies to connections that are already waiting; a lowered one
+// applies from their next wait on.
 func (c *callerConn) Read(p []byte) (int, error) {
 	for {
 		running, since := c.waiting()
-		if running == noBound {
+		if running == noTimeout {
 			return c.Conn.Read(p)
 		}
-		n, err := c.readUntil(p, since.Add(c.bounds.of(running)))
-		if errors.Is(err, os.ErrDeadlineExceeded) && time.Since(since) < c.bounds.of(running) {
-			// The bound was raised meanwhile.
+		n, err := c.readUntil(p, since.Add(c.timeouts.duration(running)))
+		if errors.Is(err, os.ErrDeadlineExceeded) && time.Since(since) < c.timeouts.duration(running) {
+			// The limit was raised meanwhile.
 			continue
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			n, err = c.readUntil(p, c.look())
+			n, err = c.readUntil(p, c.graceEnd())
 		}
 		switch {
-		case n > 0 && running == idleBound:
-			c.begin(headerBound)
+		case n > 0 && running == idleTimeout:
+			c.start(headerTimeout)
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			c.end(running, since)
+			c.closeTimedOut(running, since)
 		}
 		return n, err
 	}
@@ -158,19 +160,19 @@
 
 // readUntil reads until t at the latest.
 func (c *callerConn) readUntil(p []byte, t time.Time) (int, error) {
-	// A connection that is closed refuses deadlines, and reading it tells so.
+	// A closed connection refuses deadlines; the read then returns the error.
 	_ = c.Conn.SetReadDeadline(t)
 	n, err := c.Conn.Read(p)
 	_ = c.Conn.SetReadDeadline(time.Time{})
 	return n, err
 }
 
-// end closes the connection: of a header's line that is cut short net/http would say that
-// it is malformed, and callers don't come again after that.
-func (c *callerConn) end(b bound, since time.Time) {
-	event.Log(c.bounds.log, event.CallerConnectionTimedOut).
-		Str("from", c.RemoteAddr().String()).Str("bound", string(b)).
-		Int("bound_ms", c.bounds.of(b).Milliseconds()).Int("ran_ms", time.Since(since).Milliseconds()).Send()
-	// The other side may have closed it already.
+// closeTimedOut closes the connection. Otherwise net/http would respond to a partial
+// header line that it is malformed, and callers don't retry after that.
+func (c *callerConn) closeTimedOut(k timeoutKind, since time.Time) {
+	event.Log(c.timeouts.log, event.CallerConnectionTimedOut).
+		Str("from", c.RemoteAddr().String()).Str("bound", string(k)).
+		Int("bound_ms", c.timeouts.duration(k).Milliseconds()).Int("ran_ms", time.Since(since).Milliseconds()).Send()
+	// The caller may have closed it already.
 	_ = c.Conn.Close()
 }
--- a/internal/node/callerconns_test.go
+++ b/internal/node/callerconns_test.go
@@ -13,31 +13,32 @@
 	"gypsumstand/internal/bundle"
 )
 
-// silent takes no lines.
+// silent discards log lines.
 var silent = zerolog.Nop()
 
-// boundsOf returns bounds that stay in force.
-func boundsOf(b bundle.Callers) *callerBounds {
-	return &callerBounds{inForce: func() bundle.Callers { return b }, log: &silent}
+// fixedTimeouts returns timeouts that do not change.
+func fixedTimeouts(b bundle.Callers) *callerTimeouts {
+	return &callerTimeouts{current: func() bundle.Callers { return b }, log: &silent}
 }
 
-// boundServer serves 200 to everybody under the given bounds, on a port.
-func boundServer(t *testing.T, b bundle.Callers, handle http.HandlerFunc) *httptest.Server {
+// timeoutServer listens on a port, applies the given timeouts and responds 200 to every
+// request.
+func timeoutServer(t *testing.T, b bundle.Callers, handle http.HandlerFunc) *httptest.Server {
 	t.Helper()
-	bounds := boundsOf(b)
+	timeouts := fixedTimeouts(b)
 	s := httptest.NewUnstartedServer(handle)
-	s.Config.ConnState = bounds.state
-	s.Listener = callerListener{s.Listener, bounds}
+	s.Config.ConnState = timeouts.state
+	s.Listener = callerListener{s.Listener, timeouts}
 	s.Start()
 	t.Cleanup(s.Close)
 	return s
 }
 
-// ignore takes a request without a word.
+// ignore handles a request without a response body.
 func ignore(http.ResponseWriter, *http.Request) {}
 
-// closedBy waits until the other side closes conn.
-func closedBy(t *testing.T, conn net.Conn) {
+// expectClosed waits until the other side closes conn.
+func expectClosed(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		t.Fatal(err)
@@ -47,18 +48,18 @@
 	}
 }
 
-func TestConnectionsEndByTheBoundsInForce(t *testing.T) {
+func TestConnectionsCloseAfterTimeouts(t *testing.T) {
 	long := int64(time.Hour / time.Millisecond)
 	for name, tt := range map[string]struct {
-		bounds bundle.Callers
+		limits bundle.Callers
 		send   string
 	}{
-		"idle after an answer":  {bundle.Callers{IdleTimeoutMs: 100, HeaderTimeoutMs: long}, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"},
-		"slow with a header":    {bundle.Callers{IdleTimeoutMs: long, HeaderTimeoutMs: 100}, "GET / HTTP/1.1\r\nHost:"},
+		"idle after a response": {bundle.Callers{IdleTimeoutMs: 100, HeaderTimeoutMs: long}, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"},
+		"slow header":           {bundle.Callers{IdleTimeoutMs: long, HeaderTimeoutMs: 100}, "GET / HTTP/1.1\r\nHost:"},
 		"silent from the start": {bundle.Callers{IdleTimeoutMs: long, HeaderTimeoutMs: 100}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := boundServer(t, tt.bounds, ignore)
+			s := timeoutServer(t, tt.limits, ignore)
 			conn, err := net.Dial("tcp", s.Listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
@@ -67,13 +68,13 @@
 			if _, err := io.WriteString(conn, tt.send); err != nil {
 				t.Fatal(err)
 			}
-			closedBy(t, conn)
+			expectClosed(t, conn)
 		})
 	}
 }
 
-func TestARequestUnderWayIsNotBoundByItsHeadersTime(t *testing.T) {
-	s := boundServer(t, bundle.Callers{IdleTimeoutMs: 10_000, HeaderTimeoutMs: 100}, func(w http.ResponseWriter, r *http.Request) {
+func TestRequestInFlightOutlastsHeaderTimeout(t *testing.T) {
+	s := timeoutServer(t, bundle.Callers{IdleTimeoutMs: 10_000, HeaderTimeoutMs: 100}, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(300 * time.Millisecond)
 		_, _ = io.WriteString(w, "whole")
 	})
--- a/internal/node/callfilter.go
+++ b/internal/node/callfilter.go
@@ -7,67 +7,67 @@
 	"gypsumstand/internal/model"
 )
 
-// callFilter passes on what calls show: newer bundle versions that rode on
-// them, owners that gave no answer, and those that peers cannot connect to; each once a
-// tick.
+// callFilter limits the observations of calls that are passed to the core: newer bundle
+// versions in messages, owners that did not reply, and owners that peers cannot connect
+// to. Each is passed on once per tick.
 type callFilter struct {
-	mu         sync.Mutex
-	sent       map[model.BundleVersion]bool
-	unanswered map[model.InstanceID]bool
-	lost       map[model.InstanceID]bool
-	// marked is the newest mark of a directory that was passed on in this tick.
-	marked model.DirectoryFreshness
+	mu          sync.Mutex
+	versions    map[model.BundleVersion]bool
+	unanswered  map[model.InstanceID]bool
+	unreachable map[model.InstanceID]bool
+	// freshest is the newest directory freshness that was passed on in this tick.
+	freshest model.DirectoryFreshness
 }
 
-// newMark reports whether no mark as new as m has been passed on since the last
-// tick.
-func (f *callFilter) newMark(m model.DirectoryFreshness) bool {
+// firstFreshness reports whether no freshness at least as new as m has been passed on
+// since the last tick.
+func (f *callFilter) firstFreshness(m model.DirectoryFreshness) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !m.IsNewerThan(f.marked) {
+	if !m.IsNewerThan(f.freshest) {
 		return false
 	}
-	f.marked = m
+	f.freshest = m
 	return true
 }
 
-// first reports whether v has not been passed on since the last tick.
-func (f *callFilter) first(v model.BundleVersion) bool {
+// firstVersion reports whether v has not been passed on since the last tick.
+func (f *callFilter) firstVersion(v model.BundleVersion) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return firstOf(&f.sent, v)
+	return firstOf(&f.versions, v)
 }
 
-// reset forgets at each tick what was passed on.
+// reset clears the filter at each tick.
 func (f *callFilter) reset(ev control.Event) {
 	if _, tick := ev.(control.Tick); !tick {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	clear(f.sent)
+	clear(f.versions)
 	clear(f.unanswered)
-	clear(f.lost)
-	f.marked = model.DirectoryFreshness{}
+	clear(f.unreachable)
+	f.freshest = model.DirectoryFreshness{}
 }
 
 // firstUnanswered reports whether id has not been passed on since the last tick as an
-// owner that gave no answer.
+// owner that did not reply.
 func (f *callFilter) firstUnanswered(id model.InstanceID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return firstOf(&f.unanswered, id)
 }
 
-// firstLost reports whether id has not been passed on since the last tick as an owner
-// that a peer cannot connect to.
-func (f *callFilter) firstLost(id model.InstanceID) bool {
+// firstUnreachable reports whether id has not been passed on since the last tick as an
+// owner that a peer cannot connect to.
+func (f *callFilter) firstUnreachable(id model.InstanceID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return firstOf(&f.lost, id)
+	return firstOf(&f.unreachable, id)
 }
 
-// firstOf adds id to a set and reports whether it was not there.
+// firstOf adds id to a set and reports whether it was absent.
 func firstOf[K comparable](set *map[K]bool, id K) bool {
 	if (*set)[id] {
 		return false
@@ -79,16 +79,16 @@
 	return true
 }
 
-// seen is told each version that rode on a call.
-func (n *Node) seen(from model.InstanceID, v model.BundleVersion) {
+// bundleReported handles each bundle version in a message of a call.
+func (n *Node) bundleReported(from model.InstanceID, v model.BundleVersion) {
 	if v.Name == "" {
 		return
 	}
-	held := n.core.Board.Bundles.Get().Bundle(v.Name)
-	if held != nil && held.Version >= v.Version {
+	current := n.core.Board.Bundles.Get().Bundle(v.Name)
+	if current != nil && current.Version >= v.Version {
 		return
 	}
-	if n.calls.first(v) {
+	if n.calls.firstVersion(v) {
 		n.hint(control.VersionSeen{From: from, Version: v})
 	}
 }
--- a/internal/node/collector.go
+++ b/internal/node/collector.go
@@ -12,8 +12,8 @@
 	"gypsumstand/internal/task"
 )
 
-// collector shows the node's blackboard and counters to Prometheus, read anew at
-// each scrape.
+// collector exports the node's blackboard and counters to Prometheus, read at each
+// scrape.
 type collector struct{ node *Node }
 
 var _ prometheus.Collector = collector{}
@@ -23,37 +23,37 @@
 }
 
 var (
-	descReady      = describe("ready", "1 when the node serves callers.")
-	descBundle     = describe("bundle_version", "Version in force.", "bundle")
-	descInstances  = describe("instances", "Known instances by service and state.", "service", "state")
-	descSourceAge  = describe("source_age_seconds", "Time since the source was last confirmed, by this node or a peer; absent when never.", "source")
-	descReads      = describe("platform_reads_total", "This node's own reads of the platform.", "source")
-	descLag        = describe("directory_lag", "1 for the reason why the view of the directory is late, or in-time.", "reason")
-	descBehind     = describe("directory_revisions_behind", "Revisions of the directory that were heard of and are not known.")
-	descReadings   = describe("directory_readings_total", "This node's own readings of the directory, by cause.", "cause")
-	descLimit      = describe("owner_limit", "Requests that the owner runs at once now.")
-	descInFlight   = describe("owner_in_flight", "Requests at the worker.")
-	descQueued     = describe("owner_queued", "Requests that wait at the owner.")
-	descService    = describe("owner_service_seconds", "Smoothed time of the worker per request.")
-	descFailures   = describe("owner_failure_ratio", "Smoothed share of the worker's answers that failed.")
-	descMeasuring  = describe("measuring_messages_total", "Messages that only measure, by kind: polls and probes of this node's worker, probes sent.", "kind")
-	descBudget     = describe("measuring_budget_per_second", "The bundle's budget for this node's upstream.")
-	descLinks      = describe("links", "Open peer links.")
-	descLinkEvents = describe("link_messages_total", "Messages on control links.", "kind")
-	descLinkBytes  = describe("link_bytes_total", "Bytes on control links.", "direction")
-	descSuspects   = describe("suspect_requests", "Requests under which workers ended, by state: suspect, or put aside.", "state")
-	descEnds       = describe("worker_ends_total", "Ends of this node's own worker, not as planned, with requests in hand.")
-	descUntold     = describe("suspect_tells_failed_total", "Messages about such requests that did not reach a peer.")
-	descRefused    = describe("bundles_refused_total", "Bundles refused, by reason.", "reason")
+	descReady                = describe("ready", "1 when the node serves callers.")
+	descBundle               = describe("bundle_version", "Version in force.", "bundle")
+	descInstances            = describe("instances", "Known instances by service and state.", "service", "state")
+	descSourceAge            = describe("source_age_seconds", "Time since the source was last confirmed, by this node or a peer; absent when never.", "source")
+	descReads                = describe("platform_reads_total", "This node's own reads of the platform.", "source")
+	descViewStatus           = describe("directory_lag", "1 for the reason why the view of the directory is late, or in-time.", "reason")
+	descBehind               = describe("directory_revisions_behind", "Revisions of the directory that were heard of and are not known.")
+	descDirectoryReads       = describe("directory_readings_total", "This node's own readings of the directory, by cause.", "cause")
+	descLimit                = describe("owner_limit", "Requests that the owner runs at once now.")
+	descInFlight             = describe("owner_in_flight", "Requests at the worker.")
+	descQueued               = describe("owner_queued", "Requests that wait at the owner.")
+	descService              = describe("owner_service_seconds", "Smoothed time of the worker per request.")
+	descFailures             = describe("owner_failure_ratio", "Smoothed share of the worker's answers that failed.")
+	descMeasuring            = describe("measuring_messages_total", "Messages that only measure, by kind: polls and probes of this node's worker, probes sent.", "kind")
+	descBudget               = describe("measuring_budget_per_second", "The bundle's budget for this node's upstream.")
+	descLinks                = describe("links", "Open peer links.")
+	descLinkEvents           = describe("link_messages_total", "Messages on control links.", "kind")
+	descLinkBytes            = describe("link_bytes_total", "Bytes on control links.", "direction")
+	descSuspects             = describe("suspect_requests", "Requests under which workers ended, by state: suspect, or put aside.", "state")
+	descCrashes              = describe("worker_ends_total", "Ends of this node's own worker, not as planned, with requests in hand.")
+	descSuspectUpdatesFailed = describe("suspect_tells_failed_total", "Messages about such requests that did not reach a peer.")
+	descRefused              = describe("bundles_refused_total", "Bundles refused, by reason.", "reason")
 )
 
 // Describe implements prometheus.Collector.
 func (c collector) Describe(ch chan<- *prometheus.Desc) { prometheus.DescribeByCollect(c, ch) }
 
-// Collect implements prometheus.Collector. The registry calls it in a goroutine of its own.
+// Collect implements prometheus.Collector. The registry calls it in a separate goroutine.
 func (c collector) Collect(ch chan<- prometheus.Metric) {
 	if err := task.Do(func() { c.collect(ch) }); err != nil {
-		c.node.partFailed(err)
+		c.node.componentFailed(err)
 		ch <- prometheus.NewInvalidMetric(descReady, err)
 	}
 }
@@ -72,8 +72,8 @@
 	counts := c.node.core.Quarantine.Counts()
 	gauge(ch, descSuspects, float64(counts.Suspects-counts.Quarantined), "suspect")
 	gauge(ch, descSuspects, float64(counts.Quarantined), "put-aside")
-	counter(ch, descEnds, counts.Crashes)
-	counter(ch, descUntold, c.node.tellsFailed.Load())
+	counter(ch, descCrashes, counts.Crashes)
+	counter(ch, descSuspectUpdatesFailed, c.node.suspectUpdatesFailed.Load())
 }
 
 func gauge(ch chan<- prometheus.Metric, d *prometheus.Desc, v float64, labels ...string) {
@@ -102,7 +102,7 @@
 	}
 }
 
-// instanceKey groups instances.
+// instanceKey is the key by which instances are counted.
 type instanceKey struct {
 	service model.ServiceName
 	state   model.UpstreamState
@@ -135,16 +135,16 @@
 		return
 	}
 	v := s.Directory
-	for _, lag := range directory.ViewStatuses {
-		is := 0.0
-		if v.Status == lag {
-			is = 1
+	for _, status := range directory.ViewStatuses {
+		value := 0.0
+		if v.Status == status {
+			value = 1
 		}
-		gauge(ch, descLag, is, string(lag))
+		gauge(ch, descViewStatus, value, string(status))
 	}
 	gauge(ch, descBehind, float64(v.NewestSeen-v.Revision))
 	for _, cause := range directory.ReadCauses {
-		counter(ch, descReadings, v.Reads[cause], string(cause))
+		counter(ch, descDirectoryReads, v.Reads[cause], string(cause))
 	}
 }
 
@@ -158,12 +158,12 @@
 }
 
 func (c collector) measuring(ch chan<- prometheus.Metric) {
-	landing, origin := c.node.core.OwnerLimiter.Counts(), c.node.core.EntryLimiter.Counts()
-	counter(ch, descMeasuring, landing.PollsSent, "poll")
-	counter(ch, descMeasuring, landing.PollsDeferred, "poll-deferred")
-	counter(ch, descMeasuring, landing.ProbesAnswered, "probe-taken")
-	counter(ch, descMeasuring, landing.ProbesRefused, "probe-refused")
-	counter(ch, descMeasuring, origin.Sent, "probe-sent")
+	ownerCounts, entryCounts := c.node.core.OwnerLimiter.Counts(), c.node.core.EntryLimiter.Counts()
+	counter(ch, descMeasuring, ownerCounts.PollsSent, "poll")
+	counter(ch, descMeasuring, ownerCounts.PollsDeferred, "poll-deferred")
+	counter(ch, descMeasuring, ownerCounts.ProbesAnswered, "probe-taken")
+	counter(ch, descMeasuring, ownerCounts.ProbesRefused, "probe-refused")
+	counter(ch, descMeasuring, entryCounts.Sent, "probe-sent")
 	if _, b := c.node.core.Board.Bundles.Get().Service(c.node.cfg.Service); b != nil {
 		gauge(ch, descBudget, b.Measuring.PerUpstreamPerSecond)
 	}
--- a/internal/node/collector_test.go
+++ b/internal/node/collector_test.go
@@ -9,10 +9,10 @@
 	"github.com/rs/zerolog"
 )
 
-// The registry collects in goroutines of its own, where a panic ended the process.
-func TestAPanicWhileMetricsAreCollectedFailsTheScrape(t *testing.T) {
+// The registry collects in separate goroutines, where a panic ended the process.
+func TestCollectorPanicFailsScrape(t *testing.T) {
 	var out bytes.Buffer
-	// Without a core there is nothing to collect from.
+	// Without a core, collecting panics.
 	n := &Node{log: zerolog.New(&out)}
 	registry := prometheus.NewRegistry()
 	if err := registry.Register(collector{n}); err != nil {
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// directoryPath is where a node tells peers what changed in the directory after
+	// directoryPath is where a node serves to peers the changes of the directory after
 	// the revision in the query.
 	directoryPath  = "/v1/directory"
 	directoryAfter = "after"
-	// directoryFrom names the instance that asks.
+	// directoryFrom is the instance that sends the request.
 	directoryFrom = "from"
-	// askTimeout bounds a question to a peer; see package directory.
-	askTimeout = 500 * time.Millisecond
+	// peerRequestTimeout bounds a request to a peer; see package directory.
+	peerRequestTimeout = 500 * time.Millisecond
 )
 
 func (n *Node) readDirectory(after uint64) {
@@ -38,9 +38,9 @@
 	n.sink(read)
 }
 
-// askDirectory asks a peer over the connections that calls use.
-func (n *Node) askDirectory(a control.RequestPeerDirectory) {
-	ctx, cancel := context.WithTimeout(n.ctx, askTimeout)
+// requestPeerDirectory requests changes from a peer over the connections that calls use.
+func (n *Node) requestPeerDirectory(a control.RequestPeerDirectory) {
+	ctx, cancel := context.WithTimeout(n.ctx, peerRequestTimeout)
 	defer cancel()
 	query := url.Values{
 		directoryAfter: {strconv.FormatUint(a.After, 10)},
@@ -52,15 +52,15 @@
 		n.sink(control.PeerDirectoryFailed{From: a.Peer.ID, Err: err})
 		return
 	}
-	told, err := n.decodeDirectory(data)
+	received, err := n.decodeDirectory(data)
 	if err != nil {
 		n.sink(control.PeerDirectoryFailed{From: a.Peer.ID, Err: err})
 		return
 	}
-	told.From = a.Peer.ID
-	// The answer may have waited on its way.
-	told.Age += n.elapsed(began)
-	n.sink(told)
+	received.From = a.Peer.ID
+	// The response may have been delayed in the network.
+	received.Age += n.elapsed(began)
+	n.sink(received)
 }
 
 func (n *Node) decodeDirectory(data []byte) (control.PeerDirectoryReceived, error) {
@@ -68,101 +68,102 @@
 	if err != nil {
 		return control.PeerDirectoryReceived{}, err
 	}
-	told := control.PeerDirectoryReceived{
+	received := control.PeerDirectoryReceived{
 		Age:          time.Duration(c.AgeMs) * time.Millisecond,
 		ReadsFailing: c.ReadsFailing,
 		DirectoryRead: control.DirectoryRead{
 			Revision: c.Revision, Full: c.Full, Listed: c.Listed, Unlisted: c.Unlisted, Evacuations: c.Evacuations,
 		},
 	}
-	n.takeConfig(&told.DirectoryRead, c.Config)
-	n.takeConfig(&told.DirectoryRead, c.Refused)
-	return told, nil
+	n.setConfig(&received.DirectoryRead, c.Config)
+	n.setConfig(&received.DirectoryRead, c.Refused)
+	return received, nil
 }
 
-// takeConfig decodes a configuration that a peer told, nil for none. One that cannot be
-// decoded here keeps nothing else of the answer from being taken.
-func (n *Node) takeConfig(told *control.DirectoryRead, raw *model.RawConfig) {
+// setConfig decodes a configuration received from a peer, nil for none. If it cannot be
+// decoded here, the rest of the response is still used.
+func (n *Node) setConfig(read *control.DirectoryRead, raw *model.RawConfig) {
 	if raw == nil {
 		return
 	}
 	b, err := n.decodeConfig(raw)
 	if err != nil {
-		told.Refused, told.RefusedErr = raw, err
+		read.Refused, read.RefusedErr = raw, err
 		return
 	}
-	told.Config, told.Bundle = raw, b
+	read.Config, read.Bundle = raw, b
 }
 
 func (n *Node) decodeConfig(raw *model.RawConfig) (*bundle.Bundle, error) {
 	text, err := packed.Unpack(raw.Packed)
 	if err != nil {
-		return nil, fmt.Errorf("the directory's configuration: %w", err)
+		return nil, fmt.Errorf("directory configuration: %w", err)
 	}
 	return n.cfg.Directory.Configuration(text)
 }
 
-// serveDirectory answers a peer's question.
+// serveDirectory responds to a peer's request for changes.
 func (n *Node) serveDirectory(w http.ResponseWriter, r *http.Request) {
-	known := n.core.Board.Directory.Get()
+	view := n.core.Board.Directory.Get()
 	after, err := strconv.ParseUint(r.URL.Query().Get(directoryAfter), 10, 64)
 	if err != nil {
 		http.Error(w, directoryAfter+": want a whole number", http.StatusBadRequest)
 		return
 	}
-	n.revisionHeard(model.InstanceID(r.URL.Query().Get(directoryFrom)), after)
-	if known == nil {
+	n.revisionReported(model.InstanceID(r.URL.Query().Get(directoryFrom)), after)
+	if view == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	changes := directory.Changes(known, after)
+	changes := directory.Changes(view, after)
 	now := time.Now()
 	data, err := wire.EncodeDirectory(&wire.DirectoryChanges{
-		Revision: changes.Revision, AgeMs: known.Freshness(now).AgeMs, ReadsFailing: known.Failing(now),
+		Revision: changes.Revision, AgeMs: view.Freshness(now).AgeMs, ReadsFailing: view.Failing(now),
 		Full: changes.Full, Listed: changes.Listed, Unlisted: changes.Unlisted, Evacuations: changes.Evacuations, Config: changes.Config, Refused: changes.Refused,
 	})
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	// A peer that is gone asks another.
+	// A peer that has gone asks another one.
 	_, _ = w.Write(data)
 }
 
-// mark returns what this node knows of the directory, for messages to peers.
-func (n *Node) mark() model.DirectoryFreshness {
+// directoryFreshness returns the freshness of this node's view of the directory, for
+// messages to peers.
+func (n *Node) directoryFreshness() model.DirectoryFreshness {
 	return n.core.Board.Directory.Get().Freshness(time.Now())
 }
 
-// ownerHeard is told each owner that answered an attempt, with the mark that it told.
-func (n *Node) ownerHeard(from model.InstanceID, m model.DirectoryFreshness) {
+// ownerReported handles the directory freshness in each owner's response to an attempt.
+func (n *Node) ownerReported(from model.InstanceID, m model.DirectoryFreshness) {
 	n.core.Quarantine.PeerSeen(from)
-	n.markHeard(from, m)
+	n.freshnessReported(from, m)
 }
 
-// entryHeard is told each entry that sent an attempt, with the revision that it told.
-func (n *Node) entryHeard(from model.InstanceID, revision uint64) {
+// entryReported handles the directory revision in each attempt from an entry node.
+func (n *Node) entryReported(from model.InstanceID, revision uint64) {
 	n.core.Quarantine.PeerSeen(from)
-	n.revisionHeard(from, revision)
+	n.revisionReported(from, revision)
 }
 
-// revisionHeard is told each revision that rode on an attempt or a question, whose age
-// nothing bounds.
-func (n *Node) revisionHeard(from model.InstanceID, revision uint64) {
-	n.markHeard(from, model.DirectoryFreshness{Revision: revision, AgeMs: model.AgeUnknown})
+// revisionReported handles a directory revision in an attempt or a request, whose age is
+// unknown.
+func (n *Node) revisionReported(from model.InstanceID, revision uint64) {
+	n.freshnessReported(from, model.DirectoryFreshness{Revision: revision, AgeMs: model.AgeUnknown})
 }
 
-// markHeard is told each mark that rode on a message; it passes on those that tell
-// something, at most a few a tick.
-func (n *Node) markHeard(from model.InstanceID, m model.DirectoryFreshness) {
+// freshnessReported handles a directory freshness received in a message. It passes on
+// only newer ones than this node's, and at most a few per tick.
+func (n *Node) freshnessReported(from model.InstanceID, m model.DirectoryFreshness) {
 	if m.Revision == 0 || n.cfg.Directory == nil {
 		return
 	}
-	known := n.mark()
+	known := n.directoryFreshness()
 	if !m.IsNewerThan(known) {
 		return
 	}
-	if n.calls.newMark(m) {
+	if n.calls.firstFreshness(m) {
 		n.hint(control.PeerFreshnessReceived{From: from, Freshness: m})
 	}
 }
--- a/internal/node/directory_test.go
+++ b/internal/node/directory_test.go
@@ -14,7 +14,7 @@
 
 var errUndecodable = errors.New("cannot be decoded")
 
-// oneDecodable is a directory whose configurations can be decoded if they are "sound".
+// oneDecodable is a directory that decodes only the configuration "sound".
 type oneDecodable struct{}
 
 func (oneDecodable) Read(context.Context, uint64) (control.DirectoryRead, error) {
@@ -30,7 +30,7 @@
 
 func (oneDecodable) Close() {}
 
-func TestAConfigurationThatCannotBeDecodedLosesNothingElseOfAPeersAnswer(t *testing.T) {
+func TestUndecodableConfigurationKeepsRestOfPeerResponse(t *testing.T) {
 	n := &Node{cfg: Config{Directory: oneDecodable{}}}
 	raw := func(revision uint64, text string) *model.RawConfig {
 		out, err := packed.Pack([]byte(text))
@@ -47,27 +47,27 @@
 	}{
 		{"none", nil, nil, 0, 0},
 		{"not decodable here", raw(8, "strange"), nil, 0, 8},
-		{"not decodable, nor to the teller", raw(7, "sound"), raw(8, "strange"), 7, 8},
-		{"not decodable to the teller only", nil, raw(8, "sound"), 8, 0},
+		{"not decodable, nor for the sender", raw(7, "sound"), raw(8, "strange"), 7, 8},
+		{"not decodable for the sender only", nil, raw(8, "sound"), 8, 0},
 		{"no packed text", &model.RawConfig{Revision: 8, Packed: []byte{0xff}}, nil, 0, 8},
 	} {
 		data, err := wire.EncodeDirectory(&wire.DirectoryChanges{Revision: 9, Listed: listed, Config: tt.config, Refused: tt.refused})
 		if err != nil {
 			t.Fatal(err)
 		}
-		told, err := n.decodeDirectory(data)
+		received, err := n.decodeDirectory(data)
 		if err != nil {
 			t.Errorf("%s: %v", tt.name, err)
 			continue
 		}
-		if len(told.Listed) != 1 || told.Revision != 9 || (told.Bundle != nil) != (tt.inForce > 0) {
-			t.Errorf("%s: %+v", tt.name, told)
+		if len(received.Listed) != 1 || received.Revision != 9 || (received.Bundle != nil) != (tt.inForce > 0) {
+			t.Errorf("%s: %+v", tt.name, received)
 		}
-		if got := revision(told.Config); got != tt.inForce {
+		if got := revision(received.Config); got != tt.inForce {
 			t.Errorf("%s: configuration of revision %d, want %d", tt.name, got, tt.inForce)
 		}
-		if got := revision(told.Refused); got != tt.recorded || (told.RefusedErr != nil) != (got > 0) {
-			t.Errorf("%s: refused revision %d (%v), want %d", tt.name, got, told.RefusedErr, tt.recorded)
+		if got := revision(received.Refused); got != tt.recorded || (received.RefusedErr != nil) != (got > 0) {
+			t.Errorf("%s: refused revision %d (%v), want %d", tt.name, got, received.RefusedErr, tt.recorded)
 		}
 	}
 }
--- a/internal/node/e2e_test.go
+++ b/internal/node/e2e_test.go
@@ -35,8 +35,8 @@
 class = "view"
 `
 
-// newFleet runs nodes with workers that handler serves, one a data centre, until
-// the test ends; then every node must stop gracefully.
+// newFleet runs nodes with workers that use handler, one in each data centre, until the
+// test ends; then every node must stop gracefully.
 func newFleet(t *testing.T, nodes int, handler http.Handler) *local.Fleet {
 	t.Helper()
 	f, err := local.Start(local.Config{
@@ -68,7 +68,7 @@
 	return f
 }
 
-func TestARequestIsServedByAWorkerThroughAnyNode(t *testing.T) {
+func TestRequestIsServedThroughAnyNode(t *testing.T) {
 	echo := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Gypsum-Attempt", r.Header.Get("Gypsum-Attempt"))
 		_, _ = io.WriteString(w, "for "+r.Header.Get("Idempotency-Key"))
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestAPlannedStopOfAHomeForgetsNoRequestID(t *testing.T) {
+func TestPlannedStopOfHomeNodeKeepsRequestIDs(t *testing.T) {
 	worker := &httpWorker{runs: map[string]int{}}
 	f := newFleet(t, 3, worker)
 	ids := make([]string, 12)
@@ -122,7 +122,7 @@
 			t.Fatal(err)
 		}
 		if got.Outcome == "answered" || worker.count(id) != 1 {
-			t.Errorf("%s sent again after its home left: %+v, %d runs", id, got, worker.count(id))
+			t.Errorf("%s resubmitted after its home node left: %+v, %d runs", id, got, worker.count(id))
 		}
 	}
 }
--- a/internal/node/export_test.go
+++ b/internal/node/export_test.go
@@ -5,10 +5,10 @@
 	"gypsumstand/internal/model"
 )
 
-// Start runs f as the node runs its own parts.
+// Start runs f in a goroutine of the node.
 func (n *Node) Start(f func()) { n.start(f) }
 
-// FailPort makes a port's listener fail as it does when its socket is lost.
+// FailPort makes a port's listener fail as if its socket were lost.
 func (n *Node) FailPort(name string) {
 	switch name {
 	case "caller":
@@ -20,8 +20,8 @@
 	}
 }
 
-// See tells the node of a version that a call carried.
-func (n *Node) See(v model.BundleVersion) { n.seen("peer", v) }
+// ReportBundle reports a bundle version to the node as a call does.
+func (n *Node) ReportBundle(v model.BundleVersion) { n.bundleReported("peer", v) }
 
 // FillQueue fills the queue of the core's events.
 func (n *Node) FillQueue() {
--- a/internal/node/fault.go
+++ b/internal/node/fault.go
@@ -12,7 +12,7 @@
 	"gypsumstand/internal/task"
 )
 
-// PortError says that a port no longer takes connections.
+// PortError is returned if a port no longer accepts connections.
 type PortError struct {
 	// Port is "caller", "peer" or "operator".
 	Port string
@@ -25,19 +25,19 @@
 // Unwrap returns the listener's error.
 func (e *PortError) Unwrap() error { return e.Err }
 
-// errStuck says that a stop did not end at its bound.
-var errStuck = fmt.Errorf("%w: the stop itself is stuck", ErrCutOff)
+// errStopStuck is returned if a stop did not return at its time limit.
+var errStopStuck = fmt.Errorf("%w: the stop did not return", ErrCutOff)
 
-// errLeftOver says that a part waits for something that never comes, as for a lock that
-// another one left when it panicked.
-var errLeftOver = errors.New("a part of the node did not end with it")
+// errNotStopped reports a component that waits indefinitely, for example for a lock that
+// a panicking goroutine holds.
+var errNotStopped = errors.New("a component of the node did not stop")
 
-// maxFaultLines bounds the log lines about faults: what panics once may panic at each tick
-// until the stop has ended.
+// maxFaultLines bounds the number of log lines about faults: code that panicked once may
+// panic at each tick until the stop has completed.
 const maxFaultLines = 8
 
-// fail takes that a part of the node has failed. It is logged at once, and Run stops the
-// node as planned: what the other parts have in hand is finished.
+// fail handles the failure of a component. It logs the error at once, and Run then stops
+// the node as planned, so that the requests in flight in other components complete.
 func (n *Node) fail(err error) {
 	if n.faults.Add(1) <= maxFaultLines {
 		event.Log(&n.log, event.Fatal).Err(err).Send()
@@ -45,11 +45,11 @@
 	select {
 	case n.failed <- err:
 	default:
-		// The first fault is the one that Run returns.
+		// Run returns the first fault.
 	}
 }
 
-// firstFault returns the first fault that Run has not taken, nil when there is none.
+// firstFault returns the first fault that Run has not received, nil if there is none.
 func (n *Node) firstFault() error {
 	select {
 	case err := <-n.failed:
@@ -59,8 +59,8 @@
 	}
 }
 
-// partFailed logs a fault that the node goes on with.
-func (n *Node) partFailed(err error) { event.Log(&n.log, event.ComponentFailed).Err(err).Send() }
+// componentFailed logs a fault after which the node continues.
+func (n *Node) componentFailed(err error) { event.Log(&n.log, event.ComponentFailed).Err(err).Send() }
 
 // start runs f in a goroutine of the node, unless the node is being cleaned up.
 func (n *Node) start(f func()) {
@@ -78,24 +78,24 @@
 	}()
 }
 
-// againPause is how long a loop that panicked waits before it goes on.
-const againPause = 10 * time.Millisecond
+// restartPause is how long a loop that panicked waits before it is restarted.
+const restartPause = 10 * time.Millisecond
 
-// startLoop runs f, which ends with the node. After a panic it is run again: the node
-// stops then, and without its loops peers would not be told, and nothing that waits at the
-// owner would begin.
+// startLoop runs f, which returns when the node ends. After a panic it is restarted: the
+// node then stops, but without its loops peers would not be informed, and nothing that is
+// queued at the owner would start.
 func (n *Node) startLoop(f func()) {
 	n.start(func() {
 		for n.ctx.Err() == nil {
 			if err := task.Do(f); err != nil {
 				n.fail(err)
-				pause.For(n.ctx, againPause)
+				pause.For(n.ctx, restartPause)
 			}
 		}
 	})
 }
 
-// serve serves a port; it fails when its listener does.
+// serve serves a port and fails the node if its listener fails.
 func (n *Node) serve(port string, s *http.Server, l net.Listener) {
 	n.start(func() {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
@@ -104,52 +104,52 @@
 	})
 }
 
-// Times that a stop gets beyond its bound. A part that holds a lock for good must not keep
-// the process from ending.
+// Times that a stop gets beyond its time limit. A component that holds a lock forever
+// must not keep the process from ending.
 const (
-	// stopSlack is what a stop needs to notice that its bound has ended.
-	stopSlack   = 500 * time.Millisecond
-	cleanUpTime = time.Second
+	// stopSlack is the time that a stop needs to notice that its time limit has passed.
+	stopSlack      = 500 * time.Millisecond
+	cleanUpTimeout = time.Second
 )
 
-// stopInTime is stop, which it leaves behind when it is stuck.
-func (n *Node) stopInTime() error {
+// stopWithTimeout runs stop and abandons it if it does not return.
+func (n *Node) stopWithTimeout() error {
 	result := make(chan error, 1)
-	if !n.within(n.cfg.StopTimeout+stopSlack, func() { result <- n.stop() }) {
-		event.Log(&n.log, event.DrainTimeout).Err(errStuck).Send()
-		return errStuck
+	if !n.waitFor(n.cfg.StopTimeout+stopSlack, func() { result <- n.stop() }) {
+		event.Log(&n.log, event.DrainTimeout).Err(errStopStuck).Send()
+		return errStopStuck
 	}
 	select {
 	case err := <-result:
 		return err
 	default:
-		// It panicked, and that has been logged.
+		// It panicked; the panic has been logged.
 		return ErrCutOff
 	}
 }
 
-// cleanUpInTime is cleanUp, which it leaves behind when a part is stuck: nothing is in hand
-// any more, and the process ends with it.
-func (n *Node) cleanUpInTime() {
-	if !n.within(cleanUpTime, n.cleanUp) {
-		n.partFailed(errLeftOver)
+// cleanUpWithTimeout runs cleanUp and abandons it if a component does not end: no request
+// is in flight any more, and the process ends with the component.
+func (n *Node) cleanUpWithTimeout() {
+	if !n.waitFor(cleanUpTimeout, n.cleanUp) {
+		n.componentFailed(errNotStopped)
 	}
 }
 
-// withinSteps is the number of steps in which within waits: a process that is stopped
-// meanwhile loses one of them.
-const withinSteps = 20
+// waitSteps is the number of steps in which waitFor waits. A process that is suspended
+// meanwhile loses only one of them.
+const waitSteps = 20
 
-// within runs f and waits for its end, for d at most; false when it has not ended.
-func (n *Node) within(d time.Duration, f func()) (ended bool) {
+// waitFor runs f and waits at most d for its end; it returns false if f has not returned.
+func (n *Node) waitFor(d time.Duration, f func()) (ended bool) {
 	done := make(chan struct{})
 	task.Go(func() {
 		defer close(done)
 		f()
 	}, n.fail)
-	ticker := time.NewTicker(max(d/withinSteps, 1))
+	ticker := time.NewTicker(max(d/waitSteps, 1))
 	defer ticker.Stop()
-	for range withinSteps {
+	for range waitSteps {
 		select {
 		case <-done:
 			return true
--- a/internal/node/fault_test.go
+++ b/internal/node/fault_test.go
@@ -19,15 +19,14 @@
 	"gypsumstand/internal/node"
 )
 
-// One part of a node failed (a port's listener, a goroutine that panicked), and the node
-// ended at once: callers on kept connections, whose requests were at workers, saw their
-// connections close without an answer, all in one moment, and so did other entries whose
-// attempts the node's worker ran. A listener's error went from Run straight to closing
-// every connection; a panic ended the process where it stood. A part that fails is no
-// reason to cut off what the others have in hand: the node stops as it does when it is
-// told to.
+// When one component of a node failed (a port's listener, or a goroutine that panicked),
+// the node ended at once: callers on kept connections whose requests were at workers saw
+// all connections close without a response at the same moment, and so did other entry
+// nodes whose attempts the node's worker ran. A listener's error made Run close every
+// connection; a panic ended the process immediately. A failed component is no reason to
+// cut off requests in flight in others: the node must stop as planned.
 
-// faultBundle leaves requests the time that a slow machine needs.
+// faultBundle allows requests the time that a slow machine needs.
 const faultBundle = `
 name = "test"
 version = %d
@@ -44,14 +43,15 @@
 class = "payout"
 `
 
-// callersEach is how many requests each node has in hand when a part fails.
+// callersEach is the number of requests in flight at each node when a component fails.
 const callersEach = 3
 
-// busyFleet is two nodes with requests in hand, which the workers hold.
+// busyFleet is two nodes with requests in flight, which the workers hold.
 type busyFleet struct {
 	*local.Fleet
 	log *faultLog
-	// running gets a word of each request that a worker begins, and release ends them.
+	// running receives a value for each request that starts at a worker, and release
+	// completes them.
 	running chan struct{}
 	release chan struct{}
 	replies chan error
@@ -82,7 +82,8 @@
 	return b
 }
 
-// startLogged runs a ready fleet of one data centre that logs to log.
+// startLogged starts a fleet of one data centre that logs to log, and waits until it is
+// ready.
 func startLogged(t *testing.T, bundle string, workers int, work http.HandlerFunc, stop time.Duration, log io.Writer) *local.Fleet {
 	t.Helper()
 	f, err := local.Start(local.Config{
@@ -106,7 +107,7 @@
 	return f
 }
 
-// work is the workers' handler: it answers warming requests at once.
+// work is the workers' handler: it responds to warming requests at once.
 func (b *busyFleet) work(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Gypsum-Attempt", r.Header.Get("Gypsum-Attempt"))
 	if r.URL.Path == "/payouts" {
@@ -116,7 +117,7 @@
 	_, _ = io.WriteString(w, "for "+r.Header.Get("Idempotency-Key"))
 }
 
-// call sends a request on a connection that has carried another one.
+// call sends a request on a connection that has been used before.
 func (b *busyFleet) call(address, id string) error {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -149,8 +150,8 @@
 	return nil
 }
 
-// check takes every caller's reply. The workers answer once the node has said that it
-// stops, or once a caller has been cut off before.
+// check checks every caller's response. The workers respond once the node has announced
+// its stop, or once a caller has been cut off before.
 func (b *busyFleet) check(t *testing.T) {
 	t.Helper()
 	replies := 0
@@ -158,7 +159,7 @@
 	case <-b.log.await(`"event":101,`):
 	case err := <-b.replies:
 		replies++
-		t.Errorf("before any worker answered: %v", err)
+		t.Errorf("before any worker responded: %v", err)
 	}
 	close(b.release)
 	for ; replies < 2*callersEach; replies++ {
@@ -168,8 +169,8 @@
 	}
 }
 
-// checkEnd takes the end of the node that failed: it tells why, and the log told it before
-// the stop began.
+// checkEnd checks the end of the failed node: Run returns the cause, and it was logged
+// before the stop began.
 func (b *busyFleet) checkEnd(t *testing.T, cause string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -184,7 +185,7 @@
 	}
 }
 
-func TestAPortThatFailsCutsNobodyOff(t *testing.T) {
+func TestPortFailureCutsOffNoCaller(t *testing.T) {
 	t.Parallel()
 	for _, port := range []string{"caller", "peer", "operator"} {
 		t.Run(port, func(t *testing.T) {
@@ -197,7 +198,7 @@
 	}
 }
 
-func TestAPanicOfAPartCutsNobodyOff(t *testing.T) {
+func TestComponentPanicCutsOffNoCaller(t *testing.T) {
 	t.Parallel()
 	b := newBusyFleet(t)
 	b.Members()[0].Node.Start(func() { panic("the cause " + strings.Repeat("x", 64<<10)) })
@@ -210,8 +211,8 @@
 	}
 }
 
-// A panic in the stop itself was taken for a stop that is stuck, and closed on everybody.
-func TestAPanicOfTheStopCutsNobodyOff(t *testing.T) {
+// A panic in the stop itself was treated as a stuck stop, and closed all connections.
+func TestStopPanicCutsOffNoCaller(t *testing.T) {
 	t.Parallel()
 	b := newBusyFleet(t)
 	b.log.on(`"event":108,`, func() { panic("the cause of the stop") })
@@ -221,10 +222,10 @@
 	b.checkEnd(t, "operator port")
 }
 
-// The goroutine that feeds the core of either node panics, by what it logs. Peers can be
-// told that the node leaves by that goroutine only, and without its clock nothing that waits at the
-// owner would begin.
-func TestAPanicOfTheCoresLoopCutsNobodyOff(t *testing.T) {
+// The goroutine that feeds the core of either node panics in a log call. Only that
+// goroutine can announce to peers that the node leaves, and without its ticks nothing
+// queued at the owner would start.
+func TestCoreLoopPanicCutsOffNoCaller(t *testing.T) {
 	t.Parallel()
 	b := newBusyFleet(t)
 	b.log.on(`"event":220,`, func() { panic("the cause") })
@@ -235,9 +236,9 @@
 	b.checkEnd(t, "the cause")
 }
 
-// A goroutine that is stuck, as on a lock that another one left when it panicked, does not
-// keep a stop from ending.
-func TestAStopEndsBesideAPartThatIsStuck(t *testing.T) {
+// A blocked goroutine, for example on a lock that a panicking one holds, must not keep a
+// stop from completing.
+func TestStopEndsDespiteBlockedGoroutine(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 1, http.NotFoundHandler())
 	stuck := make(chan struct{})
@@ -248,7 +249,7 @@
 	}
 }
 
-// stuckFleet runs one node whose stop has 2 s, and returns its log.
+// stuckFleet starts one node whose stop may take 2 s, and returns its log.
 func stuckFleet(t *testing.T) (*local.Fleet, *faultLog) {
 	t.Helper()
 	log := &faultLog{seen: map[string]chan struct{}{}}
@@ -256,8 +257,8 @@
 	return f, log
 }
 
-// stickLoop makes the core's loop wait until stuck is closed, and fills its queue.
-func stickLoop(t *testing.T, f *local.Fleet, log *faultLog) (m *local.Member, stuck chan struct{}) {
+// blockLoop blocks the core's loop until stuck is closed, and fills its queue.
+func blockLoop(t *testing.T, f *local.Fleet, log *faultLog) (m *local.Member, stuck chan struct{}) {
 	t.Helper()
 	began := make(chan struct{})
 	stuck = make(chan struct{})
@@ -274,42 +275,43 @@
 	return m, stuck
 }
 
-// The core's loop is stuck and its queue full: the stop can't say that the node leaves, and
-// finishes what is in hand all the same.
-func TestAStopBesideAStuckLoopIsGraceful(t *testing.T) {
+// With the core's loop blocked and its queue full, the stop cannot announce that the node
+// leaves, but must complete the requests in flight.
+func TestStopWithBlockedCoreLoopIsGraceful(t *testing.T) {
 	t.Parallel()
 	f, log := stuckFleet(t)
-	m, stuck := stickLoop(t, f, log)
+	m, stuck := blockLoop(t, f, log)
 	if err := stopBeside(t, f, m, stuck); err != nil {
 		t.Error(err)
 	}
 }
 
-// A call that carried a newer version waited for the core for as long as its queue was full,
-// beyond the caller's time.
-func TestACallDoesNotWaitForTheCore(t *testing.T) {
+// A call that reported a newer version waited for the core while its queue was full,
+// beyond the caller's deadline.
+func TestCallDoesNotWaitForCore(t *testing.T) {
 	t.Parallel()
 	f, log := stuckFleet(t)
-	m, stuck := stickLoop(t, f, log)
-	told, late := make(chan struct{}), time.NewTimer(10*time.Second)
+	m, stuck := blockLoop(t, f, log)
+	reported, late := make(chan struct{}), time.NewTimer(10*time.Second)
 	defer late.Stop()
 	go func() {
-		defer close(told)
-		m.Node.See(model.BundleVersion{Name: "test", Version: 99})
+		defer close(reported)
+		m.Node.ReportBundle(model.BundleVersion{Name: "test", Version: 99})
 	}()
 	select {
-	case <-told:
+	case <-reported:
 	case <-late.C:
 		t.Error("a call waits for the core")
 	}
 	left := log.await(`"event":114,`)
 	close(stuck)
 	<-left
-	<-told
+	<-reported
 }
 
-// A stop that waits for good, here to say that it begins, does not keep the process.
-func TestAStopThatIsStuckItselfEnds(t *testing.T) {
+// A stop that blocks forever, here while logging its start, must not keep the process
+// alive.
+func TestBlockedStopEnds(t *testing.T) {
 	t.Parallel()
 	f, log := stuckFleet(t)
 	stuck := make(chan struct{})
@@ -319,8 +321,8 @@
 	}
 }
 
-// stopBeside stops a member beside a goroutine that waits for stuck, and returns how the
-// stop ended.
+// stopBeside stops a member while a goroutine waits for stuck, and returns the result of
+// the stop.
 func stopBeside(t *testing.T, f *local.Fleet, m *local.Member, stuck chan struct{}) error {
 	t.Helper()
 	ended := make(chan error, 1)
@@ -332,32 +334,32 @@
 		close(stuck)
 		return err
 	case <-late.C:
-		t.Error("a stop whose bound is 10 s at most has not ended after 30 s")
+		t.Error("a stop with a timeout of at most 10 s has not ended after 30 s")
 		close(stuck)
 		return <-ended
 	}
 }
 
-// faultLog is a log whose lines can be waited for, and can do harm.
+// faultLog is a log whose lines can be waited for and can trigger an injected fault.
 type faultLog struct {
 	mu   sync.Mutex
 	text bytes.Buffer
-	// seen holds what is waited for.
+	// seen has a channel for each awaited text.
 	seen map[string]chan struct{}
-	// mark and harm are what on was told, until it is done.
-	mark string
-	harm func()
+	// mark and fault are the arguments of on, until the fault has been injected.
+	mark  string
+	fault func()
 }
 
 // Write implements io.Writer for one line.
 func (l *faultLog) Write(line []byte) (int, error) {
-	if harm := l.take(line); harm != nil {
-		harm()
+	if fault := l.take(line); fault != nil {
+		fault()
 	}
 	return len(line), nil
 }
 
-// take keeps a line and returns the harm that it does.
+// take stores a line and returns the fault to inject for it.
 func (l *faultLog) take(line []byte) func() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -368,15 +370,15 @@
 			delete(l.seen, mark)
 		}
 	}
-	if l.harm == nil || !bytes.Contains(line, []byte(l.mark)) {
+	if l.fault == nil || !bytes.Contains(line, []byte(l.mark)) {
 		return nil
 	}
-	harm := l.harm
-	l.harm = nil
-	return harm
+	fault := l.fault
+	l.fault = nil
+	return fault
 }
 
-// await returns a channel that is closed once a line has had the mark.
+// await returns a channel that is closed once a line contains mark.
 func (l *faultLog) await(mark string) <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -389,11 +391,11 @@
 	return seen
 }
 
-// on does harm in the goroutine that logs the next line with the mark.
-func (l *faultLog) on(mark string, harm func()) {
+// on injects a fault in the goroutine that logs the next line that contains mark.
+func (l *faultLog) on(mark string, fault func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.mark, l.harm = mark, harm
+	l.mark, l.fault = mark, fault
 }
 
 func (l *faultLog) String() string {
--- a/internal/node/hedge_test.go
+++ b/internal/node/hedge_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// hedgeBundle hedges whatever is slower than the median.
+// hedgeBundle hedges requests that are slower than the median.
 const hedgeBundle = `
 name = "test"
 version = 1
@@ -29,8 +29,8 @@
 class = "view"
 `
 
-// A first answer never comes: only the hedge beside it ends the call.
-func TestAHedgeAnswersForAnAttemptThatHangs(t *testing.T) {
+// The first attempt never gets a response: only the hedge ends the call.
+func TestHedgeRespondsForHangingAttempt(t *testing.T) {
 	var hanging atomic.Bool
 	var hung atomic.Int64
 	given := make(chan struct{}, 1)
@@ -43,7 +43,7 @@
 		_, _ = io.WriteString(w, "for "+r.Header.Get("Idempotency-Key"))
 	}
 	f := startLogged(t, hedgeBundle, 2, worker, 10*time.Second, io.Discard)
-	// The pace of a class is known after a thousand answers.
+	// The latency quantiles of a class are known after a thousand responses.
 	for i := range 1100 {
 		if got, _, err := do(t, f, http.MethodGet, "/", "", nil); err != nil || got.Outcome != "answered" {
 			t.Fatalf("%d: %+v, %v", i, got, err)
--- a/internal/node/http_test.go
+++ b/internal/node/http_test.go
@@ -14,7 +14,7 @@
 	"gypsumstand/internal/local"
 )
 
-// httpWorker answers by path; it counts runs by request id.
+// httpWorker responds according to the path and counts runs by request id.
 type httpWorker struct {
 	mu   sync.Mutex
 	runs map[string]int
@@ -76,7 +76,7 @@
 	return h.last.Header.Get(name)
 }
 
-// reply is what a caller sees.
+// reply is a response as the caller receives it.
 type reply struct {
 	Status          int
 	Outcome, Reason string
@@ -114,21 +114,21 @@
 		header                   http.Header
 		want                     reply
 	}{
-		{"path and query come as sent", http.MethodGet, "/a%2Fb//c/../d?x=1%202", "", nil,
+		{"path and query arrive as sent", http.MethodGet, "/a%2Fb//c/../d?x=1%202", "", nil,
 			reply{200, "answered", "", "/a%2Fb//c/../d?x=1%202"}},
 		{"a worker's own error passes through", http.MethodGet, "/error", "", nil,
 			reply{418, "answered", "", "own error"}},
-		{"an answer without content", http.MethodGet, "/nothing", "", nil,
+		{"a response without content", http.MethodGet, "/nothing", "", nil,
 			reply{204, "answered", "", ""}},
-		{"a cut answer of an idempotent request is never a short 200", http.MethodGet, "/cut", "", nil,
+		{"a truncated response to an idempotent request is never a short 200", http.MethodGet, "/cut", "", nil,
 			reply{502, "unknown", "link-broken", ""}},
-		{"a crossed answer is refused", http.MethodGet, "/crossed", "", nil,
+		{"a response to another request is refused", http.MethodGet, "/crossed", "", nil,
 			reply{502, "unknown", "worker-broken", ""}},
-		{"a crossed answer of a payout is refused", http.MethodPost, "/payouts/crossed", "x", nil,
+		{"a response to another request is refused for a payout", http.MethodPost, "/payouts/crossed", "x", nil,
 			reply{502, "unknown", "worker-broken", ""}},
-		{"a body over the bound", http.MethodPost, "/length", strings.Repeat("x", 1<<20+1), nil,
+		{"a body over the limit", http.MethodPost, "/length", strings.Repeat("x", 1<<20+1), nil,
 			reply{413, "not-run", "body-too-large", ""}},
-		{"a body that streams", http.MethodPost, "/length", strings.Repeat("x", 1<<20), nil,
+		{"a streamed body", http.MethodPost, "/length", strings.Repeat("x", 1<<20), nil,
 			reply{200, "answered", "", "1048576"}},
 		{"a malformed timeout", http.MethodGet, "/", "", http.Header{"Gypsum-Timeout-Ms": {"soon"}},
 			reply{400, "not-run", "bad-request", "Gypsum-Timeout-Ms: \"soon\": want a whole number of milliseconds from 1\n"}},
@@ -144,10 +144,10 @@
 			}
 		})
 	}
-	t.Run("a long answer that is cut is seen as broken", func(t *testing.T) {
+	t.Run("a truncated long response is seen as broken", func(t *testing.T) {
 		got, _, err := do(t, f, http.MethodGet, "/cut-long", "", nil)
 		if err == nil {
-			t.Errorf("got %d bytes as a whole answer with status %d", len(got.Body), got.Status)
+			t.Errorf("got %d bytes as a complete response with status %d", len(got.Body), got.Status)
 		}
 	})
 	t.Run("hop-by-hop and own headers do not pass", func(t *testing.T) {
@@ -162,11 +162,11 @@
 			t.Errorf("headers (-want +got):\n%s", diff)
 		}
 	})
-	t.Run("a chunked body over the bound is not run", func(t *testing.T) { chunkedOverBound(t, f, worker) })
-	t.Run("a payout sent again with its key is not run again", func(t *testing.T) { sentAgain(t, f, worker) })
+	t.Run("a chunked body over the limit is not run", func(t *testing.T) { chunkedOverBound(t, f, worker) })
+	t.Run("a payout resubmitted with its key is not run again", func(t *testing.T) { resubmitted(t, f, worker) })
 }
 
-// noLength hides a reader's length, so that the body is chunked.
+// noLength hides a reader's length, so that the body is sent chunked.
 type noLength struct{ io.Reader }
 
 func chunkedOverBound(t *testing.T, f *local.Fleet, worker *httpWorker) {
@@ -186,19 +186,19 @@
 	}
 }
 
-func sentAgain(t *testing.T, f *local.Fleet, worker *httpWorker) {
+func resubmitted(t *testing.T, f *local.Fleet, worker *httpWorker) {
 	header := http.Header{"Idempotency-Key": {"payout-7"}}
 	first, _, err := do(t, f, http.MethodPost, "/payouts", "amount=7", header)
 	if err != nil || first.Outcome != "answered" {
 		t.Fatalf("first: %+v, %v", first, err)
 	}
 	for _, address := range f.Callers() {
-		again, _, err := doAt(t, address, http.MethodPost, "/payouts", "amount=7", header)
+		second, _, err := doAt(t, address, http.MethodPost, "/payouts", "amount=7", header)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if want := (reply{502, "unknown", "duplicate-done", ""}); again != want {
-			t.Errorf("again: %+v, want %+v", again, want)
+		if want := (reply{502, "unknown", "duplicate-done", ""}); second != want {
+			t.Errorf("second: %+v, want %+v", second, want)
 		}
 	}
 	if got := worker.count("payout-7"); got != 1 {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -11,10 +11,10 @@
 	"gypsumstand/internal/model"
 )
 
-// ownerTickInterval is how often the owner expires what waits.
+// ownerTickInterval is how often the owner checks the queue for expired attempts.
 const ownerTickInterval = 10 * time.Millisecond
 
-// loop is the one goroutine that feeds the core.
+// loop is the only goroutine that feeds events to the core.
 func (n *Node) loop() {
 	ticker := time.NewTicker(control.TickInterval)
 	defer ticker.Stop()
@@ -31,29 +31,30 @@
 		case ev = <-n.events:
 		}
 		now := n.clock()
-		n.noteSuspension(last, now)
-		// A pause comes before whatever waited meanwhile, be it tick or message.
+		n.checkSuspension(last, now)
+		// A pause is handled before the event that waited during it, whether tick or
+		// message.
 		if gap := now.at.Sub(last.at); gap > control.TickInterval+control.PauseThreshold {
 			event.Log(&n.log, event.Paused).Int("milliseconds", gap.Milliseconds()).Send()
 			n.apply(n.core.Handle(now.at, control.Paused{For: gap}))
 		}
 		last = now
-		n.take(now.at, ev)
+		n.handle(now.at, ev)
 	}
 }
 
-// take feeds one event to the core. A stop does not wait for the word of leaving once it
-// was taken, also when what came of it panicked.
-func (n *Node) take(now time.Time, ev control.Event) {
+// handle feeds one event to the core. Once the core has handled "leaving", a stop does
+// not wait for it any longer, even if an action that resulted from it panicked.
+func (n *Node) handle(now time.Time, ev control.Event) {
 	defer n.calls.reset(ev)
-	n.noteHints()
+	n.logDroppedHints()
 	if e, ok := ev.(control.SelfStateChanged); ok && e.State >= model.StateLeaving {
-		defer n.leavingTold.Store(true)
+		defer n.leavingHandled.Store(true)
 	}
 	n.apply(n.core.Handle(now, ev))
 }
 
-// ownerTicks drives the owner's own clockwork.
+// ownerTicks calls the owner's Tick.
 func (n *Node) ownerTicks() {
 	ticker := time.NewTicker(ownerTickInterval)
 	defer ticker.Stop()
@@ -63,28 +64,28 @@
 			return
 		case <-ticker.C:
 			n.executor.Deliver(n.core.Owner.Tick(time.Now()))
-			n.watch.followHeld()
+			n.watch.sampleForQueue()
 		}
 	}
 }
 
-// apply carries out what the core wants done.
+// apply executes the actions that the core requests.
 func (n *Node) apply(out core.Output) {
 	n.executor.Deliver(out.Decisions)
 	if svc, _ := n.core.Board.Bundles.Get().Service(n.cfg.Service); svc != nil {
 		n.executor.Configure(svc, n.cfg.Instance)
 	}
 	for _, a := range out.Actions {
-		n.act(a)
+		n.execute(a)
 	}
 }
 
-func (n *Node) act(a control.Action) {
+func (n *Node) execute(a control.Action) {
 	switch a := a.(type) {
 	case control.Send:
 		n.links.Send(a.To, a.Message)
 	case control.SendDirect:
-		n.directs.Add(1)
+		n.directsInFlight.Add(1)
 		n.start(func() { n.sendDirect(a) })
 	case control.OpenLink:
 		n.links.Open(a.Peer, a.Address)
@@ -99,26 +100,27 @@
 	case control.ReadDirectory:
 		n.start(func() { n.readDirectory(a.After) })
 	case control.RequestPeerDirectory:
-		n.start(func() { n.askDirectory(a) })
+		n.start(func() { n.requestPeerDirectory(a) })
 	case control.ProbeReachability:
-		n.start(func() { n.probeReach(a.Owner) })
+		n.start(func() { n.probeReachability(a.Owner) })
 	case control.OwnerUnreachable:
-		n.lostSignal.Raise(a.Owner)
+		n.unreachableSignal.Raise(a.Owner)
 	case control.SendSuspectUpdate:
-		n.start(func() { n.tellSuspects(a) })
+		n.start(func() { n.sendSuspects(a) })
 	case control.OutcomeResolved:
-		n.settler.answered(a.Reply)
+		n.resolver.deliver(a.Reply)
 	case control.Record:
 		n.record(a)
 	}
 }
 
-// directTimeout bounds opening a brief link for one message.
+// directTimeout bounds opening a transient link for one message.
 const directTimeout = time.Second
 
-// sendDirect sends one message; who sent it repeats it when it matters.
+// sendDirect sends one message without retry; the component that requested it repeats it
+// if necessary.
 func (n *Node) sendDirect(a control.SendDirect) {
-	defer n.directs.Add(-1)
+	defer n.directsInFlight.Add(-1)
 	ctx, cancel := context.WithTimeout(n.ctx, directTimeout)
 	defer cancel()
 	if err := n.links.SendTo(ctx, a.To, a.Message); err != nil {
@@ -164,4 +166,4 @@
 	n.sink(control.ValueRead{Name: name, Data: data})
 }
 
-var errStopped = errors.New("the node stops")
+var errStopped = errors.New("node is stopping")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node runs one node: it opens the ports, feeds the core with events,
-// carries its actions out, and stops gracefully. Life cycle: New provisions, Run
-// serves until its context ends, then drains and cleans up.
+// Package node runs one node: it opens the ports, feeds events to the core, executes the
+// core's actions, and stops gracefully. New creates a node; Run serves until its context
+// ends, then drains and cleans up.
 package node
 
 import (
@@ -33,37 +33,37 @@
 	"gypsumstand/internal/upstream"
 )
 
-// Config is a node's settings in checked form.
+// Config holds a node's validated settings.
 type Config struct {
 	Instance   model.InstanceID
 	Service    model.ServiceName
 	DataCentre model.DataCentre
-	// Regions names the region of each data centre.
+	// Regions maps each data centre to its region.
 	Regions model.DataCentreRegions
-	// Addresses are "ip:port"; port 0 takes a free one.
+	// Addresses are "ip:port"; port 0 selects a free one.
 	CallerAddress   string
 	PeerAddress     string
 	OperatorAddress string
 	WorkerAddress   string
-	// ListAddresses and ConfigAddresses are the platform's.
+	// ListAddresses and ConfigAddresses are the addresses of the platform's services.
 	ListAddresses   []string
 	ConfigAddresses []string
 	PlatformTimeout time.Duration
 	Seeds           []string
 	Trusted         []bundle.Signer
-	// PeerTLS, when not nil, is the mutual TLS of the peer port.
+	// PeerTLS is the mutual TLS of the peer port; nil means none.
 	PeerTLS *tls.Config
-	// Callers and Workers are how callers and the worker speak; nil means the
+	// Callers and Workers define the headers of callers and of the worker; nil means the
 	// product's own dialect.
 	Callers dialect.Callers
 	Workers dialect.Workers
-	// Directory, when not nil, is the source of instances and configuration, in
-	// place of ListAddresses, ConfigAddresses, Seeds and Trusted.
+	// Directory is the source of instances and configuration in place of ListAddresses,
+	// ConfigAddresses, Seeds and Trusted; nil means that those are used.
 	Directory Directory
 	// DialPeer opens connections to other nodes; nil means TCP.
 	DialPeer upstream.DialFunc
-	// StopTimeout bounds a graceful stop; LeaveGrace is how long callers are
-	// still accepted after "leaving" was told.
+	// StopTimeout bounds a graceful stop; LeaveGrace is how long callers are still
+	// accepted after the node has announced that it is leaving.
 	StopTimeout time.Duration
 	LeaveGrace  time.Duration
 	LocalDelay  time.Duration
@@ -72,41 +72,40 @@
 	MaxHeaderBytes int
 	// MaxIdleConnections bounds the idle connections to other nodes.
 	MaxIdleConnections int
-	// IdleTimeout bounds the idle time of callers' connections.
+	// IdleTimeout bounds the idle time of connections to the peer and operator ports.
 	IdleTimeout time.Duration
-	// Policy of routing; others than the zero value are baselines for
-	// experiments.
+	// Policy is the routing policy; other values than zero are baselines for experiments.
 	Policy route.Policy
 	// ProbeAge is for experiments; zero means the default. See core.Config.
 	ProbeAge time.Duration
-	// OnCall, when not nil, is told of each call besides the metrics; it does
-	// not block.
+	// OnCall is called for each call in addition to the metrics and must not block; it
+	// may be nil.
 	OnCall func(server.CallRecord)
 	Log    zerolog.Logger
-	// Requests takes the log lines about single requests.
+	// Requests receives the log lines about single requests.
 	Requests zerolog.Logger
 }
 
-// Directory is a source of instances and configuration. Its methods may be called by
-// many goroutines at once.
+// Directory is a source of instances and configuration. Its methods may be called
+// concurrently.
 type Directory interface {
-	// Read tells what changed after a revision, everything after zero. It blocks for
-	// a bounded time.
+	// Read returns the changes after a revision, or everything if it is zero. It blocks
+	// for a bounded time.
 	Read(ctx context.Context, after uint64) (control.DirectoryRead, error)
-	// Configuration decodes a configuration as the source holds it.
+	// Configuration decodes a configuration in the source's format.
 	Configuration(data []byte) (*bundle.Bundle, error)
-	// Close ends idle connections; it is called once no Read is under way.
+	// Close closes idle connections; it is called when no Read is in progress.
 	Close()
 }
 
 // DefaultIdleTimeout is how long a caller's idle connection is kept.
 const DefaultIdleTimeout = time.Minute
 
-// Bounds that are not settings.
+// Limits that are not settings.
 const (
 	maxAcceptedLinks = 64
-	// A connection over these bounds waits to be accepted until one ends; idle
-	// ones end by themselves (Config.IdleTimeout).
+	// Connections beyond these limits wait to be accepted until one ends; idle ones are
+	// closed by timeouts.
 	maxCallerConnections   = 8192
 	maxPeerConnections     = 8192
 	maxOperatorConnections = 64
@@ -114,7 +113,7 @@
 	readHeaderTimeout      = 5 * time.Second
 )
 
-// Node is one running node.
+// Node is a running node.
 type Node struct {
 	cfg       Config
 	log       zerolog.Logger
@@ -125,47 +124,49 @@
 	list      *registry.Client
 	config    *registry.Client
 	metrics   *metrics.Metrics
-	settler   *settler
-	// leavingTold: the core has taken the word of leaving, and what it wants done
-	// about it has begun.
-	leavingTold atomic.Bool
-	// stopping: a planned stop has begun.
+	resolver  *outcomeResolver
+	// leavingHandled is set once the core has handled "leaving" and its resulting actions
+	// have been started.
+	leavingHandled atomic.Bool
+	// stopping is set once a planned stop has begun.
 	stopping atomic.Bool
-	// stopBegan is when it began, in Unix nanoseconds.
-	stopBegan atomic.Int64
-	// directs counts the direct messages that are under way.
-	directs atomic.Int64
+	// stopStarted is when the stop began, in Unix nanoseconds.
+	stopStarted atomic.Int64
+	// directsInFlight counts the direct messages being sent.
+	directsInFlight atomic.Int64
 	// stopBound ends calls before a planned stop does.
-	stopBound  *server.StopBound
-	watch      *workerWatch
-	events     chan control.Event
-	lostSignal server.UnreachableSignal
-	// tellsFailed counts what peers were not told of suspect requests.
-	tellsFailed atomic.Uint64
-	// hintsDropped counts the hints that the core's queue had no room for.
+	stopBound         *server.StopBound
+	watch             *workerWatch
+	events            chan control.Event
+	unreachableSignal server.UnreachableSignal
+	// suspectUpdatesFailed counts the updates on suspect requests that did not reach a
+	// peer.
+	suspectUpdatesFailed atomic.Uint64
+	// hintsDropped counts the hints dropped because the core's queue was full.
 	hintsDropped atomic.Uint64
-	// lostTold counts the owners out of reach that were named to peers.
-	lostTold atomic.Uint64
-	calls    callFilter
+	// unreachableReported counts the unreachable owners that were reported to peers.
+	unreachableReported atomic.Uint64
+	calls               callFilter
 
 	ports  ports
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
-	// startMu keeps start from racing with the final wait.
+	// startMu prevents start from adding a goroutine during the final wait.
 	startMu sync.Mutex
-	// failed holds the first fault of a part until Run takes it; faults counts all.
+	// failed holds the first fault of a component until Run receives it; faults counts
+	// all.
 	failed chan error
 	faults atomic.Int64
 }
 
-// ports are the three listeners and their servers.
+// ports holds the three listeners and their servers.
 type ports struct {
 	caller, peer, operator             net.Listener
 	callerHTTP, peerHTTP, operatorHTTP *http.Server
 }
 
-// New opens the ports and makes a node. The caller must Run it.
+// New opens the ports and creates a node. The caller must call Run.
 func New(cfg Config) (*Node, error) {
 	n := &Node{
 		cfg: cfg, log: cfg.Log, metrics: metrics.New(),
@@ -194,7 +195,7 @@
 			errs = append(errs, fmt.Errorf("%s port: %w", name, err))
 			return nil
 		}
-		return netutil.LimitListener(patientListener{l}, connections)
+		return netutil.LimitListener(retryingListener{l}, connections)
 	}
 	n.ports.caller = open("caller", n.cfg.CallerAddress, maxCallerConnections)
 	n.ports.peer = open("peer", n.cfg.PeerAddress, maxPeerConnections)
@@ -216,7 +217,8 @@
 	}
 }
 
-// provision makes the parts; the ports are open, so addresses are known.
+// provision creates the components. The ports are already open, so their addresses are
+// known.
 func (n *Node) provision() error {
 	if n.cfg.Callers == nil {
 		n.cfg.Callers = dialect.Product{}
@@ -235,43 +237,43 @@
 		Address:            n.cfg.WorkerAddress,
 		Dialect:            n.cfg.Workers,
 		Worker:             n.worker,
-		ConnectionObserved: n.watch.traffic,
+		ConnectionObserved: n.watch.connectionObserved,
 
 		RequestLog:         &n.cfg.Requests,
 		RefreshLoad:        n.watch.refresh,
-		DirectoryFreshness: n.mark,
-		WorkerIdentified:   n.watch.said,
-		DetectCrash:        n.broke,
+		DirectoryFreshness: n.directoryFreshness,
+		WorkerIdentified:   n.watch.identified,
+		DetectCrash:        n.detectCrash,
 
-		PortClosed: n.workerRefused,
+		PortClosed: n.workerPortClosed,
 		Quarantine: n.core.Quarantine,
 		RouteHost: func(host, method, path string) string {
 			return n.core.Board.Bundles.Get().RouteHost(host, method, path)
 		},
 	})
 	n.forwarder = server.NewForwarder(n.cfg.DialPeer, n.cfg.PeerTLS, n.cfg.MaxIdleConnections)
-	n.forwarder.Unreachable = &server.UnreachableOwners{List: n.tellLost, Reported: n.heardLost}
+	n.forwarder.Unreachable = &server.UnreachableOwners{List: n.unreachableOwners, Reported: n.ownersReportedUnreachable}
 	n.links = link.New(link.Config{
-		Self: n.self, Sink: n.sink, OnPanic: n.partFailed,
+		Self: n.self, Sink: n.sink, OnPanic: n.componentFailed,
 		TLS: n.cfg.PeerTLS, Dial: n.cfg.DialPeer, MaxAccepted: maxAcceptedLinks,
 	})
-	n.settler = newSettler(n)
+	n.resolver = newOutcomeResolver(n)
 	n.stopBound = server.NewStopBound()
 	n.makeServers()
 	return nil
 }
 
-// worker returns the present life of the worker: the directory's word, or else
-// what the worker itself last said.
+// worker returns the id of the worker's current incarnation: the one that the directory
+// lists, or else the one that the worker itself last reported.
 func (n *Node) worker() model.WorkerID {
 	if id := n.core.Worker(); id != "" {
 		return id
 	}
-	return n.watch.worker()
+	return n.watch.workerID()
 }
 
-// makeRegistry makes the clients of the platform's services, unless a directory
-// takes their place.
+// makeRegistry creates the clients of the platform's services, unless a directory
+// replaces them.
 func (n *Node) makeRegistry() error {
 	if n.cfg.Directory != nil {
 		return nil
@@ -304,7 +306,7 @@
 		RemoteDelay:     n.cfg.RemoteDelay,
 		Policy:          n.cfg.Policy,
 		ProbeAge:        n.cfg.ProbeAge,
-		OnBreakerChange: n.workerBreaks,
+		OnBreakerChange: n.breakerChanged,
 
 		FollowsDirectory: n.cfg.Directory != nil,
 
@@ -327,7 +329,7 @@
 // Core returns the node's decision core, for tests and reports.
 func (n *Node) Core() *core.Node { return n.core }
 
-// sink queues an event for the core; it waits while the queue is full.
+// sink queues an event for the core; it blocks while the queue is full.
 func (n *Node) sink(ev control.Event) {
 	select {
 	case n.events <- ev:
@@ -335,8 +337,8 @@
 	}
 }
 
-// hint queues an event that a call shows, and that later calls will show again: a call does
-// not wait for the core.
+// hint queues an event that a call observed and that later calls will observe again. It
+// drops the event if the queue is full, so that no call waits for the core.
 func (n *Node) hint(ev control.Event) {
 	select {
 	case n.events <- ev:
@@ -345,15 +347,15 @@
 	}
 }
 
-// noteHints logs the hints that were dropped.
-func (n *Node) noteHints() {
+// logDroppedHints logs the number of dropped hints.
+func (n *Node) logDroppedHints() {
 	if dropped := n.hintsDropped.Swap(0); dropped > 0 {
 		event.Log(&n.log, event.CallHintsDropped).Int("dropped", int64(dropped)).Send()
 	}
 }
 
-// Run serves until ctx ends or a part of the node fails, then stops gracefully. The error
-// tells which part failed, or that the stop was not graceful.
+// Run serves until ctx ends or a component of the node fails, then stops gracefully. The
+// error is the component's failure, or the reason why the stop was not graceful.
 func (n *Node) Run(ctx context.Context) error {
 	n.serve("operator", n.ports.operatorHTTP, n.ports.operator)
 	n.serve("peer", n.ports.peerHTTP, n.ports.peer)
@@ -370,19 +372,19 @@
 	case <-n.ctx.Done():
 		return ErrKilled
 	}
-	err := n.stopInTime()
-	n.cleanUpInTime()
+	err := n.stopWithTimeout()
+	n.cleanUpWithTimeout()
 	event.Log(&n.log, event.Stopped).Send()
 	return cmp.Or(fault, n.firstFault(), err)
 }
 
-// cleanUp ends whatever still runs; a planned stop logs it as its last step.
+// cleanUp ends everything that still runs; a planned stop logs it as its last step.
 func (n *Node) cleanUp() {
 	if !n.stopping.Load() {
 		n.closeAll()
 		return
 	}
-	n.step("clean-up", n.closeAll)
+	n.runStep("clean-up", n.closeAll)
 }
 
 func (n *Node) closeAll() {
--- a/internal/node/operators_test.go
+++ b/internal/node/operators_test.go
@@ -27,7 +27,7 @@
 	return resp.StatusCode, string(body)
 }
 
-// seesLive tells whether a member's view of the fleet holds that many live
+// seesLive reports whether a member's view of the fleet has exactly that many live
 // instances.
 func seesLive(want int) func(*local.Member) bool {
 	return func(m *local.Member) bool {
@@ -44,9 +44,10 @@
 // countTime bounds the wait for a call to be counted.
 const countTime = 20 * time.Second
 
-// pageOfOneCall returns the metrics once a call has been counted, its wait last: a node counts it when
-// its caller has been answered, so that the caller may ask before that.
-func pageOfOneCall(t *testing.T, f *local.Fleet) string {
+// metricsOfOneCall returns the metrics once a call has been counted, its wait last. A
+// node counts a call after the response to the caller, so that the caller may read the
+// metrics before that.
+func metricsOfOneCall(t *testing.T, f *local.Fleet) string {
 	t.Helper()
 	for end := time.Now().Add(countTime); ; pause.For(t.Context(), 10*time.Millisecond) {
 		status, page := get(t, "http://"+f.Members()[0].Node.OperatorAddress()+"/metrics")
@@ -59,7 +60,7 @@
 	}
 }
 
-func TestMetricsShowCallsAndBlackboardWithLabelsOfTheBundleOnly(t *testing.T) {
+func TestMetricLabelsComeOnlyFromBundle(t *testing.T) {
 	f := newFleet(t, 2, &httpWorker{runs: map[string]int{}})
 	if err := f.Await(t.Context(), seesLive(2)); err != nil {
 		t.Fatal(err)
@@ -68,7 +69,7 @@
 	if _, _, err := do(t, f, http.MethodGet, "/", "", header); err != nil {
 		t.Fatal(err)
 	}
-	page := pageOfOneCall(t, f)
+	page := metricsOfOneCall(t, f)
 	for _, want := range []string{
 		`gypsum_calls_total\{class="view",outcome="answered",reason="none",service="ledger",tenant="other"\} 1\n`,
 		`gypsum_call_seconds_count\{class="view",tenant="other"\} 1\n`,
@@ -87,6 +88,6 @@
 		}
 	}
 	if strings.Contains(page, "made-up-by-the-caller") {
-		t.Error("a label holds what the caller sent")
+		t.Error("a label contains a value sent by the caller")
 	}
 }
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -17,12 +17,12 @@
 	"gypsumstand/internal/status"
 )
 
-// makeServers wires the handlers of the three ports.
+// makeServers creates the servers of the three ports with their handlers.
 func (n *Node) makeServers() {
-	bounds := &callerBounds{inForce: n.callerBounds, log: &n.cfg.Requests}
-	n.ports.caller = callerListener{n.ports.caller, bounds}
+	timeouts := &callerTimeouts{current: n.callerLimits, log: &n.cfg.Requests}
+	n.ports.caller = callerListener{n.ports.caller, timeouts}
 	n.ports.callerHTTP = n.httpServer(n.callerRoutes())
-	n.ports.callerHTTP.ConnState = bounds.state
+	n.ports.callerHTTP.ConnState = timeouts.state
 	n.ports.callerHTTP.ReadHeaderTimeout = 0
 	n.ports.callerHTTP.IdleTimeout = 0
 	n.ports.peerHTTP = n.httpServer(n.peerRoutes())
@@ -43,11 +43,12 @@
 	}
 }
 
-// serverErrors logs what net/http's servers say, a panic of a handler among it: that cuts
-// its caller off, and nothing else tells why.
+// serverErrors logs the errors of net/http's servers, including panics of handlers: a
+// panic cuts off the caller, and nothing else records the cause.
 type serverErrors struct{ log *zerolog.Logger }
 
-// maxServerError bounds one report, in bytes: a panic's has the whole stack.
+// maxServerError bounds one report, in bytes, since that of a panic contains the whole
+// stack.
 const maxServerError = 2 << 10
 
 // Write implements io.Writer for one report.
@@ -57,7 +58,7 @@
 	return len(report), nil
 }
 
-// newRouter returns a router that leaves paths as they came.
+// newRouter returns a router that leaves paths unchanged.
 func newRouter() *mux.Router {
 	return mux.NewRouter().SkipClean(true).UseEncodedPath()
 }
@@ -70,36 +71,36 @@
 		Table:              n.core.Table,
 		Executor:           n.executor,
 		Forwarder:          n.forwarder,
-		Resolver:           n.settler,
+		Resolver:           n.resolver,
 		Recorder:           recorder{n},
 		RequestLog:         &n.cfg.Requests,
-		BundleReported:     n.seen,
-		FreshnessReported:  n.ownerHeard,
-		DirectoryFreshness: n.mark,
-		AttemptUnanswered:  n.unanswered,
-		UnreachableSignal:  &n.lostSignal,
+		BundleReported:     n.bundleReported,
+		FreshnessReported:  n.ownerReported,
+		DirectoryFreshness: n.directoryFreshness,
+		AttemptUnanswered:  n.attemptUnanswered,
+		UnreachableSignal:  &n.unreachableSignal,
 		Quarantine:         n.core.Quarantine,
 		StopBound:          n.stopBound,
 		Dialect:            n.cfg.Callers,
 		Service:            n.cfg.Service,
 		Leaving:            n.leaving,
-		ExtendRetryAfter:   n.returns,
+		ExtendRetryAfter:   n.limitRetryAfter,
 	}
 	r := newRouter()
 	r.PathPrefix("/").Handler(caller)
 	return r
 }
 
-// callerBounds returns the bounds of callers' connections in force: those of the
-// bundle that governs the own service, since a connection is nobody's route.
-func (n *Node) callerBounds() bundle.Callers {
+// callerLimits returns the limits of callers' connections from the bundle that governs
+// this node's service, since a connection has no route.
+func (n *Node) callerLimits() bundle.Callers {
 	if _, b := n.core.Board.Bundles.Get().Service(n.cfg.Service); b != nil {
 		return b.Callers
 	}
 	return bundle.Callers{}
 }
 
-// recorder tells the metrics of each call, and Config.OnCall.
+// recorder records each call in the metrics and calls Config.OnCall.
 type recorder struct{ n *Node }
 
 // Call implements server.Recorder.
@@ -114,7 +115,7 @@
 	r := newRouter()
 	r.Path(link.Path).Handler(n.links.Handler())
 	r.Path(server.ReachPath).Methods(http.MethodGet).HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
-	attempts := &server.PeerHandler{Executor: n.executor, BundleReported: n.seen, RevisionReported: n.entryHeard, Unreachable: n.forwarder.Unreachable}
+	attempts := &server.PeerHandler{Executor: n.executor, BundleReported: n.bundleReported, RevisionReported: n.entryReported, Unreachable: n.forwarder.Unreachable}
 	for _, prefix := range server.AttemptPaths {
 		r.PathPrefix(prefix).Handler(attempts)
 	}
@@ -137,7 +138,7 @@
 	return r
 }
 
-// serveReady answers 200 once callers may come, else 503 with what is missing.
+// serveReady responds 200 once callers may come, else 503 with what is missing.
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
 	ready := n.core.Board.Readiness.Get()
 	if ready != nil && ready.Ready && !n.leaving() {
--- a/internal/node/servers_test.go
+++ b/internal/node/servers_test.go
@@ -10,9 +10,9 @@
 	"github.com/rs/zerolog"
 )
 
-// Reports of net/http's servers were thrown away: a handler that panicked cut its caller
-// off, and no log said why.
-func TestAHandlersPanicIsLoggedAndBounded(t *testing.T) {
+// The errors that net/http's servers report were discarded: a handler that panicked cut
+// off its caller, and no log showed why.
+func TestHandlerPanicIsLoggedWithBoundedLength(t *testing.T) {
 	var out bytes.Buffer
 	n := &Node{}
 	n.cfg.Requests = zerolog.New(&out)
@@ -23,7 +23,7 @@
 	s.Start()
 	if resp, err := http.Get(s.URL); err == nil {
 		resp.Body.Close()
-		t.Errorf("answered with %d", resp.StatusCode)
+		t.Errorf("response with status %d", resp.StatusCode)
 	}
 	s.Close()
 	if line := out.String(); !strings.Contains(line, "the cause") || len(line) > 2*maxServerError {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -15,12 +15,12 @@
 	"gypsumstand/internal/status"
 )
 
-// serveStatus answers the node's blackboard as status.Node.
+// serveStatus responds with the node's blackboard as status.Node.
 func (n *Node) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, n.status(time.Now()))
 }
 
-// writeJSON writes v; a reader that is gone gets nothing.
+// writeJSON writes v. An error means that the client has gone, so it is ignored.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
@@ -125,7 +125,7 @@
 	}
 }
 
-// serveAside answers with the requests under which workers ended.
+// serveAside responds with the suspect requests.
 func (n *Node) serveAside(w http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
 	out := status.Aside{Requests: []status.SuspectRequest{}, Ends: n.core.Quarantine.Counts().Crashes}
@@ -150,7 +150,7 @@
 	return out
 }
 
-// find returns the instance of that id, or nil.
+// find returns the instance with the given id, or nil.
 func find(f *model.Fleet, id model.InstanceID) *model.Instance {
 	i := sort.Search(len(f.Instances), func(i int) bool { return f.Instances[i].ID >= id })
 	if i < len(f.Instances) && f.Instances[i].ID == id {
@@ -160,17 +160,17 @@
 }
 
 func (n *Node) measuringStatus(out *status.Measuring) {
-	landing, origin := n.core.OwnerLimiter.Counts(), n.core.EntryLimiter.Counts()
-	out.Polls = landing.PollsSent
-	out.Sent = origin.Sent
-	out.Received = landing.ProbesAnswered
-	out.Refused = landing.ProbesRefused
+	ownerCounts, entryCounts := n.core.OwnerLimiter.Counts(), n.core.EntryLimiter.Counts()
+	out.Polls = ownerCounts.PollsSent
+	out.Sent = entryCounts.Sent
+	out.Received = ownerCounts.ProbesAnswered
+	out.Refused = ownerCounts.ProbesRefused
 	if _, b := n.core.Board.Bundles.Get().Service(n.cfg.Service); b != nil {
 		out.BudgetPerSecond = b.Measuring.PerUpstreamPerSecond
 	}
 }
 
-// serveExplain tells why a request would go where at this moment.
+// serveExplain explains which instance a request would be sent to now, and why.
 func (n *Node) serveExplain(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	out := status.Explanation{
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -18,7 +18,7 @@
 	"gypsumstand/internal/pause"
 )
 
-// logged keeps log lines. It is safe for concurrent use.
+// logged collects log lines. It is safe for concurrent use.
 type logged struct {
 	mu    sync.Mutex
 	lines [][]byte
@@ -60,11 +60,11 @@
 	return out
 }
 
-// A request that runs through the telling and the grace is in hand at their ends, and no
-// more at the drain's.
-func TestAPlannedStopTellsOfEachStepWhatWasInHandAtItsEnd(t *testing.T) {
+// A request that runs during the announcement and the leave grace is in flight at their
+// ends, and no longer at the end of the drain.
+func TestStopStepsLogRequestsInFlight(t *testing.T) {
 	entered, open := make(chan struct{}), make(chan struct{})
-	let := sync.OnceFunc(func() { close(open) })
+	release := sync.OnceFunc(func() { close(open) })
 	worker := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Gypsum-Attempt", r.Header.Get("Gypsum-Attempt"))
 		if r.URL.Path == "/held" {
@@ -84,7 +84,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	defer let()
+	defer release()
 	if err := f.Await(t.Context(), local.Ready); err != nil {
 		t.Fatal(err)
 	}
@@ -99,15 +99,15 @@
 	for len(lines.of(t, event.StopStepEnded)) < 2 {
 		pause.For(t.Context(), time.Millisecond)
 	}
-	let()
+	release()
 	if got := <-answered; got.Outcome != "answered" {
-		t.Errorf("the held request got %+v", got)
+		t.Errorf("response to the held request: %+v", got)
 	}
 	if err := <-stopped; err != nil {
 		t.Error(err)
 	}
 	if begun := lines.of(t, event.Stopping); len(begun) != 1 || begun[0].StopBound != 10_000 {
-		t.Errorf("the stop's beginning told as %+v", begun)
+		t.Errorf("the start of the stop was logged as %+v", begun)
 	}
 	type step struct {
 		Name    string
@@ -116,7 +116,7 @@
 	var got []step
 	for _, s := range lines.of(t, event.StopStepEnded) {
 		if s.Began == nil || s.Took == nil || s.Callers == nil || s.Attempts == nil {
-			t.Fatalf("step %q lacks a field", s.Step)
+			t.Fatalf("a field of step %q is missing", s.Step)
 		}
 		got = append(got, step{s.Step, *s.Callers})
 	}
@@ -126,14 +126,15 @@
 	}
 }
 
-// unusedWait is how long net/http waits at a stop for a connection that has carried no
-// request.
+// unusedWait is how long net/http waits at a shutdown for a connection that has carried
+// no request.
 const unusedWait = 5 * time.Second
 
-// Stops ran to their bound, said that they had cut callers off, and held their process back
-// from its next start, although nothing was in hand: peers had opened connections to the
-// node that they had not used yet. Evidence: event 108, whose peer drain lasts until then.
-func TestAStopDoesNotWaitForConnectionsThatCarryNoRequest(t *testing.T) {
+// Stops ran to their time limit, reported that they had cut off callers, and delayed the
+// restart of their process although nothing was in flight: peers had opened connections
+// to the node that they had not used yet. Event 108 shows it, whose peer drain lasts
+// until then.
+func TestStopDoesNotWaitForUnusedConnections(t *testing.T) {
 	lines := &logged{}
 	f, err := local.Start(local.Config{
 		Bundle:      fmt.Appendf(nil, testBundle, 1),
--- a/internal/node/suspended.go
+++ b/internal/node/suspension.go
@@ -8,15 +8,15 @@
 	"gypsumstand/internal/suspension"
 )
 
-// moment is a time by the steady clock, and for how long the machine had been suspended
-// until then.
+// moment is a reading of the monotonic clock, with the total time that the machine had
+// been suspended until then.
 type moment struct {
 	at    time.Time
 	slept suspension.Total
 }
 
-// clock returns this moment. Where the system does not tell, no suspension is known of; New
-// has logged that.
+// clock returns the current moment. If the system does not report suspensions, none are
+// counted; New has logged that.
 func (n *Node) clock() moment {
 	slept, err := suspension.Now()
 	if err != nil {
@@ -25,14 +25,15 @@
 	return moment{at: time.Now(), slept: slept}
 }
 
-// elapsed returns the time since a moment, suspensions included.
+// elapsed returns the time since a moment, including suspensions.
 func (n *Node) elapsed(since moment) time.Duration {
 	now := n.clock()
 	return now.at.Sub(since.at) + now.slept.Since(since.slept)
 }
 
-// noteSuspension tells the core when the machine was suspended since the loop's last moment.
-func (n *Node) noteSuspension(last, now moment) {
+// checkSuspension informs the core if the machine was suspended since the loop's last
+// moment.
+func (n *Node) checkSuspension(last, now moment) {
 	d := now.slept.Since(last.slept)
 	if d == 0 {
 		return
--- a/internal/node/unused.go
+++ b/internal/node/unusedconns.go
@@ -6,18 +6,18 @@
 	"sync"
 )
 
-// unusedConns closes a server's connections that have carried no request, once the server
-// shuts down: net/http serves nothing on them from then on, but waits until they are five
-// seconds old. A drain beside one of them takes 1 ms so, and 5.2 s without this.
-// It is safe for concurrent use.
+// unusedConns closes a server's connections that have carried no request once the server
+// shuts down. net/http serves nothing on them from then on, but waits until they are five
+// seconds old. With such a connection a drain took 5.2 s, and takes 1 ms when it is
+// closed. It is safe for concurrent use.
 type unusedConns struct {
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
-	// closing: the server shuts down.
+	// closing is set while the server shuts down.
 	closing bool
 }
 
-// watchUnused makes a server's unused connections end with it.
+// watchUnused closes a server's unused connections when it shuts down.
 func watchUnused(s *http.Server) {
 	u := &unusedConns{conns: map[net.Conn]struct{}{}}
 	then := s.ConnState
@@ -44,8 +44,9 @@
 	}
 }
 
-// close closes what is unused. net/http has begun to shut down before: a request that is
-// read at this moment is not handed on, so that none is cut off.
+// close closes the unused connections. net/http has begun to shut down by then: it does
+// not pass a request that is being read at this moment to the handler, so no request is
+// cut off.
 func (u *unusedConns) close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -17,32 +17,32 @@
 	"gypsumstand/internal/pause"
 )
 
-// Bounds of polling the worker.
+// Settings of polling the worker.
 const (
 	pollTimeout   = time.Second
 	maxPollBytes  = 4 << 10
 	noBundlePause = 100 * time.Millisecond
 	minPollPause  = 50 * time.Millisecond
-	// livenessPause is the pace of polls where the budget is meant for refresh: they
-	// only show that the worker lives.
+	// livenessPause is the interval of polls if the budget is reserved for load samples:
+	// they only check that the worker is running.
 	livenessPause = 400 * time.Millisecond
 )
 
-// workerWatch follows the worker's life stage from polls and traffic.
+// workerWatch tracks the worker's state by polls and traffic.
 type workerWatch struct {
 	node   *Node
 	client *http.Client
 
-	mu    sync.Mutex
-	judge *health.Tracker
-	// life is the worker as it last named itself, in answers of its health path and
-	// where it refused what was meant for another.
-	life model.WorkerID
-	// fresh is closed when the refreshing poll under way has ended; nil when there
-	// is none.
-	fresh chan struct{}
-	// answeredSince is when the last poll that was answered began, refusedAt when a
-	// connection was last refused, as by a port that nobody listens on.
+	mu      sync.Mutex
+	tracker *health.Tracker
+	// reportedID is the id that the worker last reported, in responses of its health path
+	// or in a refusal of a request that was meant for another worker.
+	reportedID model.WorkerID
+	// polling is closed when the poll for a load sample in progress has ended; nil if
+	// there is none.
+	polling chan struct{}
+	// answeredSince is when the last poll with a response began, refusedAt when a
+	// connection was last refused because nothing listens on the port.
 	answeredSince, refusedAt time.Time
 }
 
@@ -53,16 +53,15 @@
 		Timeout:       pollTimeout,
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
-	judge := health.NewTracker()
+	tracker := health.NewTracker()
 	if n.cfg.Directory != nil {
-		judge = health.NewReachabilityTracker()
+		tracker = health.NewReachabilityTracker()
 	}
-	return &workerWatch{node: n, client: client, judge: judge}
+	return &workerWatch{node: n, client: client, tracker: tracker}
 }
 
-// run polls at the pace that the bundle's measuring budget leaves, until the
-// node stops. A service without a health path has its worker taken for live
-// until traffic says otherwise.
+// run polls at the interval that the bundle's measuring budget allows, until the node
+// stops. Without a health path the worker counts as live until traffic shows otherwise.
 func (w *workerWatch) run() {
 	defer w.client.CloseIdleConnections()
 	for w.node.ctx.Err() == nil {
@@ -73,19 +72,19 @@
 			continue
 		}
 		if w.node.core.OwnerLimiter.AllowPoll(time.Now()) {
-			w.ask(svc.HealthPath)
+			w.pollOnce(svc.HealthPath)
 		}
 		pause.For(w.node.ctx, w.pollPause(b))
 	}
 }
 
-// refreshTimeout bounds the wait for a sample: a worker answers it in 1 ms.
+// refreshTimeout bounds the wait for a load sample; a worker usually responds within 1
+// ms.
 const refreshTimeout = 20 * time.Millisecond
 
-// refresh asks the worker how it is where the last sample is too old, within the
-// measuring budget. Attempts that come meanwhile wait for the same answer. It blocks
-// for refreshTimeout at most; without an answer the attempt is decided on what is
-// known.
+// refresh polls the worker if the last load sample is too old, within the measuring
+// budget. Concurrent attempts wait for the same response. It blocks for at most
+// refreshTimeout; without a response the attempt is decided on the existing data.
 func (w *workerWatch) refresh(ctx context.Context) {
 	if !w.node.core.Owner.NeedsSample(time.Now()) {
 		return
@@ -93,19 +92,19 @@
 	timer := time.NewTimer(refreshTimeout)
 	defer timer.Stop()
 	select {
-	case <-w.refreshing():
+	case <-w.startPoll():
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// refreshing returns a channel that is closed when the poll under way, or one that begins
-// now, has ended.
-func (w *workerWatch) refreshing() <-chan struct{} {
+// startPoll returns a channel that is closed when the poll in progress, or one that it
+// starts, has ended. If no poll is allowed, the channel is already closed.
+func (w *workerWatch) startPoll() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.fresh != nil {
-		return w.fresh
+	if w.polling != nil {
+		return w.polling
 	}
 	done := make(chan struct{})
 	svc, _ := w.node.core.Board.Bundles.Get().Service(w.node.cfg.Service)
@@ -113,11 +112,11 @@
 		close(done)
 		return done
 	}
-	w.fresh = done
+	w.polling = done
 	w.node.start(func() {
-		w.ask(svc.HealthPath)
+		w.pollOnce(svc.HealthPath)
 		w.mu.Lock()
-		w.fresh = nil
+		w.polling = nil
 		w.mu.Unlock()
 		close(done)
 	})
@@ -132,11 +131,11 @@
 	return pause
 }
 
-// followHeld keeps samples fresh while attempts wait for what they show. It is
+// sampleForQueue keeps load samples fresh while queued attempts depend on them. It is
 // called with the owner's ticks and does not block.
-func (w *workerWatch) followHeld() {
+func (w *workerWatch) sampleForQueue() {
 	if w.node.core.Owner.WaitsForSample(time.Now()) {
-		w.refreshing()
+		w.startPoll()
 	}
 }
 
@@ -147,74 +146,76 @@
 	return max(time.Duration(float64(time.Second)/perSecond), minPollPause)
 }
 
-// poll asks the worker once; without a health path it only opens a connection.
+// poll sends the worker one health request; without a health path it only opens a
+// connection.
 func (w *workerWatch) poll(path string) health.Poll {
 	if path == "" {
-		return w.knock()
+		return w.checkPort()
 	}
 	req, err := http.NewRequestWithContext(w.node.ctx, http.MethodGet, "http://"+w.node.cfg.WorkerAddress+path, nil)
 	if err != nil {
 		return health.Poll{}
 	}
-	asked := time.Now()
+	sent := time.Now()
 	resp, err := w.client.Do(req)
 	if err != nil {
-		w.noteRefused(err)
+		w.recordRefused(err)
 		return health.Poll{Refused: isDialError(err)}
 	}
 	defer resp.Body.Close()
-	return w.readPoll(resp, asked)
+	return w.readPoll(resp, sent)
 }
 
-func (w *workerWatch) readPoll(resp *http.Response, asked time.Time) health.Poll {
+func (w *workerWatch) readPoll(resp *http.Response, sent time.Time) health.Poll {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxPollBytes))
 	if err != nil {
 		return health.Poll{}
 	}
-	said := w.node.cfg.Workers.ReadHealth(resp, data)
-	w.node.executor.Deliver(w.node.core.Owner.ObserveLoad(time.Now(), said.Load))
-	w.noteWarming(asked, said.Warming)
-	if said.Worker != "" {
-		w.said(said.Worker)
+	report := w.node.cfg.Workers.ReadHealth(resp, data)
+	w.node.executor.Deliver(w.node.core.Owner.ObserveLoad(time.Now(), report.Load))
+	w.recordWarming(sent, report.Warming)
+	if report.Worker != "" {
+		w.identified(report.Worker)
 	}
-	return health.Poll{Answered: true, OK: said.OK, Leaving: said.Leaving}
+	return health.Poll{Answered: true, OK: report.OK, Leaving: report.Leaving}
 }
 
-// noteWarming takes the worker's word, in an answer to a question sent at asked, of how much
-// longer it is warming.
-func (w *workerWatch) noteWarming(asked time.Time, left time.Duration) {
-	ds, turned := w.node.core.Owner.ObserveWarming(time.Now(), asked, left)
+// recordWarming records how much longer the worker is warming, from a response to a poll
+// sent at the given time.
+func (w *workerWatch) recordWarming(sent time.Time, left time.Duration) {
+	ds, changed := w.node.core.Owner.ObserveWarming(time.Now(), sent, left)
 	w.node.executor.Deliver(ds)
-	if turned {
+	if changed {
 		event.Log(&w.node.log, event.WorkerWarming).Int("left_ms", left.Milliseconds()).Send()
 	}
 }
 
-// said takes the worker's own word of who it is. It does not block.
-func (w *workerWatch) said(id model.WorkerID) {
+// identified records the id that the worker reports. It blocks while the core's queue is
+// full.
+func (w *workerWatch) identified(id model.WorkerID) {
 	w.mu.Lock()
-	before := w.life
-	w.life = id
+	before := w.reportedID
+	w.reportedID = id
 	w.mu.Unlock()
 	if before != id {
 		w.node.sink(control.WorkerIdentified{Worker: id})
 	}
 }
 
-// worker returns the worker as it last named itself, or empty.
-func (w *workerWatch) worker() model.WorkerID {
+// workerID returns the id that the worker last reported, or empty.
+func (w *workerWatch) workerID() model.WorkerID {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.life
+	return w.reportedID
 }
 
-// knock opens and closes a connection.
-func (w *workerWatch) knock() health.Poll {
+// checkPort opens and closes a connection.
+func (w *workerWatch) checkPort() health.Poll {
 	ctx, cancel := context.WithTimeout(w.node.ctx, pollTimeout)
 	defer cancel()
 	conn, err := new(net.Dialer).DialContext(ctx, "tcp", w.node.cfg.WorkerAddress)
 	if err != nil {
-		w.noteRefused(err)
+		w.recordRefused(err)
 		return health.Poll{Refused: true}
 	}
 	conn.Close()
@@ -226,28 +227,29 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func (w *workerWatch) polled(p health.Poll) {
+func (w *workerWatch) recordPoll(p health.Poll) {
 	if w.node.ctx.Err() != nil {
 		return
 	}
-	w.changed(w.judged(func() model.UpstreamState { return w.judge.ObservePoll(time.Now(), p) }))
+	w.stateChanged(w.update(func() model.UpstreamState { return w.tracker.ObservePoll(time.Now(), p) }))
 }
 
-// judged returns the worker's state before and after a judgement; one that panics leaves no
-// lock behind.
-func (w *workerWatch) judged(judge func() model.UpstreamState) (before, after model.UpstreamState) {
+// update applies an observation to the tracker and returns the worker's state before and
+// after it. If that panics, the lock is released.
+func (w *workerWatch) update(observe func() model.UpstreamState) (before, after model.UpstreamState) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	before = w.judge.State()
-	return before, judge()
+	before = w.tracker.State()
+	return before, observe()
 }
 
-// traffic takes the evidence of real work; it is the executor's hook.
-func (w *workerWatch) traffic(refused bool) {
-	w.changed(w.judged(func() model.UpstreamState { return w.judge.ObserveTraffic(time.Now(), refused) }))
+// connectionObserved evaluates the result of a connection for an attempt; it implements
+// server.ExecutorConfig.ConnectionObserved.
+func (w *workerWatch) connectionObserved(refused bool) {
+	w.stateChanged(w.update(func() model.UpstreamState { return w.tracker.ObserveTraffic(time.Now(), refused) }))
 }
 
-func (w *workerWatch) changed(before, after model.UpstreamState) {
+func (w *workerWatch) stateChanged(before, after model.UpstreamState) {
 	if before == after {
 		return
 	}
@@ -255,9 +257,9 @@
 	w.node.sink(control.SelfStateChanged{State: after})
 }
 
-// workerBreaks is told when this node's worker begins to break every attempt, and when
-// that ends.
-func (n *Node) workerBreaks(open bool) {
+// breakerChanged logs that this node's worker begins to fail every attempt, or responds
+// again.
+func (n *Node) breakerChanged(open bool) {
 	id := event.WorkerRecovered
 	if open {
 		id = event.WorkerFailing
