--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// refreshTimeout bounds the wait for a load sample; a worker usually responds within 1
-// ms.
+// refreshTimeout bounds the wait for a load sample; a worker usually responds within
+// 1 ms.
 const refreshTimeout = 20 * time.Millisecond
 
 // refresh polls the worker if the last load sample is too old, within the measuring
--- a/internal/server/forwarder.go
+++ b/internal/server/forwarder.go
@@ -35,8 +35,8 @@
 
 // Settings of the transport between nodes.
 const (
-	// peerDialTimeout is several times the longest round trip between two regions (70
-	// ms). A machine without power does not reply at all.
+	// peerDialTimeout is several times the longest round trip between two regions
+	// (70 ms). A machine without power does not reply at all.
 	peerDialTimeout = 400 * time.Millisecond
 	// peerIdleTimeout is long enough to keep connections to peers in constant use; each
 	// connection costs both sides about 25 KB. It is far below DefaultIdleTimeout of the
