--- a/internal/server/caller.go
+++ b/internal/server/caller.go
@@ -113,12 +113,12 @@
 		return
 	}
 	if limit := target.Bundle.Callers.MaxHeaderBytes; limit > 0 && headerBytes(r) > limit {
-		c.refuseEarly(w, r, http.StatusRequestHeaderFieldsTooLarge, dialect.End{
+		c.refuseEarly(w, r, http.StatusRequestHeaderFieldsTooLarge, dialect.Result{
 			Outcome: model.OutcomeNotRun, Reason: model.ReasonBadRequest, Bundle: target.Bundle.VersionID(),
 		})
 		return
 	}
-	end := dialect.End{Outcome: model.OutcomeNotRun, Reason: model.ReasonBadRequest, Bundle: target.Bundle.VersionID()}
+	end := dialect.Result{Outcome: model.OutcomeNotRun, Reason: model.ReasonBadRequest, Bundle: target.Bundle.VersionID()}
 	headers, err := c.Dialect.ReadRequest(r.Header)
 	if err != nil {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -158,17 +158,17 @@
 // caller's own id was not run.
 func (c *CallerHandler) refuseUnrouted(w http.ResponseWriter, r *http.Request) {
 	if ready := c.Board.Readiness.Get(); ready != nil && ready.Ready {
-		c.refuseEarly(w, r, http.StatusNotFound, dialect.End{Outcome: model.OutcomeNotRun, Reason: model.ReasonNoRoute})
+		c.refuseEarly(w, r, http.StatusNotFound, dialect.Result{Outcome: model.OutcomeNotRun, Reason: model.ReasonNoRoute})
 		return
 	}
-	end := dialect.End{Outcome: model.OutcomeNotRun, Reason: model.ReasonNotReady, RetryAfter: notReadyRetry}
+	end := dialect.Result{Outcome: model.OutcomeNotRun, Reason: model.ReasonNotReady, RetryAfter: notReadyRetry}
 	if r.Header.Get(wire.HeaderIdempotencyKey) != "" {
 		end.Outcome = model.OutcomeUnknown
 	}
 	c.refuseEarly(w, r, http.StatusServiceUnavailable, end)
 }
 
-func (c *CallerHandler) refuseBody(w http.ResponseWriter, r *http.Request, err error, end dialect.End) {
+func (c *CallerHandler) refuseBody(w http.ResponseWriter, r *http.Request, err error, end dialect.Result) {
 	if errors.Is(err, errBodyTooLarge) {
 		w.Header().Set("Connection", "close")
 		end.Reason = model.ReasonBodyTooLarge
@@ -241,8 +241,8 @@
 }
 
 // writeEnd sends the caller an outcome without a response.
-func (c *CallerHandler) writeEnd(w http.ResponseWriter, r *http.Request, status int, e dialect.End) {
-	c.Dialect.Ended(w.Header(), r.Header, e)
+func (c *CallerHandler) writeEnd(w http.ResponseWriter, r *http.Request, status int, e dialect.Result) {
+	c.Dialect.WriteFailure(w.Header(), r.Header, e)
 	w.WriteHeader(status)
 }
 
@@ -252,7 +252,7 @@
 const refusedBodyTimeout = 500 * time.Millisecond
 
 // refuseEarly refuses a request that was never placed.
-func (c *CallerHandler) refuseEarly(w http.ResponseWriter, r *http.Request, status int, e dialect.End) {
+func (c *CallerHandler) refuseEarly(w http.ResponseWriter, r *http.Request, status int, e dialect.Result) {
 	setReadDeadline(w, r, time.Now().Add(refusedBodyTimeout))
 	c.writeEnd(w, r, status, e)
 	// An unreadable header yields no request id.
--- a/internal/server/exchange.go
+++ b/internal/server/exchange.go
@@ -79,7 +79,7 @@
 	outcome := step.Outcome
 	status := statusOf(step)
 	defer func() { x.record(c, outcome, step.Reason, status, attempts) }()
-	end := dialect.End{
+	end := dialect.Result{
 		Outcome: step.Outcome, Reason: step.Reason, RetryAfter: step.RetryAfter,
 		Upstream: c.upstream, Bundle: x.target.Bundle.VersionID(),
 	}
@@ -96,13 +96,13 @@
 }
 
 // writeResponse passes the response on. An error means that the caller sees it cut off.
-func (x *exchange) writeResponse(buffered *bufferedResponse, end dialect.End) error {
+func (x *exchange) writeResponse(buffered *bufferedResponse, end dialect.Result) error {
 	a := buffered.response
 	defer a.Body.Close()
 	x.setResponseDeadline(buffered)
 	h := x.w.Header()
 	copyInto(h, a.Header)
-	x.caller.Dialect.Answered(h, end)
+	x.caller.Dialect.AnnotateResponse(h, end)
 	length := a.ContentLength
 	if buffered.complete && x.r.Method != http.MethodHead {
 		length = int64(len(buffered.prefix))
@@ -176,6 +176,6 @@
 // by the dialect.
 func (x *exchange) outgoingHeader() http.Header {
 	h := endToEnd(x.r.Header)
-	x.caller.Dialect.Forward(h, x.r.RemoteAddr)
+	x.caller.Dialect.PrepareForward(h, x.r.RemoteAddr)
 	return h
 }
--- a/internal/server/executorrun.go
+++ b/internal/server/executorrun.go
@@ -35,7 +35,7 @@
 		return x.failed(ctx, fp, started, trace.NotRun())
 	}
 	x.connectionObserved(false)
-	head := x.dialect.ReadAnswer(resp, &w.Attempt)
+	head := x.dialect.ReadResponse(resp, &w.Attempt)
 	x.Deliver(x.owner.ObserveLoad(time.Now(), head.Load))
 	if refusal, ok := x.checkHead(w, resp, head); !ok {
 		trace.CloseConn()
@@ -44,14 +44,14 @@
 		x.finish(w.Attempt.ID, owner.Completion{ServiceTime: time.Since(started), Failed: true})
 		return Result{Refusal: refusal}
 	}
-	if head.Life != "" && x.workerIdentified != nil {
-		x.workerIdentified(head.Life)
+	if head.Worker != "" && x.workerIdentified != nil {
+		x.workerIdentified(head.Worker)
 	}
 	if head.NotRun {
 		defer cancel()
 		defer resp.Body.Close()
 		shed := head.Refusal == model.ReasonWorkerShed
-		spurious := shed && head.Load.HasRoom()
+		spurious := shed && head.Load.HasSpareSlots()
 		x.finish(w.Attempt.ID, owner.Completion{
 			ServiceTime: time.Since(started), NotRun: true, Delegate: true,
 			Shed: shed && !spurious, SpuriousRefusal: spurious, Abandoned: !shed, Status: resp.StatusCode,
@@ -146,15 +146,15 @@
 // checkHead refuses responses that belong to another request, responses whose
 // completeness cannot be checked, and protocol switches: no request asked for one (RFC
 // 9110, section 15.2.2), and its body would end only with the connection.
-func (x *Executor) checkHead(w *AttemptMessage, resp *http.Response, head dialect.WorkerHead) (model.Refusal, bool) {
+func (x *Executor) checkHead(w *AttemptMessage, resp *http.Response, head dialect.ResponseHead) (model.Refusal, bool) {
 	broken := model.Refusal{Reason: model.ReasonWorkerBroken}
-	if head.Echo == dialect.EchoWrong || head.Echo == dialect.EchoAbsent && x.requireEcho.Load() {
+	if head.Echo == dialect.EchoMismatch || head.Echo == dialect.EchoAbsent && x.requireEcho.Load() {
 		return broken, false
 	}
 	if resp.StatusCode < http.StatusOK {
 		return broken, false
 	}
-	if !x.dialect.EndsWithConnection() && upstream.CheckFraming(resp, w.Method) != nil {
+	if !x.dialect.AcceptsCloseDelimited() && upstream.CheckFraming(resp, w.Method) != nil {
 		return broken, false
 	}
 	return model.Refusal{}, true
@@ -171,7 +171,7 @@
 	u := *w.URL
 	u.Scheme, u.Host = "http", x.address
 	req := w.request(ctx, &u)
-	x.dialect.Prepare(req.Header, &w.Attempt, x.worker())
+	x.dialect.PrepareAttempt(req.Header, &w.Attempt, x.worker())
 	return req
 }
 
