--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -82,8 +82,8 @@
 	// may be nil.
 	OnCall func(server.CallRecord)
 	Log    zerolog.Logger
-	// Requests receives the log lines about single requests.
-	Requests zerolog.Logger
+	// RequestLog receives the log lines about single requests.
+	RequestLog zerolog.Logger
 }
 
 // Directory is a source of instances and configuration. Its methods may be called
@@ -239,7 +239,7 @@
 		Worker:             n.worker,
 		ConnectionObserved: n.watch.connectionObserved,
 
-		RequestLog:         &n.cfg.Requests,
+		RequestLog:         &n.cfg.RequestLog,
 		RefreshLoad:        n.watch.refresh,
 		DirectoryFreshness: n.directoryFreshness,
 		WorkerIdentified:   n.watch.identified,
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -19,7 +19,7 @@
 
 // makeServers creates the servers of the three ports with their handlers.
 func (n *Node) makeServers() {
-	timeouts := &callerTimeouts{current: n.callerLimits, log: &n.cfg.Requests}
+	timeouts := &callerTimeouts{current: n.callerLimits, log: &n.cfg.RequestLog}
 	n.ports.caller = callerListener{n.ports.caller, timeouts}
 	n.ports.callerHTTP = n.httpServer(n.callerRoutes())
 	n.ports.callerHTTP.ConnState = timeouts.state
@@ -39,7 +39,7 @@
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       n.cfg.IdleTimeout,
 		MaxHeaderBytes:    n.cfg.MaxHeaderBytes,
-		ErrorLog:          log.New(serverErrors{&n.cfg.Requests}, "", 0),
+		ErrorLog:          log.New(serverErrors{&n.cfg.RequestLog}, "", 0),
 	}
 }
 
@@ -73,7 +73,7 @@
 		Forwarder:          n.forwarder,
 		Resolver:           n.resolver,
 		Recorder:           recorder{n},
-		RequestLog:         &n.cfg.Requests,
+		RequestLog:         &n.cfg.RequestLog,
 		BundleReported:     n.bundleReported,
 		FreshnessReported:  n.ownerReported,
 		DirectoryFreshness: n.directoryFreshness,
@@ -84,7 +84,7 @@
 		Dialect:            n.cfg.Callers,
 		Service:            n.cfg.Service,
 		Leaving:            n.leaving,
-		ExtendRetryAfter:   n.limitRetryAfter,
+		LimitRetryAfter:    n.limitRetryAfter,
 	}
 	r := newRouter()
 	r.PathPrefix("/").Handler(caller)
--- a/internal/server/caller.go
+++ b/internal/server/caller.go
@@ -83,9 +83,9 @@
 	AttemptUnanswered func(in model.Instance, reason model.Reason)
 	// UnreachableSignal notifies attempts that their owner has become unreachable.
 	UnreachableSignal *UnreachableSignal
-	// ExtendRetryAfter adjusts a Retry-After so that this node can still be reached then
+	// LimitRetryAfter adjusts a Retry-After so that this node can still be reached then
 	// if it is about to stop; nil leaves it unchanged.
-	ExtendRetryAfter func(after time.Duration) time.Duration
+	LimitRetryAfter func(after time.Duration) time.Duration
 	// Leaving reports whether callers are asked to close their connections (Connection:
 	// close).
 	Leaving func() bool
--- a/internal/server/exchange.go
+++ b/internal/server/exchange.go
@@ -73,8 +73,8 @@
 		c.dropResponse()
 		step.Outcome, step.Reason = model.OutcomeUnknown, model.ReasonExpired
 	}
-	if x.caller.ExtendRetryAfter != nil {
-		step.RetryAfter = x.caller.ExtendRetryAfter(step.RetryAfter)
+	if x.caller.LimitRetryAfter != nil {
+		step.RetryAfter = x.caller.LimitRetryAfter(step.RetryAfter)
 	}
 	outcome := step.Outcome
 	status := statusOf(step)
--- a/internal/wire/headers.go
+++ b/internal/wire/headers.go
@@ -44,8 +44,8 @@
 	HeaderReport = "Gypsum-Report"
 	// HeaderRefusal is the model.Reason of an owner's refusal.
 	HeaderRefusal = "Gypsum-Refusal"
-	// HeaderRefusalHome names the only instance whose owner may run a refused attempt.
-	HeaderRefusalHome = "Gypsum-Refusal-Home"
+	// HeaderRefusalOnlyOwner names the only instance whose owner may run a refused attempt.
+	HeaderRefusalOnlyOwner = "Gypsum-Refusal-Home"
 	// HeaderRefusalGranted is "true" if that owner is granted the right to run the
 	// request; the next attempt there sets model.Attempt.Granted.
 	HeaderRefusalGranted = "Gypsum-Refusal-Lent"
