--- a/internal/model/attempt.go
+++ b/internal/model/attempt.go
@@ -2,71 +2,74 @@
 
 import "time"
 
-// Attempt is what an entry node sends an owner about one try at a request. All
-// that was decided under the entry's bundle version travels with it, so that a
-// request is decided under one version from end to end.
+// Attempt is one try at a request, as the entry node sends it to an owner. It carries
+// everything that the entry derived from its bundle version, so that one version governs
+// the request from end to end.
 type Attempt struct {
 	ID      AttemptID `cbor:"1,keyasint"`
 	Request RequestID `cbor:"2,keyasint"`
-	// CallerKey says that the caller chose Request itself (Idempotency-Key), so
-	// that the same id may arrive again by another way.
+	// CallerKey reports that the caller chose Request itself (Idempotency-Key), so that
+	// the same id may also arrive through another entry node.
 	CallerKey bool `cbor:"3,keyasint"`
-	// Owner and OwnerIncarnation bind the attempt to one life of one owner. An
-	// owner of another incarnation refuses it. Zero means not known yet.
+	// Owner and OwnerIncarnation bind the attempt to one incarnation of one owner;
+	// any other incarnation refuses it. Zero means not known yet.
 	Owner            InstanceID  `cbor:"4,keyasint"`
 	OwnerIncarnation Incarnation `cbor:"5,keyasint"`
 	Service          ServiceName `cbor:"6,keyasint"`
 	Class            ClassName   `cbor:"7,keyasint"`
 	Tenant           TenantName  `cbor:"8,keyasint"`
-	// Worth is the class's worth of an answer in deadline (unitless, bundle).
+	// Worth is the class's worth, from the bundle, of a response within the deadline;
+	// it has no unit.
 	Worth      float64 `cbor:"9,keyasint"`
 	Idempotent bool    `cbor:"10,keyasint"`
 	// Remaining is the time left to the deadline when the attempt was sent.
 	Remaining time.Duration `cbor:"11,keyasint"`
-	// OwnerClock is a lower bound of the owner's clock (LoadReport.Clock) at the
-	// moment of sending: the newest reading heard from the owner plus the time
-	// since then. The owner's clock at arrival minus OwnerClock bounds the
-	// attempt's age from above, with no common clock. Zero means none was heard.
+	// OwnerClock is a lower bound of the owner's clock (LoadReport.Clock) when the
+	// attempt is sent: the newest reading received from the owner plus the time since
+	// then. The owner's clock at arrival minus OwnerClock is an upper bound of the
+	// attempt's age, without a common clock. Zero means that no reading was received.
 	OwnerClock time.Duration `cbor:"12,keyasint"`
-	// Bundle is the version that the entry decided under.
+	// Bundle is the version that the entry's decisions are based on.
 	Bundle BundleVersion `cbor:"13,keyasint"`
-	// RetryBudget is the number of extra attempts left to the path below this
-	// attempt.
+	// RetryBudget is the number of extra attempts left to the calls that the worker makes
+	// while it runs this attempt, and to the calls below those.
 	RetryBudget int `cbor:"14,keyasint"`
-	// Delegated says that the home owner of Request has registered it and sent
-	// it elsewhere, so this owner need not register it.
+	// Delegated reports that the home node of Request has registered it and lets
+	// another owner run it, so that this owner need not register it.
 	Delegated bool `cbor:"15,keyasint"`
-	// Caller is the service beside whose worker the request entered the system.
+	// Caller is the service of the instance at which the request entered the system.
 	Caller ServiceName `cbor:"16,keyasint,omitempty"`
-	// MayMove says that the entry can place the request elsewhere: an owner that
-	// cannot start it now refuses it as busy.
+	// MayMove reports that the entry can place the request elsewhere: an owner that
+	// cannot start it at once refuses it as busy.
 	MayMove bool `cbor:"17,keyasint,omitempty"`
 	// Objective is the time left to the request's latency objective when the attempt
-	// was sent; zero means that it has none, a negative one has passed.
+	// was sent; zero means no objective, a negative value one that has passed.
 	Objective time.Duration `cbor:"19,keyasint,omitempty"`
 	// DirectoryRevision is the revision of the directory up to which the entry knows
-	// every change, where it follows one. It says nothing of its age: an attempt may
-	// have waited on its way for as long as a link was cut.
+	// every change, where it follows one. It proves nothing about how recent that is:
+	// the attempt may have been buffered for as long as a link was cut.
 	DirectoryRevision uint64 `cbor:"20,keyasint,omitempty"`
-	// Crashes counts the workers that seem to have ended under earlier attempts of this sending.
+	// Crashes counts the workers that seem to have crashed during earlier attempts of
+	// this submission.
 	Crashes uint8 `cbor:"21,keyasint,omitempty"`
-	// Granted says that the owner whose worker ended last under the request leaves this run
-	// to the attempt's owner.
+	// Granted reports that the coordinator of the suspect request, the owner whose worker
+	// crashed last while running it, grants this run to the attempt's owner.
 	Granted bool `cbor:"22,keyasint,omitempty"`
-	// Regions are those in which the request may run. One that may run nowhere is never sent.
+	// Regions are those in which the request may run. A request that may run in none is
+	// never sent.
 	Regions Regions `cbor:"23,keyasint,omitempty"`
 }
 
-// Outcome is what the caller is told of its request.
+// Outcome is what the response reports to the caller about its request.
 type Outcome uint8
 
 // The outcomes, as the Gypsum-Outcome header names them.
 const (
 	// OutcomeUnknown: the request may or may not have run.
 	OutcomeUnknown Outcome = iota
-	// OutcomeAnswered: the worker's whole answer.
+	// OutcomeAnswered: the worker's complete response.
 	OutcomeAnswered
-	// OutcomeNotRun: proved that no worker has run or will run it.
+	// OutcomeNotRun: it is proved that no worker has run the request or will run it.
 	OutcomeNotRun
 )
 
@@ -80,44 +83,45 @@
 	return outcomeNames[OutcomeUnknown]
 }
 
-// Reason says why an owner or an entry refused or could not finish a request.
+// Reason is why an owner or an entry refused a request or could not complete it.
 type Reason uint8
 
-// The reasons. RefusalProvesNotRun tells which of them prove "not run".
+// The reasons. Refusal.NotRun reports whether a refusal proves "not run".
 const (
 	ReasonNone Reason = iota
-	// ReasonOverloaded: no slot would come free within the deadline.
+	// ReasonOverloaded: no slot is expected to be free within the deadline.
 	ReasonOverloaded
-	// ReasonQueueFull: the bounded queue was full of requests worth as much.
+	// ReasonQueueFull: the bounded queue was full of requests of at least the same worth.
 	ReasonQueueFull
 	// ReasonExpired: the remaining time was used up before the start.
 	ReasonExpired
 	// ReasonLeaving: the owner's upstream is leaving.
 	ReasonLeaving
-	// ReasonNotReady: the upstream is cold or its worker does not answer.
+	// ReasonNotReady: the upstream is cold or its worker does not respond.
 	ReasonNotReady
 	// ReasonIncarnation: the attempt is bound to another incarnation of the owner.
 	ReasonIncarnation
-	// ReasonStale: the attempt's age could not be bounded by its remaining time.
+	// ReasonStale: the attempt may be older than its remaining time.
 	ReasonStale
-	// ReasonTenantLimit: the tenant's own limit.
+	// ReasonTenantLimit: the tenant is at its limit.
 	ReasonTenantLimit
-	// ReasonDelegated: the home owner registered the request and frees the entry
-	// to place it elsewhere.
+	// ReasonDelegated: the home node registered the request and lets the entry place it
+	// at another owner.
 	ReasonDelegated
 	// ReasonDuplicateRunning: the same non-idempotent request is running or queued.
 	ReasonDuplicateRunning
 	// ReasonDuplicateDone: the same non-idempotent request has run.
 	ReasonDuplicateDone
-	// ReasonFenced: the attempt was settled before it arrived.
+	// ReasonFenced: the attempt's outcome was resolved as "not run" before it arrived.
 	ReasonFenced
-	// ReasonWorkerUnreachable: no connection to the worker could be had; no byte left.
+	// ReasonWorkerUnreachable: the connection to the worker failed before any byte was sent.
 	ReasonWorkerUnreachable
-	// ReasonWorkerShed: the worker said itself that it did not run the request.
+	// ReasonWorkerShed: the worker itself reported that it did not run the request.
 	ReasonWorkerShed
-	// ReasonWorkerBroken: the worker's answer was cut, crossed or malformed.
+	// ReasonWorkerBroken: the worker's response was truncated, malformed or belonged to
+	// another request.
 	ReasonWorkerBroken
-	// ReasonCancelled: the entry or the caller gave up.
+	// ReasonCancelled: the entry or the caller cancelled the request.
 	ReasonCancelled
 	// ReasonNoUpstream: the entry knows no upstream of the service.
 	ReasonNoUpstream
@@ -125,35 +129,35 @@
 	ReasonNoRoute
 	// ReasonBodyTooLarge: the body is over the bundle's bound.
 	ReasonBodyTooLarge
-	// ReasonPaused: the process woke late and has not yet refreshed its state.
+	// ReasonPaused: the process was paused and has not yet refreshed its state.
 	ReasonPaused
-	// ReasonLinkBroken: the way to the owner broke after bytes had left.
+	// ReasonLinkBroken: the connection to the owner failed after bytes had been sent.
 	ReasonLinkBroken
 	// ReasonBadRequest: the request itself is malformed.
 	ReasonBadRequest
-	// ReasonOwnerAbsent: the owner's address refused the connection, so that no
-	// process of the owner lives there, nor its memory.
+	// ReasonOwnerAbsent: the owner's address refused the connection, so that the owner's
+	// process is not running and what it remembered is lost.
 	ReasonOwnerAbsent
-	// ReasonBusy: the owner cannot start the attempt now; another may.
+	// ReasonBusy: the owner cannot start the attempt now; another owner may.
 	ReasonBusy
-	// ReasonWorkerReplaced: another worker answered in place of the one that was named,
-	// and did not run the request.
+	// ReasonWorkerReplaced: a worker other than the named one responded, and did not run
+	// the request.
 	ReasonWorkerReplaced
-	// ReasonNotAcknowledged: the owner did not begin to answer in time, and the attempt was
-	// withdrawn before anything of it could run.
+	// ReasonNotAcknowledged: the owner did not acknowledge the attempt in time, and the
+	// attempt was withdrawn before any of it could run.
 	ReasonNotAcknowledged
-	// ReasonWorkerCrashed: the worker's process seems to have ended while it had the attempt:
-	// its port is closed, or it broke several attempts off at one moment.
+	// ReasonWorkerCrashed: the worker's process seems to have crashed during the attempt:
+	// its port is closed, or several of its attempts were cut off at the same moment.
 	ReasonWorkerCrashed
-	// ReasonQuarantined: workers ended under the same request time and again.
+	// ReasonQuarantined: workers repeatedly crashed while running the same request.
 	ReasonQuarantined
-	// ReasonDeferred: a worker ended under the same request, which now may run at one owner
-	// only; see Refusal.Home.
+	// ReasonDeferred: a worker crashed while running the same request, which may now run
+	// at one owner only; see Refusal.OnlyOwner.
 	ReasonDeferred
-	// ReasonEvacuated: nothing is to be sent to the workers of the owner's data centre.
+	// ReasonEvacuated: the owner's data centre is evacuated, and its workers get no requests.
 	ReasonEvacuated
-	// ReasonRegion: the request may not run in the owner's region, or no upstream is in one
-	// where it may.
+	// ReasonRegion: the request may not run in the owner's region, or there is no upstream
+	// in any region where it may run.
 	ReasonRegion
 
 	reasonCount
@@ -176,7 +180,7 @@
 	return "invalid"
 }
 
-// ParseReason reads the form that Reason.String writes; ok is false for others.
+// ParseReason parses the form that Reason.String returns; ok is false for any other string.
 func ParseReason(s string) (r Reason, ok bool) {
 	for i, name := range reasonNames {
 		if name == s {
@@ -186,39 +190,41 @@
 	return ReasonNone, false
 }
 
-// Refusal is an owner's or entry's answer in place of a worker's.
+// Refusal is the reply of an owner or an entry in place of a worker's response.
 type Refusal struct {
 	Reason Reason
-	// NotRun says that this attempt is proved not to have run, and never will.
+	// NotRun reports that this attempt is proved not to have run and will never run.
 	NotRun bool
-	// RetryAfter is the time after which another try here makes sense; zero
-	// means no advice.
+	// RetryAfter is the time after which it is worth trying this owner again; zero means
+	// not known.
 	RetryAfter time.Duration
-	// Home, with ReasonDeferred or ReasonDelegated, is the only owner at which the request
-	// may run; empty where none is known. Lent: that owner is to be told so by Attempt.Lent.
+	// OnlyOwner, with ReasonDeferred or ReasonDelegated, is the only owner at which the
+	// request may run; empty where none is known.
 	OnlyOwner InstanceID
-	Granted   bool
+	// Granted reports that an attempt at OnlyOwner must set Attempt.Granted.
+	Granted bool
 }
 
 // AttemptState is the owner's record of one attempt.
 type AttemptState uint8
 
-// The states of an attempt at its owner. Barred and NeverSeen (which bars on
-// settlement) prove "not run".
+// The states of an attempt at its owner. AttemptFenced proves "not run". So do
+// AttemptNeverSeen and AttemptQueued in the reply to an outcome resolution, as the owner
+// then fences the attempt.
 const (
 	AttemptNeverSeen AttemptState = iota
 	AttemptQueued
 	AttemptStarted
 	AttemptDone
 	AttemptFenced
-	// AttemptForgotten: the owner's bounded memory no longer reaches back, or
-	// the attempt was bound to another incarnation. It proves nothing.
+	// AttemptForgotten: the owner's bounded records no longer cover the attempt, or the
+	// attempt was bound to another incarnation. It proves nothing.
 	AttemptForgotten
 )
 
 var attemptStateNames = [...]string{"never-seen", "queued", "started", "done", "barred", "forgotten"}
 
-// String returns the name of s for logs.
+// String returns the name of s for logs, "invalid" for an unknown state.
 func (s AttemptState) String() string {
 	if int(s) < len(attemptStateNames) {
 		return attemptStateNames[s]
--- a/internal/model/directory.go
+++ b/internal/model/directory.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Listing is one life of a worker, as a directory lists it.
+// Listing is a directory's entry for one incarnation of a worker.
 type Listing struct {
-	// Instance is the instance beside which the worker runs, with its worker and
-	// slots. Its State is StateLive, or StateLeaving for a worker that drains.
+	// Instance is the instance on which the worker runs, with its worker and slots. Its
+	// State is StateLive, or StateLeaving for a worker that drains.
 	Instance Instance `cbor:"1,keyasint"`
-	// Created orders the lives that were listed at one instance: the greatest is
-	// the present one.
+	// Created orders the incarnations listed for one instance: the greatest is the
+	// current one.
 	Created uint64 `cbor:"2,keyasint"`
-	// Revision is the directory's at the listing's last change.
+	// Revision is the directory's revision of the listing's last change.
 	Revision uint64 `cbor:"3,keyasint"`
-	// WarmingMs is for how long the worker is warming from that change on, in
-	// milliseconds, as it says; zero when it is not.
+	// WarmingMs is how long the worker reports to be warming from that change on, in
+	// milliseconds; zero when it is not warming.
 	WarmingMs int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Evacuation is a data centre to whose workers nothing is to be sent.
+// Evacuation is a data centre whose workers get no requests.
 type Evacuation struct {
 	DataCentre DataCentre `cbor:"1,keyasint"`
-	// Revision is the directory's at the last change.
+	// Revision is the directory's revision of the last change.
 	Revision uint64 `cbor:"2,keyasint"`
-	// Ended: it was taken back.
+	// Ended reports that the evacuation was revoked.
 	Ended bool `cbor:"3,keyasint,omitempty"`
 }
 
@@ -33,47 +33,49 @@
 type Unlisted struct {
 	Worker   WorkerID `cbor:"1,keyasint"`
 	Revision uint64   `cbor:"2,keyasint"`
-	// Replaced: the worker's entry is still there, but somebody has written what names
-	// no worker. That is no lease that lapsed.
+	// Replaced reports that the worker's key still exists but its new value does not
+	// describe a worker: the removal is not an expired lease.
 	Replaced bool `cbor:"3,keyasint,omitempty"`
 }
 
-// RawConfig is a configuration as a directory holds it.
+// RawConfig is a configuration as the directory stores it.
 type RawConfig struct {
-	// Revision is the directory's at the configuration's last change.
+	// Revision is the directory's revision of the configuration's last change.
 	Revision uint64 `cbor:"1,keyasint"`
-	// Packed is its text in compressed form; see package packed.
+	// Packed is the compressed text of the configuration; see package packed.
 	Packed []byte `cbor:"2,keyasint"`
 }
 
-// DirectoryFreshness says how much of a directory a node knows. It rides on every report,
-// so that nodes learn of news from each other, and of how fresh their knowledge is.
+// DirectoryFreshness is how much of a directory a node knows, and how recently that was
+// confirmed. Every load report carries it, so that nodes learn from each other of newer
+// revisions and of how stale their own view is.
 type DirectoryFreshness struct {
-	// Revision is the directory's up to which the node knows every change; zero when
-	// it knows nothing.
+	// Revision is the directory's revision up to which the node knows every change; zero
+	// when it knows none.
 	Revision uint64 `cbor:"1,keyasint,omitempty"`
-	// AgeMs is how long ago that was known to be the newest, in milliseconds;
-	// AgeUnknown when nothing bounds it.
+	// AgeMs is an upper bound of the time since Revision was confirmed to be the newest,
+	// in milliseconds; AgeUnknown when there is no bound.
 	AgeMs uint32 `cbor:"2,keyasint,omitempty"`
 }
 
-// AgeUnknown is the AgeMs of a mark that may be of any age.
+// AgeUnknown is the AgeMs of a DirectoryFreshness of unbounded age.
 const AgeUnknown = math.MaxUint32
 
-// freshStep is by how many milliseconds a mark must be fresher to be news: an eighth of
-// the time after which a node reads the directory itself.
-const freshStep = 100
+// minFresherMs is by how many milliseconds the age must be lower for the same revision to
+// count as newer: an eighth of the time after which a node reads the directory itself.
+const minFresherMs = 100
 
-// IsNewerThan tells whether m tells more than another mark: a greater revision, or the same
-// one confirmed later.
-func (m DirectoryFreshness) IsNewerThan(than DirectoryFreshness) bool {
-	if m.Revision != than.Revision {
-		return m.Revision > than.Revision
+// IsNewerThan reports whether m has a greater revision than other, or the same revision,
+// confirmed at least minFresherMs later.
+func (m DirectoryFreshness) IsNewerThan(other DirectoryFreshness) bool {
+	if m.Revision != other.Revision {
+		return m.Revision > other.Revision
 	}
-	return uint64(m.AgeMs)+freshStep <= uint64(than.AgeMs)
+	return uint64(m.AgeMs)+minFresherMs <= uint64(other.AgeMs)
 }
 
-// Aged returns the mark as it is after a time of at most d on its way.
+// Aged returns m with its age raised by d, the longest time that it may have spent in
+// transit; a negative d counts as zero.
 func (m DirectoryFreshness) Aged(d time.Duration) DirectoryFreshness {
 	age := uint64(m.AgeMs) + uint64(max(d.Milliseconds(), 0))
 	m.AgeMs = uint32(min(age, AgeUnknown))
--- a/internal/model/directory_test.go
+++ b/internal/model/directory_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestAMarkGrowsOlderOnItsWay(t *testing.T) {
+func TestFreshnessAgeAddsTransitTime(t *testing.T) {
 	for _, tt := range []struct {
 		age  uint32
 		by   time.Duration
@@ -24,11 +24,11 @@
 	}
 }
 
-func TestAMarkIsNewerByItsRevisionOrElseByItsAge(t *testing.T) {
+func TestFreshnessOrderedByRevisionThenAge(t *testing.T) {
 	known := DirectoryFreshness{Revision: 7, AgeMs: 300}
 	for _, tt := range []struct {
-		mark DirectoryFreshness
-		want bool
+		fresh DirectoryFreshness
+		want  bool
 	}{
 		{DirectoryFreshness{Revision: 6, AgeMs: 0}, false},
 		{DirectoryFreshness{Revision: 8, AgeMs: AgeUnknown}, true},
@@ -36,8 +36,8 @@
 		{DirectoryFreshness{Revision: 7, AgeMs: 200}, true},
 		{DirectoryFreshness{Revision: 7, AgeMs: AgeUnknown}, false},
 	} {
-		if got := tt.mark.IsNewerThan(known); got != tt.want {
-			t.Errorf("%+v newer than %+v: %v", tt.mark, known, got)
+		if got := tt.fresh.IsNewerThan(known); got != tt.want {
+			t.Errorf("%+v newer than %+v: %v", tt.fresh, known, got)
 		}
 	}
 }
--- a/internal/model/fingerprint.go
+++ b/internal/model/fingerprint.go
@@ -8,56 +8,57 @@
 	"net/url"
 )
 
-// Fingerprint tells requests apart by what their callers ask for: method, path with its
-// query, tenant and body, and the host where the route is for that host only. The id, the
-// key and the entry of a request are no part of it, so that every sending of one request has
-// the same. The zero value stands for a request of which it is not known.
+// Fingerprint identifies a request by its content: method, path with query, tenant and body,
+// and the host where the route matches that host only. It doesn't cover the id, the caller's
+// key or the entry node, so that every submission of one request has the same fingerprint.
+// The zero value means that the fingerprint is not known.
 type Fingerprint [16]byte
 
 // String returns f in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// IsZero reports whether f stands for an unknown request.
+// IsZero reports whether f is the zero value: not known.
 func (f Fingerprint) IsZero() bool { return f == Fingerprint{} }
 
-// FingerprintHash makes a request's fingerprint. It is a cryptographic hash, so that no
-// caller can make a request that is taken for another one's. Every field is preceded by
-// its length, so that none can be moved into the next.
-type FingerprintHash struct{ sum hash.Hash }
+// FingerprintHash computes a request's fingerprint. It is a cryptographic hash, so that a
+// caller cannot construct a request with the fingerprint of another one. Every field is
+// preceded by its length, so that bytes cannot shift from one field into the next.
+type FingerprintHash struct{ digest hash.Hash }
 
-// NewFingerprintHash begins the fingerprint of a request with a body of that length, in
-// bytes; the body is then written to it. host is empty for a route for any host.
+// NewFingerprintHash returns the hash of a request's head; the caller then writes the body
+// to it. length is the announced length of the body in bytes, where a negative value counts
+// as zero. host is empty for a route that matches any host.
 func NewFingerprintHash(method, host string, u *url.URL, tenant TenantName, length int64) FingerprintHash {
-	head := make([]byte, 0, usualHead)
+	head := make([]byte, 0, typicalHeadBytes)
 	for _, field := range [...]string{method, host, u.EscapedPath(), u.RawQuery, string(tenant)} {
 		head = binary.BigEndian.AppendUint64(head, uint64(len(field)))
 		head = append(head, field...)
 	}
 	head = binary.BigEndian.AppendUint64(head, uint64(max(length, 0)))
 	h := FingerprintHash{sha256.New()}
-	// A hash takes every write.
-	_, _ = h.sum.Write(head)
+	// Writing to a hash never fails.
+	_, _ = h.digest.Write(head)
 	return h
 }
 
-// NewFingerprint returns the fingerprint of a request whose body is here. length is what the
-// caller says of the body, negative where it does not say.
+// NewFingerprint returns the fingerprint of a request whose body is fully buffered. length is
+// the length that the caller announced, negative where it announced none.
 func NewFingerprint(method, host string, u *url.URL, tenant TenantName, length int64, body []byte) Fingerprint {
 	h := NewFingerprintHash(method, host, u, tenant, length)
-	// A hash takes every write.
+	// Writing to a hash never fails.
 	_, _ = h.Write(body)
 	return h.Sum()
 }
 
-// usualHead is room for the fields of most requests, in bytes.
-const usualHead = 256
+// typicalHeadBytes is a buffer size that holds the head of most requests.
+const typicalHeadBytes = 256
 
-// Write implements io.Writer for a part of the body.
-func (h FingerprintHash) Write(p []byte) (int, error) { return h.sum.Write(p) }
+// Write adds a part of the body; it never fails.
+func (h FingerprintHash) Write(p []byte) (int, error) { return h.digest.Write(p) }
 
-// Sum returns the fingerprint of what was written so far.
+// Sum returns the fingerprint of the head and the body written so far.
 func (h FingerprintHash) Sum() Fingerprint {
 	var f Fingerprint
-	copy(f[:], h.sum.Sum(nil))
+	copy(f[:], h.digest.Sum(nil))
 	return f
 }
--- a/internal/model/fingerprint_test.go
+++ b/internal/model/fingerprint_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// asked is a request's fields as a fingerprint sees them.
-type asked struct{ method, host, target, tenant, body string }
+// fingerprintInput is the content of a request that its fingerprint covers.
+type fingerprintInput struct{ method, host, target, tenant, body string }
 
-func (a asked) fingerprint(t *testing.T) Fingerprint {
+func (a fingerprintInput) fingerprint(t *testing.T) Fingerprint {
 	t.Helper()
 	u, err := url.Parse(a.target)
 	if err != nil {
@@ -21,8 +21,8 @@
 	return h.Sum()
 }
 
-func TestRequestsThatDifferAreToldApart(t *testing.T) {
-	all := []asked{
+func TestFingerprintDiffersPerField(t *testing.T) {
+	all := []fingerprintInput{
 		{"GET", "", "/a", "", ""},
 		{"POST", "", "/a", "", ""},
 		{"GET", "h", "/a", "", ""},
@@ -30,38 +30,38 @@
 		{"GET", "", "/a", "t", ""},
 		{"GET", "", "/a", "", "t"},
 		{"GET", "", "/a/", "", ""},
-		// The same bytes in other fields.
+		// The same bytes as above, split differently between fields.
 		{"GETh", "", "/a", "", ""},
 		{"GET", "", "/a?", "q=1", ""},
 		{"GET", "", "/%61", "", ""},
 	}
-	seen := map[Fingerprint]asked{}
+	seen := map[Fingerprint]fingerprintInput{}
 	for _, a := range all {
 		f := a.fingerprint(t)
 		if other, taken := seen[f]; taken {
-			t.Errorf("%v is taken for %v", a, other)
+			t.Errorf("%v and %v have the same fingerprint", a, other)
 		}
 		seen[f] = a
 	}
 }
 
-func TestABodyMayComeInPieces(t *testing.T) {
+func TestFingerprintIgnoresBodyChunking(t *testing.T) {
 	body := strings.Repeat("x", 1000)
-	whole := asked{"POST", "", "/a", "", body}.fingerprint(t)
+	full := fingerprintInput{"POST", "", "/a", "", body}.fingerprint(t)
 	h := NewFingerprintHash("POST", "", &url.URL{Path: "/a"}, "", int64(len(body)))
 	for i := range body {
 		_, _ = h.Write([]byte(body[i : i+1]))
 	}
-	if got := h.Sum(); got != whole {
-		t.Errorf("%s in pieces, %s whole", got, whole)
+	if got := h.Sum(); got != full {
+		t.Errorf("fingerprint of a body in pieces is %s, of the full body %s", got, full)
 	}
-	if whole.IsZero() || len(whole.String()) != 32 {
-		t.Errorf("fingerprint %s", whole)
+	if full.IsZero() || len(full.String()) != 32 {
+		t.Errorf("fingerprint %s", full)
 	}
 }
 
-// BenchmarkFingerprint is what a request costs while any is suspect: a lookup, and a payout
-// with a body of 512 bytes.
+// BenchmarkFingerprint measures the cost per request while there are suspect requests, by
+// the size of the body in bytes: a lookup has none, a payout has 512.
 func BenchmarkFingerprint(b *testing.B) {
 	for _, body := range []int{0, 512, 64 << 10} {
 		b.Run(strconv.Itoa(body), func(b *testing.B) {
--- a/internal/model/fleet_test.go
+++ b/internal/model/fleet_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func fleetOf(n int) *Fleet {
+func newFleet(n int) *Fleet {
 	f := &Fleet{}
 	for i := range n {
 		f.Instances = append(f.Instances, Instance{ID: InstanceID(fmt.Sprintf("10.%03d.%03d.1", i/250, i%250))})
@@ -13,8 +13,8 @@
 	return f
 }
 
-func TestAnInstanceIsFoundByItsID(t *testing.T) {
-	f := fleetOf(600)
+func TestFleetInstanceByID(t *testing.T) {
+	f := newFleet(600)
 	for i := range f.Instances {
 		id := f.Instances[i].ID
 		if in, known := f.Instance(id); !known || in.ID != id {
@@ -28,9 +28,10 @@
 	}
 }
 
-// At 10,000 instances 0.19 us; a search from the first one on took 31 us.
+// BenchmarkInstance looks up instances in a fleet of 10,000: binary search takes 0.19 us, a
+// linear search took 31 us.
 func BenchmarkInstance(b *testing.B) {
-	f := fleetOf(10_000)
+	f := newFleet(10_000)
 	for i := range b.N {
 		f.Instance(f.Instances[i%len(f.Instances)].ID)
 	}
--- a/internal/model/load.go
+++ b/internal/model/load.go
@@ -6,20 +6,19 @@
 	"time"
 )
 
-// UpstreamState is the life stage of an upstream, as its owner knows it.
-// Within an incarnation it only grows from Leaving on: leaving never turns back.
+// UpstreamState is the lifecycle state of an upstream, as its owner knows it.
 type UpstreamState uint8
 
-// The life stages. Cold and Live may alternate; Leaving and Gone are final
-// within an incarnation.
+// The lifecycle states. An upstream may alternate between cold and live. Leaving is final
+// within an incarnation: it is followed by gone only.
 const (
-	// StateCold: the worker is starting or does not answer; no work is started.
+	// StateCold: the worker is starting or does not respond; no request is started.
 	StateCold UpstreamState = iota
-	// StateLive: the worker takes work.
+	// StateLive: the worker accepts requests.
 	StateLive
-	// StateLeaving: finishes what it admitted and takes no new work.
+	// StateLeaving: the upstream completes the requests it admitted and accepts no new ones.
 	StateLeaving
-	// StateGone: stopped or declared dead.
+	// StateGone: the upstream has stopped or was declared dead.
 	StateGone
 )
 
@@ -33,7 +32,8 @@
 	return "invalid"
 }
 
-// ParseUpstreamState reads the form that UpstreamState.String writes.
+// ParseUpstreamState parses the form that UpstreamState.String returns; ok is false for any
+// other string.
 func ParseUpstreamState(s string) (state UpstreamState, ok bool) {
 	for i, name := range upstreamStateNames {
 		if name == s {
@@ -43,17 +43,17 @@
 	return StateCold, false
 }
 
-// LoadReport is the owner's exact knowledge of its upstream at one moment. It
-// rides on every answer and refusal, so it costs no message of its own.
+// LoadReport is an owner's exact state of its upstream at one moment. It is piggybacked on
+// every response and refusal, so that it needs no message of its own.
 type LoadReport struct {
 	Owner       InstanceID  `cbor:"1,keyasint"`
 	Incarnation Incarnation `cbor:"2,keyasint"`
-	// Clock is the owner's monotonic clock since its start when the report was
-	// made. It orders reports and stamps attempts (Attempt.OwnerClock).
+	// Clock is the time on the owner's monotonic clock since its start when the report
+	// was made. It orders reports and is the basis of Attempt.OwnerClock.
 	Clock time.Duration `cbor:"3,keyasint"`
 	State UpstreamState `cbor:"4,keyasint"`
-	// Limit is the number of requests that the owner runs at once now (slots,
-	// lowered by adaptation and slow start).
+	// Limit is the number of requests that the owner currently runs concurrently: the
+	// slots, lowered by the adaptive limit and slow start.
 	Limit uint16 `cbor:"5,keyasint"`
 	// InFlight is the number of requests at the worker.
 	InFlight uint16 `cbor:"6,keyasint"`
@@ -61,104 +61,108 @@
 	Queued uint16 `cbor:"7,keyasint"`
 	// ServiceTime is the smoothed time that the worker takes per request.
 	ServiceTime time.Duration `cbor:"8,keyasint"`
-	// FailureRate is the smoothed share of the worker's answers that failed, in
+	// FailureRate is the smoothed share of the worker's responses that failed, in
 	// thousandths.
 	FailureRate uint16 `cbor:"9,keyasint"`
-	// Bundle is the version that governs the owner's service, so that a node
-	// behind learns of a newer one from any call.
+	// Bundle is the version that governs the owner's service, so that an outdated node
+	// learns of a newer version from any call.
 	Bundle BundleVersion `cbor:"10,keyasint"`
-	// SlowdownPercent is how long work takes at the worker at this moment, in percent of
-	// usual; 0 when the worker does not tell.
+	// SlowdownPercent is the time that a request now takes at the worker, in percent of
+	// the usual time; 0 when the worker does not report it.
 	SlowdownPercent uint16 `cbor:"11,keyasint,omitempty"`
-	// Directory is what the owner's node knows of the directory, where it follows one.
+	// Directory is how much of the directory the owner's node knows, where it follows one.
 	Directory DirectoryFreshness `cbor:"12,keyasint,omitempty"`
-	// WarmingMs is for how much longer the worker is warming, in milliseconds; zero when
-	// it is not, or nothing says so.
+	// WarmingMs is how much longer the worker is warming, in milliseconds; zero when it is
+	// not warming or that is not known.
 	WarmingMs uint32 `cbor:"13,keyasint,omitempty"`
-	// Delayed is the smoothed share of the attempts offered to the owner that it did not start
-	// at once, in thousandths.
+	// Delayed is the smoothed share of the attempts offered to the owner that it did not
+	// start at once, in thousandths.
 	Delayed uint16 `cbor:"14,keyasint,omitempty"`
 }
 
-// delayedUnit is the unit of LoadReport.Delayed.
-const delayedUnit = 1000
+// delayedScale is the value of LoadReport.Delayed for a share of 1.
+const delayedScale = 1000
 
-// DelayedThousandths returns the form of a share, 0 to 1, in LoadReport.Delayed.
-func DelayedThousandths(share float64) uint16 { return uint16(share*delayedUnit + 0.5) }
+// DelayedThousandths converts a share, 0 to 1, to the form of LoadReport.Delayed.
+func DelayedThousandths(share float64) uint16 { return uint16(share*delayedScale + 0.5) }
 
-// ImmediateStartShare returns the share of offered attempts that the owner started at once.
+// ImmediateStartShare returns the share, 0 to 1, of the offered attempts that the owner
+// started at once.
 func (r *LoadReport) ImmediateStartShare() float64 {
-	return max(1-float64(r.Delayed)/delayedUnit, 0)
+	return max(1-float64(r.Delayed)/delayedScale, 0)
 }
 
-// WarmingLeft returns for how much longer the worker is warming.
+// WarmingLeft returns how much longer the worker is warming.
 func (r *LoadReport) WarmingLeft() time.Duration {
 	return time.Duration(r.WarmingMs) * time.Millisecond
 }
 
-// SlowdownFactor returns how many times as long as usual work takes, at least 1.
+// SlowdownFactor returns how many times as long as usual a request takes at the worker, at
+// least 1.
 func (r *LoadReport) SlowdownFactor() float64 {
 	const usual = 100
 	return max(1, float64(r.SlowdownPercent)/usual)
 }
 
-// failureUnit is the unit of LoadReport.FailureRate.
-const failureUnit = 1000
+// failureRateScale is the value of LoadReport.FailureRate for a share of 1.
+const failureRateScale = 1000
 
 // FailureShare returns the failure rate as a share, 0 to 1.
-func (r *LoadReport) FailureShare() float64 { return float64(r.FailureRate) / failureUnit }
+func (r *LoadReport) FailureShare() float64 { return float64(r.FailureRate) / failureRateScale }
 
-// Instance is one member of the fleet as the blackboard shows it.
+// Instance is one member of the fleet, as the node's blackboard shows it.
 type Instance struct {
 	ID         InstanceID  `cbor:"1,keyasint"`
 	Service    ServiceName `cbor:"2,keyasint"`
 	DataCentre DataCentre  `cbor:"3,keyasint"`
 	// PeerAddress is the "ip:port" of the node's peer port.
 	PeerAddress string `cbor:"4,keyasint"`
-	// Incarnation is zero while only the platform's list has named the instance.
+	// Incarnation is zero while the instance is known only from the platform's list.
 	Incarnation Incarnation   `cbor:"5,keyasint"`
 	State       UpstreamState `cbor:"6,keyasint"`
-	// Worker is the present life of the instance's worker, where the source of
-	// instances tells the lives apart; empty otherwise.
+	// Worker is the id of the instance's current worker, where the source of instances
+	// distinguishes incarnations of workers; empty otherwise.
 	Worker WorkerID `cbor:"7,keyasint,omitempty"`
-	// WorkerStarted tells lives of one Worker apart that started again under the same id:
-	// when the present one started, in Unix milliseconds by its own clock; zero where
-	// the source does not say. It only identifies and is never compared with a time.
+	// WorkerStarted distinguishes incarnations of a worker that restarted under the same
+	// id: the start time of the current one, in Unix milliseconds by its own clock; zero
+	// where the source does not report it. It is an identifier, never compared with a
+	// time.
 	WorkerStarted int64 `cbor:"9,keyasint,omitempty"`
-	// Slots is the number of requests that the worker runs at once, as it says
-	// itself; zero when only the bundle tells.
+	// Slots is the number of requests that the worker runs concurrently, as it reports
+	// itself; zero when only the bundle defines it.
 	Slots int `cbor:"8,keyasint,omitempty"`
-	// WarmingUntil is when the worker, as the source of instances last said, is no longer
-	// warming, by this node's clock; zero when it is not, or the source does not say.
+	// WarmingUntil is when the worker stops warming, by this node's clock, as the source
+	// of instances last reported; zero when it is not warming or that is not known.
 	WarmingUntil time.Time `cbor:"-"`
 }
 
-// WorkerIncarnation identifies one life of a worker.
+// WorkerIncarnation identifies one run of a worker process; see Instance.WorkerStarted.
 type WorkerIncarnation struct {
 	ID      WorkerID
 	Started int64
 }
 
-// WorkerIncarnation returns the present life of the instance's worker; zero when none is known.
+// WorkerIncarnation returns the current incarnation of the instance's worker; zero when none
+// is known.
 func (in *Instance) WorkerIncarnation() WorkerIncarnation {
 	return WorkerIncarnation{ID: in.Worker, Started: in.WorkerStarted}
 }
 
-// Fleet is an immutable view of all known instances, sorted by ID. Readers must
-// not change it.
+// Fleet is an immutable view of all known instances. Readers must not change it.
 type Fleet struct {
-	// Revision grows with every change that this node publishes.
-	Revision  uint64
+	// Revision increases with every change that this node publishes.
+	Revision uint64
+	// Instances is sorted by ID.
 	Instances []Instance
-	// Evacuated names, in order, the data centres to whose workers nothing is to be sent.
+	// Evacuated lists, in order, the data centres whose workers get no requests.
 	Evacuated []DataCentre
 }
 
-// IsEvacuated tells whether nothing is to be sent to the workers of a data centre.
+// IsEvacuated reports whether the workers of a data centre get no requests.
 func (f *Fleet) IsEvacuated(dc DataCentre) bool { return slices.Contains(f.Evacuated, dc) }
 
-// Instance returns the view of one instance. What it says of a node's own one counts also
-// when nobody else says so: others may hold an older view.
+// Instance returns the instance with an id. What a node's view holds about the node's own
+// instance is valid even if peers disagree, as they may have an older view.
 func (f *Fleet) Instance(id InstanceID) (in Instance, known bool) {
 	at, known := slices.BinarySearchFunc(f.Instances, id, func(in Instance, id InstanceID) int {
 		return cmp.Compare(in.ID, id)
--- a/internal/model/regions.go
+++ b/internal/model/regions.go
@@ -2,17 +2,17 @@
 
 import "strings"
 
-// DataCentreRegions tells the region of each data centre.
+// DataCentreRegions maps each data centre to its region.
 type DataCentreRegions map[DataCentre]RegionName
 
-// Regions are those in which a request may run: their names, each followed by a comma. The
-// empty value means any region, noRegion none.
+// Regions is the set of regions in which a request may run: their names, each followed by a
+// comma. The empty value means any region, noRegions none.
 type Regions string
 
-// noRegion is a list without names.
-const noRegion Regions = ","
+// noRegions is the empty set.
+const noRegions Regions = ","
 
-// NewRegions returns the regions of a list of names; an absent list means any.
+// NewRegions returns the set of the named regions; nil means any region.
 func NewRegions(names []RegionName) Regions {
 	if names == nil {
 		return ""
@@ -22,13 +22,13 @@
 		b.WriteString(string(name) + ",")
 	}
 	if b.Len() == 0 {
-		return noRegion
+		return noRegions
 	}
 	return Regions(b.String())
 }
 
-// Allows tells whether a request may run in a region. One whose name is not known is none of
-// those that a list names.
+// Allows reports whether a request may run in a region. An unknown region, whose name is
+// empty, is allowed only if any region is.
 func (r Regions) Allows(region RegionName) bool {
 	if r == "" {
 		return true
@@ -41,7 +41,7 @@
 	return false
 }
 
-// Intersect returns the regions that both allow.
+// Intersect returns the regions that both r and other allow.
 func (r Regions) Intersect(other Regions) Regions {
 	switch {
 	case r == "":
@@ -49,11 +49,11 @@
 	case other == "":
 		return r
 	}
-	both := []RegionName{}
+	common := []RegionName{}
 	for name := range strings.SplitSeq(string(r), ",") {
 		if name != "" && other.Allows(RegionName(name)) {
-			both = append(both, RegionName(name))
+			common = append(common, RegionName(name))
 		}
 	}
-	return NewRegions(both)
+	return NewRegions(common)
 }
--- a/internal/model/regions_test.go
+++ b/internal/model/regions_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestRegionsAllowWhatTheirListsName(t *testing.T) {
+func TestRegionsAllows(t *testing.T) {
 	both := NewRegions([]RegionName{"north", "south"})
 	for _, tt := range []struct {
 		name    string
