--- a/internal/entry/backoff.go
+++ b/internal/entry/backoff.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// Bounds of waiting between attempts and between questions to an owner.
+// Delays between attempts and between outcome resolutions.
 const (
-	// retryDelay is the mean wait before the first retry of what may have run;
-	// it doubles with each further one.
+	// retryDelay is the mean delay before the first retry of an attempt that may have run; it
+	// doubles with each further retry.
 	retryDelay = time.Millisecond
-	// roundDelay is the mean wait before owners that refused are asked again when
-	// none of them gave advice.
+	// roundDelay is the mean delay before owners that refused are asked again, when none of
+	// them sent a Retry-After.
 	roundDelay = 10 * time.Millisecond
-	// settleDelay is the mean wait before a settlement is asked again; it doubles
-	// with each further one.
-	settleDelay = 5 * time.Millisecond
-	// settlePatience is the time that an owner has for the first settlement.
-	settlePatience = 50 * time.Millisecond
-	// maxDoublings keeps a doubled wait within time.Duration.
+	// resolveDelay is the mean delay before an outcome resolution is repeated; it doubles with
+	// each further one.
+	resolveDelay = 5 * time.Millisecond
+	// resolveTimeout is the time that an owner has for the first outcome resolution; it
+	// doubles with each further one.
+	resolveTimeout = 50 * time.Millisecond
+	// maxDoublings keeps a doubled delay within the range of time.Duration.
 	maxDoublings = 20
 )
 
@@ -24,7 +25,7 @@
 	return base << min(n, maxDoublings)
 }
 
-// jitter returns a uniform time from half of d to one and a half of d.
+// jitter returns a random duration, uniform from 0.5 d to 1.5 d.
 func (e *Engine) jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
@@ -32,9 +33,9 @@
 	return d/2 + time.Duration(e.cfg.Random()%uint64(d))
 }
 
-// delayed returns a uniform time from d to one and a half of d: advice to wait
-// may be exceeded but not undercut.
-func (e *Engine) delayed(d time.Duration) time.Duration {
+// atLeastWithJitter returns a random duration, uniform from d to 1.5 d: a Retry-After may be
+// exceeded but not undercut.
+func (e *Engine) atLeastWithJitter(d time.Duration) time.Duration {
 	if d < 2 {
 		return d
 	}
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -10,7 +10,7 @@
 	"gypsumstand/internal/route"
 )
 
-// benchTable returns the product's table with 16 upstreams that were heard.
+// benchTable returns a table with the default policy and 16 upstreams that sent a report.
 func benchTable(target bundle.Target) *route.Table {
 	table := route.NewTable(route.Config{Self: "vouchers-a", DataCentre: "dc1"})
 	view := &model.Fleet{Revision: 1}
@@ -29,8 +29,8 @@
 	return table
 }
 
-// BenchmarkStraightCall is a call that is answered at once; its baseline is the
-// routing that it needs anyway.
+// BenchmarkStraightCall measures a call whose first attempt gets a response. Its baseline is the
+// routing that every call needs.
 func BenchmarkStraightCall(b *testing.B) {
 	r := testRequest()
 	table := benchTable(r.Target)
@@ -88,7 +88,7 @@
 	return c.Next(epoch)
 }
 
-// oneOwner is a table that costs nothing.
+// oneOwner is a chooser without cost: it always returns the same owner.
 type oneOwner struct{}
 
 func (oneOwner) Pick(time.Time, *route.Query) (route.Choice, bool) {
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -7,11 +7,11 @@
 	"gypsumstand/internal/route"
 )
 
-// Bounds of one call. Every path ends within them, whatever owners answer.
+// Bounds of one call. Every call ends within them, whatever the owners reply.
 const (
-	// maxOwners is the number of owners that one call offers its request to.
+	// maxOwners bounds the owners that one call offers its request to in one round.
 	maxOwners = 6
-	// maxSends is the number of attempts of one call, resent ones included.
+	// maxSends bounds the attempts of one call, resent ones included.
 	maxSends = 16
 )
 
@@ -21,17 +21,17 @@
 const (
 	// phasePlace: choose an owner and send.
 	phasePlace phase = iota
-	// phaseResend: send to the same owner again with a fresh stamp.
+	// phaseResend: send to the same owner again with its current incarnation and clock.
 	phaseResend
-	// phaseSent: an attempt is out; its report is awaited.
+	// phaseSent: an attempt is in flight; wait for the adapter's report on it.
 	phaseSent
-	// phaseSettle: ask the owner what became of the attempt.
-	phaseSettle
-	// phaseAsked: a settlement is out; its report is awaited.
-	phaseAsked
-	// phaseWait: wait until c.until, then go on with c.after.
+	// phaseResolve: ask the owner for the attempt's outcome.
+	phaseResolve
+	// phaseResolving: an outcome resolution is in flight; wait for the adapter's report.
+	phaseResolving
+	// phaseWait: wait until c.until, then continue with c.after.
 	phaseWait
-	// phaseEnd: over.
+	// phaseEnd: the call is over.
 	phaseEnd
 )
 
@@ -39,79 +39,83 @@
 type Call struct {
 	engine *Engine
 	bucket *bucket
-	// extra is set where the bundle bounds extra arrivals of all entries together.
-	extra *arrivals
-	// arrived counts the attempts that a worker has, or may have, had.
-	arrived int
-	// starts is what is known of the service's offers, mostMoves how many owners may turn
-	// the request away as busy.
-	starts    *starts
-	mostMoves int
-	// pace is set where the bundle hedges.
-	pace     *pace
+	// fleetBudget is nil unless the bundle bounds the extra attempts of all entries together.
+	fleetBudget *fleetBudget
+	// workerAttempts counts the attempts that a worker received or may have received.
+	workerAttempts int
+	// startRate is the service's share of attempts that start at once; maxMoves is how many
+	// owners may refuse this request as busy.
+	startRate *startRate
+	maxMoves  int
+	// latency is nil unless the bundle hedges and the request is idempotent.
+	latency  *latencyQuantile
 	req      Request
 	deadline time.Time
-	// waited is how long the caller is believed to have waited before this sending.
-	waited time.Duration
-	// budget is the number of extra attempts left to the path.
+	// waitedBefore estimates how long the caller had waited before this submission.
+	waitedBefore time.Duration
+	// budget is the number of extra attempts left to this call and to the calls below it.
 	budget int
 
 	phase phase
-	// until is for phaseWait and phaseAsked, after for phaseWait.
+	// until is used by phaseWait and phaseResolving, after by phaseWait.
 	until time.Time
 	after phase
 
 	current  model.Attempt
 	to       model.Instance
-	believed route.EstimateSummary
+	estimate route.EstimateSummary
 	sentAt   time.Time
-	// takenUpBy is for the attempt that is out, see takeUpTime.
-	takenUpBy time.Time
-	hedgeAt   time.Time
-	hedged    bool
-	// open: the current attempt has neither ended nor is proved not to have run.
-	open bool
-	// doubt: an attempt before the current one may have run.
-	doubt bool
-	// life and clock are the current owner's, when a report came with its word.
-	life      model.Incarnation
-	clock     time.Duration
-	hasReport bool
-	// held is the owner's part of the current attempt's time.
-	held time.Duration
-	// resent: the current owner was already given a fresh stamp.
+	// acknowledgeBy is for the attempt in flight; see acknowledgeTime.
+	acknowledgeBy time.Time
+	hedgeAt       time.Time
+	hedged        bool
+	// unresolved reports that the current attempt neither ended nor was proved not to have run.
+	unresolved bool
+	// mayHaveRun reports that an attempt before the current one may have run.
+	mayHaveRun bool
+	// ownerIncarnation and ownerClock are from the load report with the current owner's
+	// reply, valid if hasReport.
+	ownerIncarnation model.Incarnation
+	ownerClock       time.Duration
+	hasReport        bool
+	// ownerTime is the part of the current attempt's latency that was spent at the owner.
+	ownerTime time.Duration
+	// resent reports that the attempt was sent to the current owner a second time, with a
+	// fresh incarnation and clock.
 	resent bool
 
-	// moves counts the owners that turned the request away as busy; staying says
-	// that it now waits where it is placed.
-	moves   int
-	staying bool
-	sends   int
-	retries int
-	// ends counts the workers that seem to have ended under this call's attempts.
-	ends   int
-	rounds int
-	asks   int
-	// loaded: an owner refused for load.
-	loaded bool
-	// passing: an owner refused for a reason that passes within a moment.
-	passing bool
-	tried   triedOwners
-	named   namedOwner
-	home    homeState
-	// advice is the earliest time at which an owner that refused may be asked
-	// again; zero when none gave advice.
-	advice time.Time
-	query  route.Query
+	// moves counts the owners that refused the request as busy. queueing reports that the
+	// request no longer moves but waits in an owner's queue.
+	moves    int
+	queueing bool
+	sends    int
+	retries  int
+	// crashes counts the workers that seem to have crashed during this call's attempts.
+	crashes      int
+	rounds       int
+	resolveTries int
+	// refusedForLoad reports that an owner refused because it was overloaded.
+	refusedForLoad bool
+	// refusedTransiently reports that an owner refused for a reason that soon passes; see
+	// isTransient.
+	refusedTransiently bool
+	tried              triedOwners
+	onlyOwner          onlyOwnerState
+	home               homeState
+	// retryOwnersAt is the earliest time at which an owner that refused may be asked again;
+	// zero when none sent a Retry-After.
+	retryOwnersAt time.Time
+	query         route.Query
 
 	outcome    model.Outcome
 	reason     model.Reason
 	retryAfter time.Duration
-	// overloaded is the longest advice of owners that refused for load.
-	overloaded time.Duration
+	// overloadRetryAfter is the longest Retry-After of the owners that refused because they
+	// were overloaded.
+	overloadRetryAfter time.Duration
 }
 
-// triedOwners is a small set of owners without allocation.
+// triedOwners is a small set of owners that needs no allocation.
 type triedOwners struct {
 	ids [maxOwners]model.InstanceID
 	n   int
@@ -125,8 +129,8 @@
 }
 
 func (t *triedOwners) has(id model.InstanceID) bool {
-	for _, tried := range t.list() {
-		if tried == id {
+	for _, other := range t.list() {
+		if other == id {
 			return true
 		}
 	}
@@ -136,17 +140,17 @@
 func (t *triedOwners) full() bool               { return t.n == len(t.ids) }
 func (t *triedOwners) list() []model.InstanceID { return t.ids[:t.n] }
 
-// Deadline returns when the caller must be answered.
+// Deadline returns the time by which the caller must have a response.
 func (c *Call) Deadline() time.Time { return c.deadline }
 
-// SetReplayable tells whether the body can still be sent again. An adapter that
-// streams the body says true for as long as no attempt has taken a byte of it,
-// and calls SetReplayable before the report of the attempt that did.
+// SetReplayable sets whether the body can still be sent again. An adapter that streams the
+// body keeps it true until an attempt has read a byte of the body, and calls SetReplayable
+// before it reports that attempt's end.
 func (c *Call) SetReplayable(replayable bool) { c.req.Replayable = replayable }
 
-// Next returns what to do now. After StepSend or StepResolve one report must
-// come before Next is called again; without one the same step is returned. From
-// the deadline on there is no step but StepEnd, which is returned for ever.
+// Next returns what to do now. After StepSend or StepResolve the adapter must report the
+// result before it calls Next again; otherwise Next returns the same step. From the deadline
+// on, Next returns StepEnd only; once it has returned StepEnd it always does.
 func (c *Call) Next(now time.Time) Step {
 	if c.phase != phaseEnd && !now.Before(c.deadline) {
 		c.expire(now)
@@ -157,57 +161,57 @@
 			c.place(now)
 		case phaseResend:
 			c.resend(now)
-		case phaseSettle:
-			c.ask(now)
+		case phaseResolve:
+			c.resolve(now)
 		case phaseWait:
 			if now.Before(c.until) {
 				return Step{Kind: StepWait, Until: c.until}
 			}
 			c.phase = c.after
 		case phaseSent:
-			return Step{Kind: StepSend, To: c.to, Attempt: c.current, Until: c.deadline, AcknowledgeBy: c.takenUpBy, HedgeAt: c.hedgeAt, Estimate: c.believed}
-		case phaseAsked:
-			return c.settleStep(now)
+			return Step{Kind: StepSend, To: c.to, Attempt: c.current, Until: c.deadline, AcknowledgeBy: c.acknowledgeBy, HedgeAt: c.hedgeAt, Estimate: c.estimate}
+		case phaseResolving:
+			return c.resolveStep(now)
 		default:
 			return c.endStep()
 		}
 	}
 }
 
-// place chooses an owner and sends to it, or gives up.
+// place chooses an owner and sends to it; without one left, afterAllTried decides.
 func (c *Call) place(now time.Time) {
 	choice, ok := c.choose(now)
 	if !ok {
-		c.exhausted(now)
+		c.afterAllTried(now)
 		return
 	}
 	c.resent = false
-	c.believed = choice.Estimate
+	c.estimate = choice.Estimate
 	c.send(now, choice.Instance, choice.OwnerClock)
 }
 
-// choose picks an owner that this call has not asked in this round. The first
-// attempt of a request with a caller's key goes to the id's home.
+// choose picks an owner that this call has not tried in this round. A request that needs
+// its home node goes there until the home delegates it; a deferred one goes to its only owner.
 func (c *Call) choose(now time.Time) (route.Choice, bool) {
 	if c.sends == maxSends {
 		return route.Choice{}, false
 	}
-	if c.bound() {
+	if c.mustUseHome() {
 		return c.chooseHome(now)
 	}
-	if c.named.home != "" {
-		return c.chooseNamed(now)
+	if c.onlyOwner.id != "" {
+		return c.chooseOnlyOwner(now)
 	}
 	if c.tried.full() {
 		return route.Choice{}, false
 	}
-	q := c.queryAt(now)
+	q := c.routeQuery(now)
 	q.Tried = c.tried.list()
 	return c.engine.table.Pick(now, q)
 }
 
-// queryAt returns what the table is asked for this call at time now.
-func (c *Call) queryAt(now time.Time) *route.Query {
+// routeQuery returns this call's query to the routing table at time now.
+func (c *Call) routeQuery(now time.Time) *route.Query {
 	c.query = route.Query{
 		Service:   c.req.Target.Service.Name,
 		Class:     c.req.Target.Class.Name,
@@ -217,30 +221,30 @@
 	return &c.query
 }
 
-// resend sends to the current owner again, bound and stamped by its own report.
+// resend sends to the current owner again, with the incarnation and the clock that it reported.
 func (c *Call) resend(now time.Time) {
 	c.resent = true
-	c.to.Incarnation = c.life
-	c.send(now, c.to, c.clock)
+	c.to.Incarnation = c.ownerIncarnation
+	c.send(now, c.to, c.ownerClock)
 }
 
-// send makes an attempt at an owner whose clock is at least ownerClock now.
+// send starts an attempt at an owner whose clock is at least ownerClock now.
 func (c *Call) send(now time.Time, to model.Instance, ownerClock time.Duration) {
 	if to.ID == c.engine.cfg.Self.ID {
-		to.Incarnation = model.Incarnation(c.engine.adopted.Load())
+		to.Incarnation = model.Incarnation(c.engine.ownIncarnation.Load())
 	}
 	c.to = to
 	c.sentAt = now
-	c.takenUpBy = c.takeUpTime(now)
+	c.acknowledgeBy = c.acknowledgeTime(now)
 	c.hedgeAt = c.hedgeTime(now)
 	c.sends++
 	c.tried.add(to.ID)
-	c.named.sent(to.ID)
-	c.open = true
+	c.onlyOwner.noteSent(to.ID)
+	c.unresolved = true
 	c.hasReport = false
-	c.held = 0
-	c.asks = 0
-	c.home.spoke = c.home.delegated()
+	c.ownerTime = 0
+	c.resolveTries = 0
+	c.home.provesNotRun = c.home.isDelegated()
 	c.phase = phaseSent
 	c.current = model.Attempt{
 		ID:               c.engine.nextAttemptID(),
@@ -257,24 +261,25 @@
 		OwnerClock:       ownerClock,
 		Bundle:           c.req.Target.Bundle.VersionID(),
 		RetryBudget:      childBudget(c.budget),
-		Delegated:        c.home.delegated(),
+		Delegated:        c.home.isDelegated(),
 		Caller:           c.req.Caller,
 		MayMove:          c.mayMove(),
 		Objective:        c.objectiveLeft(now),
-		Crashes:          uint8(c.ends),
-		Granted:          c.named.lent,
+		Crashes:          uint8(c.crashes),
+		Granted:          c.onlyOwner.granted,
 		Regions:          c.req.Regions,
 	}
 	c.engine.table.Sent(now, to.ID)
 }
 
-// objectiveLeft returns the time left to the class's objective, zero when it sets
-// none; one that has passed is told as the least negative time.
+// objectiveLeft returns the time left to the class's objective, counted from the caller's
+// first submission: zero when the class has no objective, negative when it has passed. As
+// zero is taken, an objective that passes just now is returned as -1 ns.
 func (c *Call) objectiveLeft(now time.Time) time.Duration {
 	if c.req.Target.Class.ObjectiveMs <= 0 {
 		return 0
 	}
-	began := c.deadline.Add(-c.req.Timeout - c.waited)
+	began := c.deadline.Add(-c.req.Timeout - c.waitedBefore)
 	left := began.Add(c.req.Target.Class.Objective()).Sub(now)
 	if left == 0 {
 		return -1
@@ -282,7 +287,7 @@
 	return left
 }
 
-// wait goes on with after at time until.
+// wait makes Next wait until a time and then continue with the phase after.
 func (c *Call) wait(until time.Time, after phase) {
 	c.until = until
 	c.after = after
--- a/internal/entry/call_test.go
+++ b/internal/entry/call_test.go
@@ -10,7 +10,7 @@
 	"gypsumstand/internal/wire"
 )
 
-// script drives one call: each move takes the outstanding step and reports.
+// script drives one call: each action carries out the current step and reports its result.
 type script struct {
 	t     *testing.T
 	call  *Call
@@ -19,7 +19,7 @@
 	step  Step
 }
 
-type move func(s *script)
+type action func(s *script)
 
 func start(t *testing.T, owners int, traits ...func(*Request)) *script {
 	r := testRequest()
@@ -33,7 +33,7 @@
 	return s
 }
 
-// next asks for a step and waits out waits.
+// next gets the next step and waits as long as the steps ask for.
 func (s *script) next() {
 	s.step = s.call.Next(s.now)
 	for s.step.Kind == StepWait {
@@ -45,7 +45,7 @@
 	}
 }
 
-func (s *script) do(moves ...move) *script {
+func (s *script) do(moves ...action) *script {
 	for _, m := range moves {
 		s.now = s.now.Add(time.Millisecond)
 		m(s)
@@ -54,43 +54,45 @@
 	return s
 }
 
-func refuse(reason model.Reason) move {
+func refuse(reason model.Reason) action {
 	return func(s *script) {
 		s.call.Report(s.now, reportOf(s.step.To.ID))
 		s.call.Refused(s.now, model.Refusal{Reason: reason, NotRun: true, RetryAfter: 20 * time.Millisecond})
 	}
 }
 
-func fail(reason model.Reason) move {
+func fail(reason model.Reason) action {
 	return func(s *script) { s.call.Refused(s.now, model.Refusal{Reason: reason}) }
 }
 
-func settle(state model.AttemptState) move {
+func resolveAs(state model.AttemptState) action {
 	return func(s *script) {
 		s.call.Resolved(s.now, wire.ResolveReply{Attempt: s.step.Attempt.ID, State: state, Report: reportOf(s.step.To.ID)})
 	}
 }
 
-func broken(s *script)       { s.call.Interrupted(s.now, false) }
-func cut(s *script)          { s.call.Interrupted(s.now, true) }
-func answer(s *script)       { s.call.Answered(s.now, false) }
-func serverError(s *script)  { s.call.Answered(s.now, true) }
-func settleFailed(s *script) { s.call.ResolveFailed(s.now) }
-func gone(s *script)         { s.call.CallerCancelled(s.now) }
-func late(s *script)         { s.now = s.call.Deadline() }
+func interrupted(s *script)         { s.call.Interrupted(s.now, false) }
+func interruptedResponse(s *script) { s.call.Interrupted(s.now, true) }
+func answer(s *script)              { s.call.Answered(s.now, false) }
+func serverError(s *script)         { s.call.Answered(s.now, true) }
+func resolveFails(s *script)        { s.call.ResolveFailed(s.now) }
+func callerCancels(s *script)       { s.call.CallerCancelled(s.now) }
+func deadlinePasses(s *script)      { s.now = s.call.Deadline() }
 
-// unreachable is reported by the adapter without a report of the owner.
+// unreachable is reported by the adapter without a load report.
 func unreachable(s *script) {
 	s.call.Refused(s.now, model.Refusal{Reason: model.ReasonWorkerUnreachable, NotRun: true})
 }
 
-func crossedSettle(s *script) {
+// resolveOther is a reply about another attempt.
+func resolveOther(s *script) {
 	s.call.Resolved(s.now, wire.ResolveReply{
 		Attempt: model.AttemptID{Entry: "other", Incarnation: 1, Sequence: 1}, Report: reportOf(s.step.To.ID),
 	})
 }
 
-func restartedSettle(s *script) {
+// resolveByRestarted is a reply of the owner's next incarnation.
+func resolveByRestarted(s *script) {
 	r := reportOf(s.step.To.ID)
 	r.Incarnation++
 	s.call.Resolved(s.now, wire.ResolveReply{Attempt: s.step.Attempt.ID, State: model.AttemptNeverSeen, Report: r})
@@ -101,67 +103,67 @@
 	tests := map[string]struct {
 		owners  int
 		traits  traits
-		moves   []move
+		moves   []action
 		outcome model.Outcome
 		reason  model.Reason
 	}{
-		"answer":      {2, nil, []move{answer}, model.OutcomeAnswered, model.ReasonNone},
+		"answer":      {2, nil, []action{answer}, model.OutcomeAnswered, model.ReasonNone},
 		"no upstream": {0, nil, nil, model.OutcomeNotRun, model.ReasonNoUpstream},
-		"no upstream for a caller's key proves nothing of earlier sendings": {
+		"no upstream for a caller's key proves nothing about earlier submissions": {
 			0, traits{keyed}, nil, model.OutcomeUnknown, model.ReasonNoUpstream},
-		"no room at any": {
-			2, nil, []move{refuse(model.ReasonOverloaded), refuse(model.ReasonQueueFull)},
+		"all owners are overloaded": {
+			2, nil, []action{refuse(model.ReasonOverloaded), refuse(model.ReasonQueueFull)},
 			model.OutcomeNotRun, model.ReasonQueueFull},
-		"cold, which nobody knows the end of": {
-			1, nil, []move{refuse(model.ReasonNotReady)}, model.OutcomeNotRun, model.ReasonNotReady},
-		"cold at one and out of reach at the other": {
-			2, nil, []move{refuse(model.ReasonNotReady), unreachable}, model.OutcomeNotRun, model.ReasonWorkerUnreachable},
+		"cold for an unknown time": {
+			1, nil, []action{refuse(model.ReasonNotReady)}, model.OutcomeNotRun, model.ReasonNotReady},
+		"one owner cold, the other unreachable": {
+			2, nil, []action{refuse(model.ReasonNotReady), unreachable}, model.OutcomeNotRun, model.ReasonWorkerUnreachable},
 		"paused, and paused again": {
-			1, nil, []move{refuse(model.ReasonPaused), refuse(model.ReasonPaused), refuse(model.ReasonPaused)},
+			1, nil, []action{refuse(model.ReasonPaused), refuse(model.ReasonPaused), refuse(model.ReasonPaused)},
 			model.OutcomeNotRun, model.ReasonPaused},
-		"tenant limit": {3, nil, []move{refuse(model.ReasonTenantLimit)}, model.OutcomeNotRun, model.ReasonTenantLimit},
+		"tenant limit": {3, nil, []action{refuse(model.ReasonTenantLimit)}, model.OutcomeNotRun, model.ReasonTenantLimit},
 		"duplicate, although this attempt did not run": {
-			3, traits{keyed}, []move{refuse(model.ReasonDuplicateDone)}, model.OutcomeUnknown, model.ReasonDuplicateDone},
-		"refused with the body gone": {
-			3, traits{streamed}, []move{refuse(model.ReasonLeaving)}, model.OutcomeNotRun, model.ReasonLeaving},
-		"error of the worker passes through": {2, nil, []move{serverError}, model.OutcomeAnswered, model.ReasonNone},
-		"error of the worker with no other owner": {
-			1, traits{idempotent}, []move{serverError}, model.OutcomeAnswered, model.ReasonNone},
-		"worker broke": {2, nil, []move{fail(model.ReasonWorkerBroken)}, model.OutcomeUnknown, model.ReasonWorkerBroken},
-		"part of an answer went on": {
-			2, traits{idempotent}, []move{cut}, model.OutcomeUnknown, model.ReasonLinkBroken},
-		"rest of a streamed answer is missing": {
-			2, nil, []move{answer, cut}, model.OutcomeUnknown, model.ReasonLinkBroken},
-		"settled as started":   {2, nil, []move{broken, settle(model.AttemptStarted)}, model.OutcomeUnknown, model.ReasonLinkBroken},
-		"settled as done":      {2, nil, []move{broken, settle(model.AttemptDone)}, model.OutcomeUnknown, model.ReasonLinkBroken},
-		"settled as forgotten": {2, nil, []move{broken, settle(model.AttemptForgotten)}, model.OutcomeUnknown, model.ReasonLinkBroken},
-		"settled as queued with the body gone": {
-			2, traits{streamed}, []move{broken, settle(model.AttemptQueued)}, model.OutcomeNotRun, model.ReasonLinkBroken},
-		"settled by another incarnation": {
-			2, nil, []move{broken, restartedSettle}, model.OutcomeUnknown, model.ReasonLinkBroken},
-		"caller gone before the answer": {2, nil, []move{gone}, model.OutcomeUnknown, model.ReasonCancelled},
-		"silence until the deadline":    {2, nil, []move{late}, model.OutcomeUnknown, model.ReasonExpired},
-		"broken at the deadline": {
-			2, nil, []move{func(s *script) { late(s); broken(s) }}, model.OutcomeUnknown, model.ReasonExpired},
-		"unsettled at the deadline": {2, nil, []move{broken, late}, model.OutcomeUnknown, model.ReasonLinkBroken},
-		"home unreachable": {
-			1, traits{keyed}, []move{unreachable, unreachable, unreachable}, model.OutcomeUnknown, model.ReasonWorkerUnreachable},
-		"home unreachable after it had refused": {
-			1, traits{keyed}, []move{refuse(model.ReasonNotReady), unreachable, unreachable},
+			3, traits{keyed}, []action{refuse(model.ReasonDuplicateDone)}, model.OutcomeUnknown, model.ReasonDuplicateDone},
+		"refused after the body was streamed": {
+			3, traits{streamed}, []action{refuse(model.ReasonLeaving)}, model.OutcomeNotRun, model.ReasonLeaving},
+		"server error of the worker is the response": {2, nil, []action{serverError}, model.OutcomeAnswered, model.ReasonNone},
+		"server error of the worker with no other owner": {
+			1, traits{idempotent}, []action{serverError}, model.OutcomeAnswered, model.ReasonNone},
+		"response of the worker is broken": {2, nil, []action{fail(model.ReasonWorkerBroken)}, model.OutcomeUnknown, model.ReasonWorkerBroken},
+		"interrupted after part of the response was sent": {
+			2, traits{idempotent}, []action{interruptedResponse}, model.OutcomeUnknown, model.ReasonLinkBroken},
+		"rest of a streamed response is missing": {
+			2, nil, []action{answer, interruptedResponse}, model.OutcomeUnknown, model.ReasonLinkBroken},
+		"resolved as started":   {2, nil, []action{interrupted, resolveAs(model.AttemptStarted)}, model.OutcomeUnknown, model.ReasonLinkBroken},
+		"resolved as done":      {2, nil, []action{interrupted, resolveAs(model.AttemptDone)}, model.OutcomeUnknown, model.ReasonLinkBroken},
+		"resolved as forgotten": {2, nil, []action{interrupted, resolveAs(model.AttemptForgotten)}, model.OutcomeUnknown, model.ReasonLinkBroken},
+		"resolved as queued after the body was streamed": {
+			2, traits{streamed}, []action{interrupted, resolveAs(model.AttemptQueued)}, model.OutcomeNotRun, model.ReasonLinkBroken},
+		"resolved by another incarnation": {
+			2, nil, []action{interrupted, resolveByRestarted}, model.OutcomeUnknown, model.ReasonLinkBroken},
+		"caller cancels before the response": {2, nil, []action{callerCancels}, model.OutcomeUnknown, model.ReasonCancelled},
+		"no response until the deadline":     {2, nil, []action{deadlinePasses}, model.OutcomeUnknown, model.ReasonExpired},
+		"interrupted at the deadline": {
+			2, nil, []action{func(s *script) { deadlinePasses(s); interrupted(s) }}, model.OutcomeUnknown, model.ReasonExpired},
+		"unresolved at the deadline": {2, nil, []action{interrupted, deadlinePasses}, model.OutcomeUnknown, model.ReasonLinkBroken},
+		"home node unreachable": {
+			1, traits{keyed}, []action{unreachable, unreachable, unreachable}, model.OutcomeUnknown, model.ReasonWorkerUnreachable},
+		"home node unreachable after it had refused": {
+			1, traits{keyed}, []action{refuse(model.ReasonNotReady), unreachable, unreachable},
 			model.OutcomeUnknown, model.ReasonWorkerUnreachable},
 		"owner unreachable without a key": {
-			1, nil, []move{unreachable}, model.OutcomeNotRun, model.ReasonWorkerUnreachable},
-		"home refuses without registering": {
-			1, traits{keyed}, []move{refuse(model.ReasonTenantLimit)}, model.OutcomeNotRun, model.ReasonTenantLimit},
-		"idempotent and broken, then refused by the rest": {
-			2, traits{idempotent}, []move{broken, refuse(model.ReasonTenantLimit)}, model.OutcomeUnknown, model.ReasonTenantLimit},
+			1, nil, []action{unreachable}, model.OutcomeNotRun, model.ReasonWorkerUnreachable},
+		"home node refuses without registering": {
+			1, traits{keyed}, []action{refuse(model.ReasonTenantLimit)}, model.OutcomeNotRun, model.ReasonTenantLimit},
+		"idempotent and interrupted, then refused by the rest": {
+			2, traits{idempotent}, []action{interrupted, refuse(model.ReasonTenantLimit)}, model.OutcomeUnknown, model.ReasonTenantLimit},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := start(t, tt.owners, tt.traits...).do(tt.moves...)
 			wantEnd(t, s.step, tt.outcome, tt.reason)
 			if again := s.call.Next(s.now); !cmp.Equal(again, s.step) {
-				t.Errorf("the end changed: %s", cmp.Diff(s.step, again))
+				t.Errorf("Next returned a different end: %s", cmp.Diff(s.step, again))
 			}
 			if !s.table.balanced() {
 				t.Errorf("Sent and Done do not balance: %v", s.table.inFlight)
@@ -170,30 +172,30 @@
 	}
 }
 
-func TestCallGoesOnWith(t *testing.T) {
+func TestCallNextStep(t *testing.T) {
 	tests := map[string]struct {
 		traits []func(*Request)
-		moves  []move
+		moves  []action
 		kind   StepKind
 		to     model.InstanceID
 	}{
-		"another owner after a refusal":          {nil, []move{refuse(model.ReasonQueueFull)}, StepSend, "payouts-b"},
-		"another owner after no connection":      {nil, []move{unreachable}, StepSend, "payouts-b"},
-		"the same owner with a fresh stamp":      {nil, []move{refuse(model.ReasonStale)}, StepSend, "payouts-a"},
-		"another owner after a second stale":     {nil, []move{refuse(model.ReasonStale), refuse(model.ReasonStale)}, StepSend, "payouts-b"},
-		"settlement after a break":               {nil, []move{broken}, StepResolve, "payouts-a"},
-		"settlement after an unproved refusal":   {nil, []move{fail(model.ReasonCancelled)}, StepResolve, "payouts-a"},
-		"settlement again after silence":         {nil, []move{broken, settleFailed}, StepResolve, "payouts-a"},
-		"settlement again after a crossed reply": {nil, []move{broken, crossedSettle}, StepResolve, "payouts-a"},
-		"another owner once settled as barred":   {nil, []move{broken, settle(model.AttemptFenced)}, StepSend, "payouts-b"},
-		"another owner after a break, if idempotent": {
-			[]func(*Request){idempotent}, []move{broken}, StepSend, "payouts-b"},
-		"another owner after an error, if idempotent": {
-			[]func(*Request){idempotent}, []move{serverError}, StepSend, "payouts-b"},
-		"the home again after it was settled": {
-			[]func(*Request){keyed}, []move{broken, settle(model.AttemptNeverSeen)}, StepSend, "payouts-a"},
-		"the home again after no connection": {[]func(*Request){keyed}, []move{unreachable}, StepSend, "payouts-a"},
-		"another owner once delegated":       {[]func(*Request){keyed}, []move{refuse(model.ReasonDelegated)}, StepSend, "payouts-b"},
+		"another owner after a refusal":                      {nil, []action{refuse(model.ReasonQueueFull)}, StepSend, "payouts-b"},
+		"another owner after a failed connection":            {nil, []action{unreachable}, StepSend, "payouts-b"},
+		"the same owner with fresh clock":                    {nil, []action{refuse(model.ReasonStale)}, StepSend, "payouts-a"},
+		"another owner after a second stale":                 {nil, []action{refuse(model.ReasonStale), refuse(model.ReasonStale)}, StepSend, "payouts-b"},
+		"resolution after an interruption":                   {nil, []action{interrupted}, StepResolve, "payouts-a"},
+		"resolution after a refusal without proof":           {nil, []action{fail(model.ReasonCancelled)}, StepResolve, "payouts-a"},
+		"resolution again after no reply":                    {nil, []action{interrupted, resolveFails}, StepResolve, "payouts-a"},
+		"resolution again after a reply for another attempt": {nil, []action{interrupted, resolveOther}, StepResolve, "payouts-a"},
+		"another owner once resolved as fenced":              {nil, []action{interrupted, resolveAs(model.AttemptFenced)}, StepSend, "payouts-b"},
+		"another owner after an interruption, if idempotent": {
+			[]func(*Request){idempotent}, []action{interrupted}, StepSend, "payouts-b"},
+		"another owner after a server error, if idempotent": {
+			[]func(*Request){idempotent}, []action{serverError}, StepSend, "payouts-b"},
+		"the home node again once resolved as never seen": {
+			[]func(*Request){keyed}, []action{interrupted, resolveAs(model.AttemptNeverSeen)}, StepSend, "payouts-a"},
+		"the home node again after a failed connection": {[]func(*Request){keyed}, []action{unreachable}, StepSend, "payouts-a"},
+		"another owner once delegated":                  {[]func(*Request){keyed}, []action{refuse(model.ReasonDelegated)}, StepSend, "payouts-b"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -203,14 +205,14 @@
 	}
 }
 
-func TestResentAttemptIsBoundAndStampedByTheReport(t *testing.T) {
+func TestResentAttemptUsesTheReportsIncarnationAndClock(t *testing.T) {
 	s := start(t, 2)
 	s.table.owners[0].Incarnation = 0
 	first := s.step.Attempt
 	s.do(refuse(model.ReasonIncarnation))
 	got := s.step.Attempt
 	if got.OwnerIncarnation != 7 || got.OwnerClock != 2*time.Second || got.ID == first.ID {
-		t.Fatalf("resent as %+v", got)
+		t.Fatalf("resent as %+v, want a new id, incarnation 7 and clock 2s", got)
 	}
 }
 
@@ -226,15 +228,15 @@
 	wantStep(t, s.step, StepSend, "payouts-b")
 }
 
-func TestHomeIsToldHowADelegatedRequestEnded(t *testing.T) {
+func TestHomeIsNotifiedOfDelegatedOutcome(t *testing.T) {
 	tests := map[string]struct {
-		moves []move
+		moves []action
 		want  model.Outcome
 	}{
-		"answered": {[]move{answer}, model.OutcomeAnswered},
-		"not run":  {[]move{refuse(model.ReasonTenantLimit)}, model.OutcomeNotRun},
-		"unknown":  {[]move{late}, model.OutcomeUnknown},
-		"gone":     {[]move{gone}, model.OutcomeUnknown},
+		"answered":       {[]action{answer}, model.OutcomeAnswered},
+		"not run":        {[]action{refuse(model.ReasonTenantLimit)}, model.OutcomeNotRun},
+		"unknown":        {[]action{deadlinePasses}, model.OutcomeUnknown},
+		"caller cancels": {[]action{callerCancels}, model.OutcomeUnknown},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -250,18 +252,18 @@
 	}
 }
 
-func TestCallerIsToldWhenToComeBack(t *testing.T) {
+func TestRetryAfterForCaller(t *testing.T) {
 	tests := map[string]struct {
 		traits []func(*Request)
-		moves  []move
+		moves  []action
 		want   time.Duration
 	}{
-		"the owner's advice":       {nil, []move{refuse(model.ReasonTenantLimit)}, 20 * time.Millisecond},
-		"no advice":                {[]func(*Request){streamed}, []move{unreachable}, defaultRetryAfter},
-		"unknown must not be sent": {nil, []move{cut}, 0},
-		"unknown but idempotent":   {[]func(*Request){idempotent}, []move{cut}, defaultRetryAfter},
-		"unknown but with a key":   {[]func(*Request){keyed}, []move{cut}, defaultRetryAfter},
-		"answered needs no advice": {nil, []move{answer}, 0},
+		"the owner's Retry-After":        {nil, []action{refuse(model.ReasonTenantLimit)}, 20 * time.Millisecond},
+		"no Retry-After":                 {[]func(*Request){streamed}, []action{unreachable}, defaultRetryAfter},
+		"unknown must not be sent again": {nil, []action{interruptedResponse}, 0},
+		"unknown but idempotent":         {[]func(*Request){idempotent}, []action{interruptedResponse}, defaultRetryAfter},
+		"unknown but with a key":         {[]func(*Request){keyed}, []action{interruptedResponse}, defaultRetryAfter},
+		"answered needs no Retry-After":  {nil, []action{answer}, 0},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -273,13 +275,13 @@
 	}
 }
 
-func TestSettlementIsAskedAgainUntilTheDeadline(t *testing.T) {
-	s := start(t, 2).do(broken)
+func TestOutcomeResolutionRetriesUntilDeadline(t *testing.T) {
+	s := start(t, 2).do(interrupted)
 	asked := 0
 	for s.step.Kind == StepResolve && asked <= 10 {
 		wantStep(t, s.step, StepResolve, "payouts-a")
 		if s.step.Until.After(s.call.Deadline()) {
-			t.Fatalf("asked until %v, after the deadline", s.step.Until)
+			t.Fatalf("resolution until %v, after the deadline", s.step.Until)
 		}
 		asked++
 		s.call.ResolveFailed(s.now)
@@ -287,14 +289,14 @@
 	}
 	wantEnd(t, s.step, model.OutcomeUnknown, model.ReasonLinkBroken)
 	if !s.now.Equal(s.call.Deadline()) {
-		t.Errorf("gave up at %v", s.now)
+		t.Errorf("gave up at %v, before the deadline", s.now)
 	}
 	if asked < 5 || asked > 10 {
-		t.Errorf("asked %d times", asked)
+		t.Errorf("asked %d times, want 5 to 10", asked)
 	}
 }
 
-func TestFinalAnswerIsGivenAtOnce(t *testing.T) {
+func TestCallEndsAtOnceWhenAllOwnersRefuse(t *testing.T) {
 	s := start(t, 6)
 	for range maxOwners {
 		wantStep(t, s.step, StepSend, s.step.To.ID)
--- a/internal/entry/depth_test.go
+++ b/internal/entry/depth_test.go
@@ -19,9 +19,9 @@
 type path struct {
 	hops []*hop
 	now  time.Time
-	// fails tells whether a run's own work fails, after the calls below it.
+	// fails reports whether a run's own work fails, after the calls below it.
 	fails func(hop int) bool
-	// call makes one request to a hop; see ours and perHop.
+	// call makes one request to a hop: byEngine, byService or once.
 	call func(p *path, i int, budget int) bool
 }
 
@@ -51,8 +51,8 @@
 	return sum
 }
 
-// ours makes a request by the engine, with the path's budget.
-func ours(p *path, i, budget int) bool {
+// byEngine makes a request with an Engine, within the path's budget.
+func byEngine(p *path, i, budget int) bool {
 	r := testRequest()
 	r.Idempotent = true
 	r.RetryBudget = budget
@@ -74,8 +74,8 @@
 	}
 }
 
-// perHop retries at each hop as often as the whole path's budget allows.
-func perHop(p *path, i, _ int) bool {
+// byService retries at each hop as often as the budget of the whole path allows.
+func byService(p *path, i, _ int) bool {
 	for range 1 + testRequest().RetryBudget {
 		if p.run(i, 0) {
 			return true
@@ -89,9 +89,9 @@
 	allFail := func(int) bool { return true }
 	for name, fails := range map[string]func(int) bool{"every worker fails": allFail, "the last hop fails": lastFails} {
 		budget := testRequest().RetryBudget
-		naive := newPath(perHop, fails)
+		naive := newPath(byService, fails)
 		naive.call(naive, 0, 0)
-		p := newPath(ours, fails)
+		p := newPath(byEngine, fails)
 		p.call(p, 0, budget)
 		last := p.hops[pathDepth-1].runs
 		t.Logf("%s, one request, depth %d: runs per hop: %d in all, %d at the last hop; by retries per hop: %d, %d",
@@ -102,9 +102,9 @@
 	}
 }
 
-func TestRetriesOfManyRequestsKeepTheRatio(t *testing.T) {
+func TestRetriesStayWithinRatio(t *testing.T) {
 	const requests = 2000
-	p := newPath(ours, func(int) bool { return true })
+	p := newPath(byEngine, func(int) bool { return true })
 	for range requests {
 		p.call(p, 0, testRequest().RetryBudget)
 		p.now = p.now.Add(time.Millisecond)
@@ -120,7 +120,7 @@
 func TestRetriesHelpWhereFewWorkersFail(t *testing.T) {
 	const requests = 4000
 	answered := map[string]int{}
-	for name, call := range map[string]func(*path, int, int) bool{"none": once, "ours": ours, "per hop": perHop} {
+	for name, call := range map[string]func(*path, int, int) bool{"none": once, "ours": byEngine, "per hop": byService} {
 		random := seeded(3)
 		p := newPath(call, func(int) bool { return random()%1000 < 10 })
 		for range requests {
--- a/internal/entry/end.go
+++ b/internal/entry/end.go
@@ -7,13 +7,13 @@
 	"gypsumstand/internal/route"
 )
 
-// defaultRetryAfter is the advice to callers when no owner gave any.
+// defaultRetryAfter is the Retry-After for callers when no owner sent one.
 const defaultRetryAfter = time.Second
 
 // expire ends the call at its deadline.
 func (c *Call) expire(now time.Time) {
 	if c.phase == phaseSent {
-		c.done(now, route.Result{Failed: true})
+		c.attemptDone(now, route.Result{Failed: true})
 		c.reason = model.ReasonExpired
 	}
 	if c.reason == model.ReasonNone {
@@ -22,23 +22,23 @@
 	c.giveUp(c.reason)
 }
 
-// giveUp ends the call without an answer.
+// giveUp ends the call without a response from a worker.
 func (c *Call) giveUp(reason model.Reason) {
-	if c.provedNotRun() {
+	if c.isProvedNotRun() {
 		c.end(model.OutcomeNotRun, reason)
 		return
 	}
 	c.end(model.OutcomeUnknown, reason)
 }
 
-// provedNotRun tells whether the caller may be told that its request was not
-// run. For a caller's own key that speaks of the id, and so of earlier sendings
-// too: only the id's home can prove it.
-func (c *Call) provedNotRun() bool {
-	if c.open || c.doubt {
+// isProvedNotRun reports whether the caller may be told that its request was not run. With a
+// caller's own key that is a statement about the id, including earlier submissions, which only
+// the id's home node can prove.
+func (c *Call) isProvedNotRun() bool {
+	if c.unresolved || c.mayHaveRun {
 		return false
 	}
-	return !c.keyed() || c.home.spoke
+	return !c.needsHome() || c.home.provesNotRun
 }
 
 func (c *Call) end(outcome model.Outcome, reason model.Reason) {
@@ -52,8 +52,8 @@
 		Kind:       StepEnd,
 		Outcome:    c.outcome,
 		Reason:     c.reason,
-		RetryAfter: c.comeBack(),
-		Notify:     c.notice(),
+		RetryAfter: c.callerRetryAfter(),
+		Notify:     c.homeNotice(),
 	}
 	if s.Notify != nil {
 		s.To = c.home.delegate.instance
@@ -61,14 +61,14 @@
 	return s
 }
 
-// comeBack returns the advice to the caller: positive when the same request may
-// be sent again without harm and to some use. One that has run is not worth
-// another sending, which would find the home's memory ended some day.
-func (c *Call) comeBack() time.Duration {
+// callerRetryAfter returns the Retry-After for the caller, or zero when it should not send the
+// request again: when a repeated run could do harm, or when the request has run, as another
+// submission could come after the home node has forgotten the id.
+func (c *Call) callerRetryAfter() time.Duration {
 	if c.outcome == model.OutcomeAnswered {
 		return 0
 	}
-	if c.outcome == model.OutcomeUnknown && !c.req.Idempotent && !c.keyed() {
+	if c.outcome == model.OutcomeUnknown && !c.req.Idempotent && !c.needsHome() {
 		return 0
 	}
 	if c.reason == model.ReasonDuplicateDone {
--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -11,29 +11,30 @@
 	"gypsumstand/internal/model"
 )
 
-// hedgeReserve is what a service's bucket must hold for a hedge: refusals for
-// load drain it, so that hedges end where they would make an overload worse.
-const hedgeReserve = bucketDepth / 2
+// hedgeMinBudget is what a service's bucket must hold for a hedge. Refusals for load drain the
+// bucket, so that hedging stops where it would worsen an overload.
+const hedgeMinBudget = bucketDepth / 2
 
-// Hedge begins a second attempt beside the one that is out, at another owner. The
-// adapter may call it once the step's HedgeAt has passed without an answer; ok is
-// false when the budgets or the owners left do not allow it.
+// Hedge starts a second attempt at another owner beside the one in flight. The adapter may call
+// it once the step's HedgeAt has passed without a response; ok is false when the budgets or the
+// owners left do not allow it.
 //
-// The hedge is a call of its own for the same request, with c's deadline: another
-// goroutine may carry out its steps beside c's. The first of the two that ends
-// with an answer is the caller's, and the other is told CallerCancelled. When neither
-// has one the caller is told CombineOutcomes.
+// The hedge is a separate call for the same request with c's deadline; another goroutine may
+// carry out its steps concurrently with c's. The first of the two that ends with a response
+// provides the caller's, and the adapter calls CallerCancelled on the other. If neither does,
+// the caller gets the result of CombineOutcomes.
 func (c *Call) Hedge(now time.Time) (h *Call, ok bool) {
-	if c.hedgeAt.IsZero() || !c.bucket.has(hedgeReserve) {
+	if c.hedgeAt.IsZero() || !c.bucket.holds(hedgeMinBudget) {
 		return nil, false
 	}
 	return c.hedge(now)
 }
 
-// HedgeUnreachable is Hedge for an attempt whose owner was found out of reach: it waits for
-// no time and needs no reserve, as it stands for the retry that would follow.
+// HedgeUnreachable is Hedge for an attempt whose owner turned out to be unreachable: it doesn't
+// wait for HedgeAt and needs no hedgeMinBudget, as it takes the place of the retry that would
+// follow.
 func (c *Call) HedgeUnreachable(now time.Time) (h *Call, ok bool) {
-	if !c.req.Idempotent || !c.replaceable() || c.hedged {
+	if !c.req.Idempotent || !c.canResend() || c.hedged {
 		return nil, false
 	}
 	return c.hedge(now)
@@ -45,33 +46,33 @@
 		return nil, false
 	}
 	choice, ok := c.choose(now)
-	if !ok || !c.bucket.withdraw(now, costRetry) || !c.mayHedge(now) {
+	if !ok || !c.bucket.withdraw(now, retryCost) || !c.spendHedgeAttempt(now) {
 		return nil, false
 	}
 	c.budget--
 	c.tried.add(choice.Instance.ID)
 	c.hedgeAt = time.Time{}
 	c.hedged = true
-	// Each of the two counts the other's arrival.
-	c.arrived++
+	// Each of the two calls counts the other's attempt.
+	c.workerAttempts++
 	h = &Call{}
 	*h = *c
 	h.budget = 0
-	h.believed = choice.Estimate
+	h.estimate = choice.Estimate
 	h.send(now, choice.Instance, choice.OwnerClock)
 	return h, true
 }
 
-// mayHedge tells whether the hedge may arrive at one more worker beside the one
-// that has the attempt in flight.
-func (c *Call) mayHedge(now time.Time) bool {
-	c.arrived++
-	defer func() { c.arrived-- }()
-	return c.mayArriveAgain(now)
+// spendHedgeAttempt is spendWorkerAttempt for a hedge: the attempt in flight counts as one that
+// a worker received.
+func (c *Call) spendHedgeAttempt(now time.Time) bool {
+	c.workerAttempts++
+	defer func() { c.workerAttempts-- }()
+	return c.spendWorkerAttempt(now)
 }
 
-// CombineOutcomes returns what the caller is told when neither of a call and its hedge
-// ended with an answer: not-run only when both are proved not to have run.
+// CombineOutcomes returns the step that ends a request when neither a call nor its hedge got a
+// response: not-run only when both are proved not to have run.
 func CombineOutcomes(a, b Step) Step {
 	if a.Outcome == model.OutcomeUnknown {
 		return a
@@ -79,68 +80,69 @@
 	return b
 }
 
-// hedgeTime returns when an attempt that is sent now is to be hedged; zero means
-// never. A call is hedged once.
+// hedgeTime returns when an attempt sent now is to be hedged; zero means never. A call is
+// hedged at most once.
 func (c *Call) hedgeTime(now time.Time) time.Time {
-	if c.pace == nil || c.hedged || !c.replaceable() {
+	if c.latency == nil || c.hedged || !c.canResend() {
 		return time.Time{}
 	}
-	after := c.pace.after()
+	after := c.latency.hedgeDelay()
 	if after == 0 || !now.Add(after).Before(c.deadline) {
 		return time.Time{}
 	}
 	return now.Add(after)
 }
 
-// Bounds of a pace's memory.
+// Parameters of a latencyQuantile.
 const (
-	// paceWindow is the number of answers that a quantile is read from.
-	paceWindow = 1000
-	// paceLongest bounds the latencies that are told apart.
-	paceLongest = time.Minute
-	// paceDigits is the precision of latencies in decimal digits.
-	paceDigits = 2
+	// latencyWindow is the number of responses from which a quantile is computed.
+	latencyWindow = 1000
+	// maxLatency bounds the recorded latencies.
+	maxLatency = time.Minute
+	// latencyDigits is the precision of latencies in significant decimal digits.
+	latencyDigits = 2
 )
 
-// pace follows how long answered calls of one class of one service take.
-type pace struct {
+// latencyQuantile tracks a quantile of the latency of successful calls of one class of one
+// service.
+type latencyQuantile struct {
 	mu     sync.Mutex
 	window *hdrhistogram.Histogram
-	// quantile in nanoseconds of the last full window; zero before the first.
-	quantile atomic.Int64
+	// nanos is the quantile of the last full window, in nanoseconds; zero before the first.
+	nanos atomic.Int64
 }
 
-type paceKey struct {
+type classKey struct {
 	service model.ServiceName
 	class   model.ClassName
 }
 
-func newPace() *pace {
-	return &pace{window: hdrhistogram.New(1, paceLongest.Microseconds(), paceDigits)}
+func newLatencyQuantile() *latencyQuantile {
+	return &latencyQuantile{window: hdrhistogram.New(1, maxLatency.Microseconds(), latencyDigits)}
 }
 
-// paceOf returns the pace of a target whose calls are hedged, or nil.
-func (e *Engine) paceOf(t *bundle.Target) *pace {
+// latencyFor returns the latency of a target whose calls are hedged, or nil.
+func (e *Engine) latencyFor(t *bundle.Target) *latencyQuantile {
 	if t.Bundle.Retry.HedgeAfterQuantile <= 0 {
 		return nil
 	}
-	return e.paces.of(paceKey{t.Service.Name, t.Class.Name}, newPace)
+	return e.latencies.get(classKey{t.Service.Name, t.Class.Name}, newLatencyQuantile)
 }
 
-// answered takes the latency of a call; quantile is the bundle's.
-func (p *pace) answered(latency time.Duration, quantile float64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	// A latency out of range cannot be recorded; it is bounded here.
-	_ = p.window.RecordValue(max(1, min(latency, paceLongest).Microseconds()))
-	if p.window.TotalCount() < paceWindow {
+// record adds the latency of a call; quantile, 0 to 1, is the bundle's.
+func (l *latencyQuantile) record(latency time.Duration, quantile float64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	// RecordValue fails for values out of range only.
+	_ = l.window.RecordValue(max(1, min(latency, maxLatency).Microseconds()))
+	if l.window.TotalCount() < latencyWindow {
 		return
 	}
 	const percent = 100
-	micros := p.window.ValueAtQuantile(quantile * percent)
-	p.quantile.Store(int64(time.Duration(micros) * time.Microsecond))
-	p.window.Reset()
+	micros := l.window.ValueAtQuantile(quantile * percent)
+	l.nanos.Store(int64(time.Duration(micros) * time.Microsecond))
+	l.window.Reset()
 }
 
-// after returns the time after which a call is late; zero means not known yet.
-func (p *pace) after() time.Duration { return time.Duration(p.quantile.Load()) }
+// hedgeDelay returns the time after which to hedge a call; zero means not known yet.
+func (l *latencyQuantile) hedgeDelay() time.Duration { return time.Duration(l.nanos.Load()) }
--- a/internal/entry/hedge_test.go
+++ b/internal/entry/hedge_test.go
@@ -7,7 +7,7 @@
 	"gypsumstand/internal/model"
 )
 
-// hedging returns a call of a bundle that hedges, with a pace that is known.
+// hedging returns a call of a bundle that hedges, with a known latency quantile.
 func hedging(t *testing.T, traits ...func(*Request)) *script {
 	r := testRequest()
 	r.Idempotent = true
@@ -17,18 +17,18 @@
 	}
 	s := &script{t: t, table: newFakeTable(3), now: epoch}
 	e := testEngine(s.table)
-	for i := range paceWindow {
-		e.paces.of(paceKey{testService, "payout"}, newPace).answered(time.Duration(i+1)*100*time.Microsecond, 0.9)
+	for i := range latencyWindow {
+		e.latencies.get(classKey{testService, "payout"}, newLatencyQuantile).record(time.Duration(i+1)*100*time.Microsecond, 0.9)
 	}
 	s.call = e.Begin(epoch, r)
 	s.next()
 	return s
 }
 
-func TestHedgeIsDueOnceACallIsLate(t *testing.T) {
+func TestHedgeIsDueAtTheQuantile(t *testing.T) {
 	s := hedging(t)
 	if late := s.step.HedgeAt.Sub(epoch); late < 89*time.Millisecond || late > 92*time.Millisecond {
-		t.Fatalf("hedge after %v, want the 90th percentile of 90 ms", late)
+		t.Fatalf("hedge after %v, want the 90th percentile, 90 ms", late)
 	}
 	first := s.step.To.ID
 	h, ok := s.call.Hedge(s.step.HedgeAt)
@@ -37,10 +37,10 @@
 	}
 	step := h.Next(s.step.HedgeAt)
 	if step.Kind != StepSend || step.To.ID == first || !step.HedgeAt.IsZero() {
-		t.Fatalf("hedge %v to %q", step.Kind, step.To.ID)
+		t.Fatalf("hedge: step %v to %q, want a send to another owner without a hedge", step.Kind, step.To.ID)
 	}
 	if step.Attempt.RetryBudget != 0 || step.Attempt.ID == s.step.Attempt.ID {
-		t.Fatalf("hedge's attempt %+v", step.Attempt)
+		t.Fatalf("hedge: attempt %+v, want a new id and no retry budget", step.Attempt)
 	}
 	if _, again := s.call.Hedge(s.step.HedgeAt); again {
 		t.Fatal("hedged twice")
@@ -52,13 +52,13 @@
 	}
 }
 
-func TestThereIsNoHedge(t *testing.T) {
+func TestHedgeIsNotAllowed(t *testing.T) {
 	tests := map[string]func(*Request){
-		"for what must not run twice":       func(r *Request) { r.Idempotent = false },
-		"when the body cannot be sent":      streamed,
-		"when the path has nothing left":    func(r *Request) { r.RetryBudget = 0 },
-		"when the bundle names no quantile": func(r *Request) { r.Target.Bundle.Retry.HedgeAfterQuantile = 0 },
-		"when the deadline is sooner":       func(r *Request) { r.Timeout = 50 * time.Millisecond },
+		"not idempotent":               func(r *Request) { r.Idempotent = false },
+		"body streams":                 streamed,
+		"no budget left on the path":   func(r *Request) { r.RetryBudget = 0 },
+		"no quantile in the bundle":    func(r *Request) { r.Target.Bundle.Retry.HedgeAfterQuantile = 0 },
+		"deadline before the quantile": func(r *Request) { r.Timeout = 50 * time.Millisecond },
 	}
 	for name, trait := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -68,16 +68,16 @@
 			}
 		})
 	}
-	t.Run("when refusals have drained the service's budget", func(t *testing.T) {
+	t.Run("service's budget drained by refusals", func(t *testing.T) {
 		s := hedging(t)
-		s.call.bucket.tokens.Store(hedgeReserve - 1)
+		s.call.bucket.tokens.Store(hedgeMinBudget - 1)
 		if _, ok := s.call.Hedge(s.step.HedgeAt); ok {
 			t.Fatal("hedged")
 		}
 	})
 }
 
-func TestEndOfBothIsNotRunOnlyWhenBothAre(t *testing.T) {
+func TestCombinedOutcomeIsNotRunOnlyIfBothAre(t *testing.T) {
 	unknown := Step{Kind: StepEnd, Outcome: model.OutcomeUnknown}
 	notRun := Step{Kind: StepEnd, Outcome: model.OutcomeNotRun}
 	for _, tt := range []struct{ a, b, want Step }{
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestAnAttemptAtALostOwnerIsAlsoMadeElsewhere(t *testing.T) {
+func TestHedgeForUnreachableOwner(t *testing.T) {
 	s := hedging(t, func(r *Request) { r.Target.Bundle.Retry.HedgeAfterQuantile = 0 })
 	first := s.step.To.ID
 	if _, ok := s.call.Hedge(epoch); ok {
@@ -97,13 +97,13 @@
 	}
 	h, ok := s.call.HedgeUnreachable(epoch)
 	if !ok {
-		t.Fatal("not made elsewhere")
+		t.Fatal("no hedge for an unreachable owner")
 	}
 	if step := h.Next(epoch); step.Kind != StepSend || step.To.ID == first {
-		t.Fatalf("%v to %q", step.Kind, step.To.ID)
+		t.Fatalf("hedge: step %v to %q, want a send to another owner", step.Kind, step.To.ID)
 	}
 	if _, again := s.call.HedgeUnreachable(epoch); again {
-		t.Error("made elsewhere twice")
+		t.Error("hedged twice")
 	}
 	h.Answered(epoch, false)
 	s.call.CallerCancelled(epoch)
@@ -112,14 +112,14 @@
 	}
 }
 
-func TestWhatMustNotRunTwiceWaitsForALostOwner(t *testing.T) {
+func TestNoHedgeForUnreachableOwner(t *testing.T) {
 	for name, trait := range map[string]func(*Request){
-		"not idempotent":   func(r *Request) { r.Idempotent = false },
-		"body streams":     streamed,
-		"no budget's left": func(r *Request) { r.RetryBudget = 0 },
+		"not idempotent": func(r *Request) { r.Idempotent = false },
+		"body streams":   streamed,
+		"no budget left": func(r *Request) { r.RetryBudget = 0 },
 	} {
 		if _, ok := hedging(t, trait).call.HedgeUnreachable(epoch); ok {
-			t.Errorf("%s: made elsewhere", name)
+			t.Errorf("%s: hedged", name)
 		}
 	}
 }
--- a/internal/entry/helpers_test.go
+++ b/internal/entry/helpers_test.go
@@ -18,13 +18,13 @@
 	testTimeout                   = time.Second
 )
 
-// fakeTable offers its owners in order and counts what is in flight.
+// fakeTable offers its owners in order and counts the attempts in flight.
 type fakeTable struct {
 	owners   []model.Instance
 	home     int
 	inFlight map[model.InstanceID]int
 	results  []route.Result
-	// choose, when set, returns the index of the owner to try first.
+	// choose, when set, returns the index of the owner to offer first.
 	choose func() int
 }
 
@@ -117,7 +117,7 @@
 func keyed(r *Request)      { r.CallerKey = true }
 func streamed(r *Request)   { r.Replayable = false }
 
-// reportOf is what an owner of the fake table's incarnation sends along.
+// reportOf is the load report of an owner of the fake table.
 func reportOf(id model.InstanceID) model.LoadReport {
 	return model.LoadReport{Owner: id, Incarnation: 7, Clock: 2 * time.Second}
 }
--- a/internal/entry/home_test.go
+++ b/internal/entry/home_test.go
@@ -6,21 +6,21 @@
 	"gypsumstand/internal/model"
 )
 
-func TestTheNextHomeHasTheSayWhenTheFirstIsAbsentOrLeaving(t *testing.T) {
+func TestNextHomeDecidesWhenFirstIsAbsentOrLeaving(t *testing.T) {
 	for _, reason := range []model.Reason{model.ReasonOwnerAbsent, model.ReasonLeaving} {
 		s := start(t, 2, keyed).do(refuse(reason))
 		wantStep(t, s.step, StepSend, "payouts-b")
 		if s.step.Attempt.Delegated {
-			t.Errorf("%v: the next home is told that another has registered the id", reason)
+			t.Errorf("%v: the attempt at the next home node is marked as delegated", reason)
 		}
 		s.do(refuse(model.ReasonDelegated))
 		if wantStep(t, s.step, StepSend, "payouts-a"); !s.step.Attempt.Delegated {
-			t.Errorf("%v: the next home's delegation is not passed on", reason)
+			t.Errorf("%v: the attempt elsewhere is not marked as delegated by the next home node", reason)
 		}
 	}
 }
 
-func TestAnAbsentHomeWithoutAnotherProvesNothing(t *testing.T) {
+func TestAbsentHomeProvesNothing(t *testing.T) {
 	s := start(t, 1, keyed).do(refuse(model.ReasonOwnerAbsent))
 	for s.step.Kind != StepEnd {
 		s.now = s.step.Until
@@ -31,13 +31,13 @@
 		s.step = s.call.Next(s.now)
 	}
 	if s.step.Outcome != model.OutcomeUnknown {
-		t.Errorf("outcome %v, want unknown: an earlier sending may have run", s.step.Outcome)
+		t.Errorf("outcome %v, want unknown: an earlier submission may have run", s.step.Outcome)
 	}
 }
 
-func TestARequestThatHasRunIsNotAskedFor(t *testing.T) {
+func TestDuplicateDoneHasNoRetryAfter(t *testing.T) {
 	s := start(t, 2, keyed).do(fail(model.ReasonDuplicateDone))
 	if s.step.Kind != StepEnd || s.step.Outcome != model.OutcomeUnknown || s.step.RetryAfter != 0 {
-		t.Errorf("%v %v with Retry-After %v, want the end, unknown, without advice", s.step.Kind, s.step.Outcome, s.step.RetryAfter)
+		t.Errorf("%v %v with Retry-After %v, want the end, unknown, without Retry-After", s.step.Kind, s.step.Outcome, s.step.RetryAfter)
 	}
 }
--- a/internal/entry/move_test.go
+++ b/internal/entry/move_test.go
@@ -9,8 +9,8 @@
 	"gypsumstand/internal/model"
 )
 
-// moving lets up to n owners turn the request away as busy.
-func moving(n int) func(*Request) {
+// withMoves lets up to n owners refuse the request as busy.
+func withMoves(n int) func(*Request) {
 	return func(r *Request) {
 		b := *r.Target.Bundle
 		b.Retry.Moves = n
@@ -18,7 +18,7 @@
 	}
 }
 
-// wantAttempt checks where an attempt goes and whether it may be turned away.
+// wantAttempt checks where an attempt goes and whether it may be refused as busy.
 func wantAttempt(t *testing.T, s Step, to model.InstanceID, mayMove bool) {
 	t.Helper()
 	wantStep(t, s, StepSend, to)
@@ -27,8 +27,8 @@
 	}
 }
 
-func TestABusyOwnersRequestMovesOnAndAtLastStays(t *testing.T) {
-	s := start(t, 3, moving(5))
+func TestBusyRequestMovesThenQueues(t *testing.T) {
+	s := start(t, 3, withMoves(5))
 	wantAttempt(t, s.step, "payouts-a", true)
 	s.do(refuse(model.ReasonBusy))
 	wantAttempt(t, s.step, "payouts-b", true)
@@ -41,17 +41,17 @@
 }
 
 func TestMovesAreBounded(t *testing.T) {
-	s := start(t, 6, moving(2))
+	s := start(t, 6, withMoves(2))
 	s.do(refuse(model.ReasonBusy), refuse(model.ReasonBusy))
 	wantAttempt(t, s.step, "payouts-a", false)
 }
 
-func TestMovesSpendNothingOfTheBudgets(t *testing.T) {
+func TestMovesSpendNoBudget(t *testing.T) {
 	table := newFakeTable(3)
 	engine := testEngine(table)
 	now := epoch
 	r := testRequest()
-	moving(5)(&r)
+	withMoves(5)(&r)
 	for range 200 {
 		c := engine.Begin(now, r)
 		for range 3 {
@@ -65,23 +65,23 @@
 	}
 }
 
-func TestArrivalsOfAllEntriesStayWithinTheFleetsAllowance(t *testing.T) {
+func TestExtraAttemptsStayWithinFleetBudget(t *testing.T) {
 	const entries, extra, ratio = 10, 58.0, 0.2
 	for _, perSecond := range []int{1, 20} {
 		total := 0
 		for range entries {
-			total += extraArrivals(t, entries, extra, ratio, perSecond)
+			total += extraAttempts(t, entries, extra, ratio, perSecond)
 		}
 		first := entries * perSecond * int(fleetWindow.Seconds())
 		if most := int(ratio*float64(first) + extra); total > most {
-			t.Errorf("%d requests a second: %d extra arrivals in a window, at most %d are allowed", perSecond, total, most)
+			t.Errorf("%d requests a second: %d extra attempts in a window, want at most %d", perSecond, total, most)
 		}
 	}
 }
 
-// extraArrivals plays one entry whose every attempt fails and returns the extra
-// arrivals of one window after a quiet time.
-func extraArrivals(t *testing.T, entries int, extra, ratio float64, perSecond int) int {
+// extraAttempts simulates one entry whose attempts all fail and returns the extra attempts of one
+// window after a quiet time.
+func extraAttempts(t *testing.T, entries int, extra, ratio float64, perSecond int) int {
 	t.Helper()
 	engine := testEngine(newFakeTable(6))
 	engine.SetEntryNodes(entries)
@@ -93,7 +93,7 @@
 	r := testRequest()
 	r.Idempotent, r.RetryBudget = true, 10
 	r.Target = bundle.Target{Bundle: b, Service: &b.Services[0], Class: &b.Classes[0], Idempotent: true}
-	arrivals := 0
+	attempts := 0
 	for n := range perSecond * int(fleetWindow.Seconds()) {
 		now := epoch.Add(time.Duration(n) * time.Second / time.Duration(perSecond))
 		c := engine.Begin(now, r)
@@ -103,17 +103,17 @@
 				at = s.Until
 				continue
 			}
-			arrivals++
+			attempts++
 			c.Refused(at, model.Refusal{Reason: model.ReasonWorkerBroken})
 		}
-		arrivals--
+		attempts--
 	}
-	return arrivals
+	return attempts
 }
 
-// offers returns how many offers a call makes at owners that start it at once or, where they
-// are full, turn away what they may turn away and let the rest wait. They say which share of
-// offers they do not start at once, in thousandths.
+// offers returns how many owners a call is offered to. Each owner starts it at once or, if full,
+// refuses it as busy where it may move and queues it otherwise. delayed is the share of attempts
+// that the owners report not to start at once, in thousandths.
 func offers(e *Engine, r Request, full bool, delayed uint16) int {
 	c := e.Begin(epoch, r)
 	for n := 1; ; n++ {
@@ -128,11 +128,11 @@
 	}
 }
 
-// Load: all owners are full, for many requests. Each made six offers, of which one in 25 was
-// started, and the offers' bytes and processor time delayed those that were.
-func TestInAnOverloadRequestsWaitAtTheirFirstOwnerAndMoveAgainAfterIt(t *testing.T) {
+// All owners are full. If requests kept moving, each would be offered to six owners, of which one
+// in 25 starts it, and the bytes and CPU time of these offers would delay the requests that run.
+func TestMovesStopDuringOverload(t *testing.T) {
 	e, r := testEngine(newFakeTable(6)), testRequest()
-	moving(5)(&r)
+	withMoves(5)(&r)
 	if n := offers(e, r, true, 960); n != 6 {
 		t.Errorf("%d offers of the first request, want six", n)
 	}
@@ -140,19 +140,19 @@
 		offers(e, r, true, 960)
 	}
 	if n := offers(e, r, true, 960); n != 1 {
-		t.Errorf("%d offers of a request in an overload, want one", n)
+		t.Errorf("%d offers of a request during the overload, want one", n)
 	}
 	for range 5 {
 		offers(e, r, false, 250)
 	}
 	if n := offers(e, r, true, 250); n != 6 {
-		t.Errorf("%d offers once owners have started at once again, want six", n)
+		t.Errorf("%d offers after the overload, want six", n)
 	}
 }
 
-// Neighbours that slow a third of the machines leave it worth while to move.
-func TestRequestsMoveWhileTwoThirdsOfTheOwnersStartAtOnce(t *testing.T) {
-	var s starts
+// While noisy neighbours slow a third of the owners, moving a request is still worth it.
+func TestMovesContinueWhileAThirdOfOwnersIsSlow(t *testing.T) {
+	var s startRate
 	rng := rand.New(rand.NewPCG(1, 2))
 	moves, few := 0, 0
 	for range 1000 {
@@ -160,13 +160,13 @@
 		if rng.IntN(3) == 0 {
 			share = 0.2
 		}
-		s.hear(share)
-		moves += s.moves(5)
-		if s.moves(5) < 4 {
+		s.observe(share)
+		moves += s.maxMoves(5)
+		if s.maxMoves(5) < 4 {
 			few++
 		}
 	}
 	if moves < 4900 || few > 10 {
-		t.Errorf("%d moves in 1000 requests, fewer than four in %d; want about 5000 and 10 at most", moves, few)
+		t.Errorf("%d moves in 1000 requests, fewer than four in %d; want at least 4900 and at most 10", moves, few)
 	}
 }
--- a/internal/entry/owner_test.go
+++ b/internal/entry/owner_test.go
@@ -9,18 +9,18 @@
 	"gypsumstand/internal/wire"
 )
 
-// fakeOwner keeps the owner's side of docs/DESIGN.md, "At most once", and takes
-// random decisions where a real owner would look at its load.
+// fakeOwner implements the owner's part of docs/DESIGN.md, "At most once". It decides at random
+// where a real owner would consider its load.
 type fakeOwner struct {
 	instance model.Instance
 	started  time.Time
 	attempts map[model.AttemptID]model.AttemptState
 	queued   map[model.AttemptID]model.Attempt
 	running  map[model.AttemptID]model.Attempt
-	keys     map[model.RequestID]keyRecord
+	keys     map[model.RequestID]idRecord
 }
 
-type keyRecord struct {
+type idRecord struct {
 	attempt   model.AttemptID
 	delegated bool
 }
@@ -31,7 +31,7 @@
 	o.attempts = map[model.AttemptID]model.AttemptState{}
 	o.queued = map[model.AttemptID]model.Attempt{}
 	o.running = map[model.AttemptID]model.Attempt{}
-	o.keys = map[model.RequestID]keyRecord{}
+	o.keys = map[model.RequestID]idRecord{}
 }
 
 func (o *fakeOwner) report(now time.Time) model.LoadReport {
@@ -40,7 +40,8 @@
 	}
 }
 
-func (o *fakeOwner) late(now time.Time, a *model.Attempt) bool {
+// mayBeExpired reports whether the attempt may be older than its remaining time.
+func (o *fakeOwner) mayBeExpired(now time.Time, a *model.Attempt) bool {
 	return o.report(now).Clock-a.OwnerClock >= a.Remaining
 }
 
@@ -49,7 +50,7 @@
 	model.ReasonTenantLimit, model.ReasonWorkerShed, model.ReasonWorkerUnreachable,
 }
 
-// offer decides on an arriving attempt; ok is false when it is refused.
+// offer decides about an attempt; ok is false when it is refused.
 func (o *fakeOwner) offer(t *rapid.T, now time.Time, a model.Attempt) (r model.Refusal, ok bool) {
 	notRun := func(reason model.Reason) (model.Refusal, bool) {
 		return model.Refusal{Reason: reason, NotRun: true}, false
@@ -59,7 +60,7 @@
 		return notRun(model.ReasonIncarnation)
 	case o.attempts[a.ID] == model.AttemptFenced:
 		return notRun(model.ReasonFenced)
-	case a.OwnerClock == 0 || o.late(now, &a):
+	case a.OwnerClock == 0 || o.mayBeExpired(now, &a):
 		return notRun(model.ReasonStale)
 	}
 	key := a.CallerKey && !a.Idempotent && !a.Delegated
@@ -70,22 +71,22 @@
 		reason := rapid.SampledFrom(refusalReasons).Draw(t, "reason")
 		o.attempts[a.ID] = model.AttemptFenced
 		if key && reason < model.ReasonTenantLimit {
-			o.keys[a.Request] = keyRecord{attempt: a.ID, delegated: true}
+			o.keys[a.Request] = idRecord{attempt: a.ID, delegated: true}
 			reason = model.ReasonDelegated
 		}
 		after := time.Duration(rapid.IntRange(0, 100).Draw(t, "retryAfter")) * time.Millisecond
 		return model.Refusal{Reason: reason, NotRun: true, RetryAfter: after}, false
 	}
 	if key {
-		o.keys[a.Request] = keyRecord{attempt: a.ID}
+		o.keys[a.Request] = idRecord{attempt: a.ID}
 	}
 	o.attempts[a.ID] = model.AttemptQueued
 	o.queued[a.ID] = a
 	return model.Refusal{}, true
 }
 
-// bar ends an attempt that is not to run and frees its request id.
-func (o *fakeOwner) bar(id model.AttemptID, request model.RequestID) {
+// fence makes sure that an attempt never runs, and frees its request id.
+func (o *fakeOwner) fence(id model.AttemptID, request model.RequestID) {
 	delete(o.queued, id)
 	delete(o.running, id)
 	o.attempts[id] = model.AttemptFenced
@@ -94,14 +95,14 @@
 	}
 }
 
-func (o *fakeOwner) settle(now time.Time, a model.Attempt) wire.ResolveReply {
+func (o *fakeOwner) resolve(now time.Time, a model.Attempt) wire.ResolveReply {
 	r := wire.ResolveReply{Attempt: a.ID, Report: o.report(now), State: model.AttemptForgotten}
 	if a.OwnerIncarnation != o.instance.Incarnation {
 		return r
 	}
 	r.State = o.attempts[a.ID]
 	if r.State == model.AttemptNeverSeen || r.State == model.AttemptQueued {
-		o.bar(a.ID, a.Request)
+		o.fence(a.ID, a.Request)
 	}
 	return r
 }
@@ -113,15 +114,15 @@
 	}
 }
 
-// dead tells whether attempt a can no longer run here, at now or later.
-func (o *fakeOwner) dead(now time.Time, a *model.Attempt) bool {
+// cannotRun reports whether attempt a cannot run here at now or later.
+func (o *fakeOwner) cannotRun(now time.Time, a *model.Attempt) bool {
 	switch {
 	case a.OwnerIncarnation != o.instance.Incarnation, a.OwnerClock == 0:
 		return true
 	case o.attempts[a.ID] == model.AttemptFenced:
 		return true
 	case o.attempts[a.ID] == model.AttemptNeverSeen:
-		return o.late(now, a)
+		return o.mayBeExpired(now, a)
 	}
 	return false
 }
--- a/internal/entry/place.go
+++ b/internal/entry/place.go
@@ -6,124 +6,124 @@
 	"gypsumstand/internal/model"
 )
 
-// replaceable tells whether the body can be sent again.
-func (c *Call) replaceable() bool { return c.req.Replayable }
+// canResend reports whether the body can be sent again.
+func (c *Call) canResend() bool { return c.req.Replayable }
 
-// placeElsewhere goes on after an attempt that is proved not to have run: at
-// another owner, after a wait at those that refused, or not at all.
+// placeElsewhere continues after an attempt that is proved not to have run: at another owner,
+// after a wait at those that refused, or not at all.
 func (c *Call) placeElsewhere(now time.Time) {
-	if !c.replaceable() {
+	if !c.canResend() {
 		c.giveUp(c.reason)
 		return
 	}
-	if !c.hasOther(now) {
-		c.exhausted(now)
+	if !c.hasUntried(now) {
+		c.afterAllTried(now)
 		return
 	}
-	if !c.bucket.withdraw(now, c.placeCost()) || !c.mayArriveAgain(now) {
+	if !c.bucket.withdraw(now, c.placeCost()) || !c.spendWorkerAttempt(now) {
 		c.giveUp(c.reason)
 		return
 	}
 	c.phase = phasePlace
 }
 
-// mayMove tells whether the next owner may turn the request away as busy. A call
-// with a caller's own id stays at its home, one that may run at one owner only stays there.
+// mayMove reports whether the next owner may refuse the request as busy. A request that needs
+// its home node, or may run at one owner only, does not move.
 func (c *Call) mayMove() bool {
-	return !c.staying && !c.keyed() && c.named.home == "" && c.req.Replayable && c.moves < c.mostMoves
+	return !c.queueing && !c.needsHome() && c.onlyOwner.id == "" && c.req.Replayable && c.moves < c.maxMoves
 }
 
-// moveOn goes on after an owner that was busy. It costs nothing of the budgets: no
-// worker was asked.
-func (c *Call) moveOn(now time.Time) {
+// move continues after an owner refused as busy. It takes nothing out of the budgets, as no
+// worker received the request.
+func (c *Call) move(now time.Time) {
 	c.moves++
-	if c.moves >= c.mostMoves || !c.hasOther(now) {
-		c.stay()
+	if c.moves >= c.maxMoves || !c.hasUntried(now) {
+		c.queueAtBest()
 		return
 	}
 	c.phase = phasePlace
 }
 
-// stay places the request where it is expected to start first, to wait there.
-func (c *Call) stay() {
-	c.staying = true
-	c.forgetTried()
-	c.advice = time.Time{}
+// queueAtBest places the request where it is expected to start first, to queue there.
+func (c *Call) queueAtBest() {
+	c.queueing = true
+	c.startRound()
+	c.retryOwnersAt = time.Time{}
 	c.phase = phasePlace
 }
 
-// placeCost returns what placing the request once more costs.
+// placeCost returns the cost of placing the request once more, in thousandths of an attempt.
 func (c *Call) placeCost() int64 {
-	if c.loaded {
+	if c.refusedForLoad {
 		return c.engine.tuning.ShedCost
 	}
 	return c.engine.tuning.PlaceCost
 }
 
-// retry goes on after an attempt that may have run, when its request is
-// idempotent, something is left of both budgets, and there is an owner to go to.
-// What the calls below the attempt were allowed counts as used.
+// retry continues after an attempt that may have run, if the request is idempotent, both budgets
+// allow it and there is another owner. What the attempt was allowed to pass on to the calls below
+// counts as spent.
 func (c *Call) retry(now time.Time) bool {
 	c.budget -= c.current.RetryBudget
-	if c.budget < 1 || !c.replaceable() || !c.hasOther(now) {
+	if c.budget < 1 || !c.canResend() || !c.hasUntried(now) {
 		return false
 	}
-	until := now.Add(c.engine.jitter(doubled(retryDelay, c.retries)))
-	if !until.Before(c.deadline) || !c.bucket.withdraw(now, costRetry) || !c.mayArriveAgain(now) {
+	at := now.Add(c.engine.jitter(doubled(retryDelay, c.retries)))
+	if !at.Before(c.deadline) || !c.bucket.withdraw(now, retryCost) || !c.spendWorkerAttempt(now) {
 		return false
 	}
 	c.budget--
 	c.retries++
-	c.doubt = true
-	c.open = false
-	c.wait(until, phasePlace)
+	c.mayHaveRun = true
+	c.unresolved = false
+	c.wait(at, phasePlace)
 	return true
 }
 
-// hasOther tells whether there is an owner that was not asked in this round.
-func (c *Call) hasOther(now time.Time) bool {
+// hasUntried reports whether there is an owner that was not asked in this round.
+func (c *Call) hasUntried(now time.Time) bool {
 	_, ok := c.choose(now)
 	return ok
 }
 
-// exhausted goes on when every owner was asked in this round: it waits for the
-// earliest of them to be worth asking again, or gives up at once when that is
-// too late or over the budget. It gives up too when one refused for load, or none for a
-// reason that passes at a known time: asking again answers few more calls, and the caller
-// is told when to come back. A request with its caller's own id waits: to come back proves
-// nothing of this sending. One that may run at one owner only waits for no worker's return.
-func (c *Call) exhausted(now time.Time) {
+// afterAllTried continues when every owner was asked in this round: it waits until the earliest
+// Retry-After, and gives up if that is past the deadline or over the budgets. It also gives up
+// when an owner refused for load, or none refused for a transient reason: another round would
+// answer few more calls, and the caller gets a Retry-After. A request that needs its home node
+// waits all the same, as a caller retry would prove nothing about this submission. A request
+// that may run at one owner only does not wait for that owner's worker to recover.
+func (c *Call) afterAllTried(now time.Time) {
 	switch {
 	case c.sends == 0:
-		c.giveUp(c.engine.table.NoUpstreamReason(c.queryAt(now)))
+		c.giveUp(c.engine.table.NoUpstreamReason(c.routeQuery(now)))
 		return
-	case c.named.home != "":
+	case c.onlyOwner.id != "":
 		c.giveUp(c.reason)
 		return
 	}
-	if c.moves > 0 && !c.staying {
-		c.stay()
+	if c.moves > 0 && !c.queueing {
+		c.queueAtBest()
 		return
 	}
-	until := c.nextRound(now)
-	unknownEnd := !c.passing && !c.keyed()
-	if c.loaded || unknownEnd || c.rounds == c.engine.tuning.MaxRounds || c.sends >= maxSends || !until.Before(c.deadline) {
+	until := c.nextRoundAt(now)
+	unknownRecovery := !c.refusedTransiently && !c.needsHome()
+	if c.refusedForLoad || unknownRecovery || c.rounds == c.engine.tuning.MaxRounds || c.sends >= maxSends || !until.Before(c.deadline) {
 		c.giveUp(c.reason)
 		return
 	}
-	if !c.bucket.withdraw(now, c.placeCost()) || !c.mayArriveAgain(now) {
+	if !c.bucket.withdraw(now, c.placeCost()) || !c.spendWorkerAttempt(now) {
 		c.giveUp(c.reason)
 		return
 	}
 	c.rounds++
-	c.forgetTried()
-	c.advice = time.Time{}
+	c.startRound()
+	c.retryOwnersAt = time.Time{}
 	c.wait(until, phasePlace)
 }
 
-// passes tells whether a refusal's reason ends by itself within a moment. When an owner
-// that is not ready will be, or one out of reach comes back, nobody knows.
-func passes(r model.Reason) bool {
+// isTransient reports whether the reason of a refusal passes within a moment. How long an owner
+// stays not ready or unreachable is not known.
+func isTransient(r model.Reason) bool {
 	switch r {
 	case model.ReasonPaused, model.ReasonIncarnation, model.ReasonStale, model.ReasonFenced:
 		return true
@@ -131,41 +131,41 @@
 	return false
 }
 
-// nextRound returns when the owners that refused may be asked again.
-func (c *Call) nextRound(now time.Time) time.Time {
+// nextRoundAt returns when the owners that refused may be asked again.
+func (c *Call) nextRoundAt(now time.Time) time.Time {
 	wait := doubled(roundDelay, c.rounds)
-	if !c.advice.IsZero() {
-		wait = max(wait, c.advice.Sub(now))
+	if !c.retryOwnersAt.IsZero() {
+		wait = max(wait, c.retryOwnersAt.Sub(now))
 	}
-	return now.Add(c.engine.delayed(wait))
+	return now.Add(c.engine.atLeastWithJitter(wait))
 }
 
-// forgetTried opens a new round. The home that delegated stays closed: it would
-// take the request for a second sending.
-func (c *Call) forgetTried() {
+// startRound lets all owners be asked again, except a home node that delegated the request,
+// which would take it for a second submission.
+func (c *Call) startRound() {
 	c.tried.n = 0
-	if c.home.delegated() {
+	if c.home.isDelegated() {
 		c.tried.add(c.home.delegate.instance.ID)
 	}
 }
 
-// advise notes an owner's advice to come back.
-func (c *Call) advise(now time.Time, after time.Duration) {
+// noteRetryAfter records an owner's Retry-After.
+func (c *Call) noteRetryAfter(now time.Time, after time.Duration) {
 	if after <= 0 {
 		return
 	}
 	at := now.Add(after)
-	if c.advice.IsZero() || at.Before(c.advice) {
-		c.advice = at
+	if c.retryOwnersAt.IsZero() || at.Before(c.retryOwnersAt) {
+		c.retryOwnersAt = at
 	}
 	if c.retryAfter == 0 || after < c.retryAfter {
 		c.retryAfter = after
 	}
 }
 
-// adviseLoad notes the advice of an owner that refused for load: it knows for how long it has
-// been overloaded, which one that was only busy does not tell.
-func (c *Call) adviseLoad(after time.Duration) {
-	c.retryAfter = max(after, c.overloaded)
-	c.overloaded = c.retryAfter
+// noteLoadRetryAfter records the Retry-After of an owner that refused for load. Unlike one that
+// is only busy, such an owner knows how long its overload has lasted.
+func (c *Call) noteLoadRetryAfter(after time.Duration) {
+	c.retryAfter = max(after, c.overloadRetryAfter)
+	c.overloadRetryAfter = c.retryAfter
 }
--- a/internal/entry/place_test.go
+++ b/internal/entry/place_test.go
@@ -7,9 +7,9 @@
 	"gypsumstand/internal/model"
 )
 
-// An owner that was only busy says when one of its slots is free, not when an overload ends.
-func TestTheLongestAdviceOfOverloadedOwnersIsTheCallers(t *testing.T) {
-	s := start(t, 3, moving(5))
+// The Retry-After of a busy owner is the time until a slot is free, not until an overload ends.
+func TestCallerGetsLongestOverloadRetryAfter(t *testing.T) {
+	s := start(t, 3, withMoves(5))
 	s.do(func(s *script) {
 		s.call.Refused(s.now, model.Refusal{Reason: model.ReasonBusy, NotRun: true, RetryAfter: 20 * time.Millisecond})
 	})
@@ -22,6 +22,6 @@
 		s.do(refuse(model.ReasonOverloaded))
 	}
 	if s.step.RetryAfter != 700*time.Millisecond {
-		t.Errorf("the caller is told to come back after %s, want 700 ms", s.step.RetryAfter)
+		t.Errorf("Retry-After %s, want 700 ms", s.step.RetryAfter)
 	}
 }
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -8,74 +8,72 @@
 	"gypsumstand/internal/wire"
 )
 
-// Report hands over the load report that came with an answer or a refusal. The
-// adapter calls it before Answered or Refused, and gives the report to
-// route.Table.Observe itself. ReasonWorkerUnreachable without a report of the
-// owner means that the owner itself could not be reached.
+// Report passes on the load report that came with a response or a refusal. The adapter calls it
+// before Answered or Refused, and also passes the report to route.Table.Observe.
+// ReasonWorkerUnreachable without a report means that the owner itself could not be reached.
 func (c *Call) Report(now time.Time, r model.LoadReport) {
 	if c.phase != phaseSent || r.Owner != c.to.ID {
 		return
 	}
-	c.life = r.Incarnation
-	c.clock = r.Clock
+	c.ownerIncarnation = r.Incarnation
+	c.ownerClock = r.Clock
 	c.hasReport = true
-	c.starts.hear(r.ImmediateStartShare())
+	c.startRate.observe(r.ImmediateStartShare())
 }
 
-// SetOwnerTime tells how much of the current attempt's time the owner accounts for: its
-// queue and its worker. What is left is the way's. The adapter calls it before
-// Answered.
+// SetOwnerTime sets how much of the current attempt's latency was spent at the owner, in its
+// queue and at its worker; the rest is network time. The adapter calls it before Answered.
 func (c *Call) SetOwnerTime(t wire.AttemptTimes) {
 	if c.phase == phaseSent {
-		c.held = t.Queued + t.Worker
+		c.ownerTime = t.Queued + t.Worker
 	}
 }
 
-// Answered reports the worker's answer, whole or, when the adapter streams it,
-// its head. failed tells a server error of the worker: when Next then gives
-// StepSend, the answer is to be dropped.
+// Answered reports the worker's complete response or, when the adapter streams it, its head.
+// failed reports a server error of the worker: if Next then returns StepSend, the adapter must
+// discard the response.
 func (c *Call) Answered(now time.Time, failed bool) {
 	if c.phase != phaseSent {
 		return
 	}
-	c.done(now, route.Result{Failed: failed})
-	c.noteArrival(model.Refusal{})
-	if c.pace != nil && !failed {
+	c.attemptDone(now, route.Result{Failed: failed})
+	c.countWorkerAttempt(model.Refusal{})
+	if c.latency != nil && !failed {
 		began := c.deadline.Add(-c.req.Timeout)
-		c.pace.answered(now.Sub(began), c.req.Target.Bundle.Retry.HedgeAfterQuantile)
+		c.latency.record(now.Sub(began), c.req.Target.Bundle.Retry.HedgeAfterQuantile)
 	}
 	if failed && c.req.Idempotent && c.retry(now) {
 		return
 	}
-	c.open = false
+	c.unresolved = false
 	c.end(model.OutcomeAnswered, model.ReasonNone)
 }
 
-// Refused reports the owner's refusal, or one that the owner was not asked for
-// (no connection could be had: ReasonWorkerUnreachable with NotRun).
+// Refused reports the owner's refusal, or that no connection to the owner could be opened
+// (ReasonWorkerUnreachable with NotRun).
 func (c *Call) Refused(now time.Time, r model.Refusal) {
 	if c.phase != phaseSent {
 		return
 	}
-	c.done(now, route.Result{Failed: !r.NotRun, Refused: r.Reason, RetryAfter: r.RetryAfter})
-	c.noteArrival(r)
+	c.attemptDone(now, route.Result{Failed: !r.NotRun, Refused: r.Reason, RetryAfter: r.RetryAfter})
+	c.countWorkerAttempt(r)
 	switch r.Reason {
 	case model.ReasonDuplicateRunning, model.ReasonDuplicateDone:
 		c.giveUp(r.Reason)
 		return
 	}
 	if !r.NotRun {
-		c.unproved(now, r.Reason)
+		c.afterMaybeRun(now, r.Reason)
 		return
 	}
-	c.heardHome(r)
-	c.open = false
-	c.loaded = c.loaded || forLoad(r.Reason)
-	c.refused(now, r)
+	c.noteHomeRefusal(r)
+	c.unresolved = false
+	c.refusedForLoad = c.refusedForLoad || isLoadRefusal(r.Reason)
+	c.afterRefusal(now, r)
 }
 
-// forLoad tells whether an owner refused for want of room.
-func forLoad(r model.Reason) bool {
+// isLoadRefusal reports whether an owner refused because it was overloaded.
+func isLoadRefusal(r model.Reason) bool {
 	switch r {
 	case model.ReasonOverloaded, model.ReasonQueueFull, model.ReasonWorkerShed:
 		return true
@@ -83,35 +81,35 @@
 	return false
 }
 
-// refused goes on after a refusal that proves "not run".
-func (c *Call) refused(now time.Time, r model.Refusal) {
+// afterRefusal continues after a refusal that proves "not run".
+func (c *Call) afterRefusal(now time.Time, r model.Refusal) {
 	c.reason = r.Reason
-	c.passing = c.passing || passes(r.Reason)
-	c.advise(now, r.RetryAfter)
-	if forLoad(r.Reason) {
-		c.adviseLoad(r.RetryAfter)
+	c.refusedTransiently = c.refusedTransiently || isTransient(r.Reason)
+	c.noteRetryAfter(now, r.RetryAfter)
+	if isLoadRefusal(r.Reason) {
+		c.noteLoadRetryAfter(r.RetryAfter)
 	}
-	if c.replaceable() && c.passHome(now, r.Reason) {
+	if c.canResend() && c.tryNextHome(now, r.Reason) {
 		return
 	}
 	switch r.Reason {
 	case model.ReasonIncarnation, model.ReasonStale:
-		if !c.resent && c.hasReport && c.sends < maxSends && c.replaceable() {
+		if !c.resent && c.hasReport && c.sends < maxSends && c.canResend() {
 			c.phase = phaseResend
 			return
 		}
 	case model.ReasonDelegated:
-		if c.bound() && c.replaceable() {
-			c.delegate()
-			c.named.home, c.named.lent = r.OnlyOwner, r.Granted
+		if c.mustUseHome() && c.canResend() {
+			c.acceptDelegation()
+			c.onlyOwner.id, c.onlyOwner.granted = r.OnlyOwner, r.Granted
 			c.phase = phasePlace
 			return
 		}
 	case model.ReasonBusy:
-		c.moveOn(now)
+		c.move(now)
 		return
 	case model.ReasonDeferred:
-		c.placeHeld(now, r)
+		c.placeAtOnlyOwner(now, r)
 		return
 	case model.ReasonTenantLimit, model.ReasonQuarantined, model.ReasonNoRoute, model.ReasonBodyTooLarge, model.ReasonBadRequest, model.ReasonCancelled:
 		c.giveUp(r.Reason)
@@ -120,10 +118,10 @@
 	c.placeElsewhere(now)
 }
 
-// Interrupted reports that the way to the owner broke, or an answer was cut, after
-// bytes had left, or that the step's Until passed without an answer.
-// sentToCaller tells that part of an answer has gone on already; it may come
-// after Answered, when the rest of a streamed answer is missing.
+// Interrupted reports that the connection to the owner failed or a response was truncated after
+// bytes had been sent, or that the step's Until passed without a response. sentToCaller reports
+// that part of a response was already sent to the caller; in that case Interrupted may follow
+// Answered, when the rest of a streamed response is missing.
 func (c *Call) Interrupted(now time.Time, sentToCaller bool) {
 	if c.phase == phaseEnd && c.outcome == model.OutcomeAnswered && sentToCaller {
 		c.end(model.OutcomeUnknown, model.ReasonLinkBroken)
@@ -132,61 +130,61 @@
 	if c.phase != phaseSent {
 		return
 	}
-	c.done(now, route.Result{Failed: true})
-	c.noteArrival(model.Refusal{})
+	c.attemptDone(now, route.Result{Failed: true})
+	c.countWorkerAttempt(model.Refusal{})
 	if sentToCaller {
 		c.giveUp(model.ReasonLinkBroken)
 		return
 	}
-	c.unproved(now, c.brokenReason(now))
+	c.afterMaybeRun(now, c.interruptReason(now))
 }
 
-// brokenReason tells a broken way from silence until the deadline.
-func (c *Call) brokenReason(now time.Time) model.Reason {
+// interruptReason distinguishes a failed connection from no response by the deadline.
+func (c *Call) interruptReason(now time.Time) model.Reason {
 	if now.Before(c.deadline) {
 		return model.ReasonLinkBroken
 	}
 	return model.ReasonExpired
 }
 
-// unproved goes on after an attempt that may have run: an idempotent request is
-// tried again, any other settled first. A worker that broke has had the request,
-// so that a settlement would prove nothing more.
-func (c *Call) unproved(now time.Time, reason model.Reason) {
-	c.reason = reason
-	if reason == model.ReasonWorkerCrashed {
-		c.ends++
-		c.named.endedAt = c.to.ID
+// afterMaybeRun continues after an attempt that may have run: an idempotent request is retried,
+// any other has its outcome resolved first. A broken or crashed worker has received the request,
+// so that resolving the outcome could not prove "not run".
+func (c *Call) afterMaybeRun(now time.Time, why model.Reason) {
+	c.reason = why
+	if why == model.ReasonWorkerCrashed {
+		c.crashes++
+		c.onlyOwner.crashedAt = c.to.ID
 	}
 	switch {
 	case c.req.Idempotent:
-		if !c.hasOther(now) {
-			c.forgetTried()
+		if !c.hasUntried(now) {
+			c.startRound()
 		}
 		if !c.retry(now) {
-			c.giveUp(reason)
+			c.giveUp(why)
 		}
-	case reason == model.ReasonWorkerBroken, reason == model.ReasonWorkerCrashed:
-		c.giveUp(reason)
+	case why == model.ReasonWorkerBroken, why == model.ReasonWorkerCrashed:
+		c.giveUp(why)
 	default:
-		c.phase = phaseSettle
+		c.phase = phaseResolve
 	}
 }
 
-// CallerCancelled reports that the caller gave up.
+// CallerCancelled reports that the caller cancelled the request.
 func (c *Call) CallerCancelled(now time.Time) {
 	if c.phase == phaseEnd {
 		return
 	}
 	if c.phase == phaseSent {
-		c.done(now, route.Result{Refused: model.ReasonCancelled})
+		c.attemptDone(now, route.Result{Refused: model.ReasonCancelled})
 	}
 	c.giveUp(model.ReasonCancelled)
 }
 
-// done tells the table that the attempt in flight ended.
-func (c *Call) done(now time.Time, r route.Result) {
+// attemptDone reports the end of the attempt in flight to the routing table.
+func (c *Call) attemptDone(now time.Time, r route.Result) {
 	r.Latency = now.Sub(c.sentAt)
-	r.OwnerTime = c.held
+	r.OwnerTime = c.ownerTime
 	c.engine.table.Done(now, c.to.ID, r)
 }
--- a/internal/entry/step.go
+++ b/internal/entry/step.go
@@ -8,27 +8,27 @@
 	"gypsumstand/internal/wire"
 )
 
-// StepKind says what the adapter does next.
+// StepKind is what the adapter does next.
 type StepKind uint8
 
 // The steps.
 const (
-	// StepSend: send Attempt to To, then report Answered, Refused or Broken;
-	// Interrupted at Until at the latest. An owner that has not begun to answer at AcknowledgeBy
-	// is reported as Refused for ReasonNotTakenUp, once nothing can run there any more.
+	// StepSend: send Attempt to To, then report Answered, Refused or Interrupted; Interrupted
+	// at Until at the latest. If the owner has not acknowledged the attempt by AcknowledgeBy,
+	// withdraw it and report Refused with ReasonNotAcknowledged once it can no longer run.
 	StepSend StepKind = iota
-	// StepResolve: ask To what became of Attempt, then report Settled or
-	// ResolveFailed; ResolveFailed at Until at the latest.
+	// StepResolve: ask To for the outcome of Attempt, then report Resolved or ResolveFailed;
+	// ResolveFailed at Until at the latest.
 	StepResolve
-	// StepWait: wait until Until, then ask Next again.
+	// StepWait: call Next again at Until.
 	StepWait
-	// StepEnd: tell the caller Outcome; the call is over.
+	// StepEnd: report Outcome to the caller; the call is over.
 	StepEnd
 )
 
 var stepNames = [...]string{"send", "settle", "wait", "end"}
 
-// String returns the name of k for logs.
+// String returns the name of k for logs, "invalid" for an unknown kind.
 func (k StepKind) String() string {
 	if int(k) < len(stepNames) {
 		return stepNames[k]
@@ -36,26 +36,25 @@
 	return "invalid"
 }
 
-// Step is one thing to do.
+// Step is what the adapter does next.
 type Step struct {
 	Kind    StepKind
 	To      model.Instance
 	Attempt model.Attempt
 	Until   time.Time
 	// AcknowledgeBy, when set on StepSend, is when the attempt is withdrawn unless its owner
-	// has begun to answer; zero lets the body leave at once.
+	// has acknowledged it; zero allows sending the body at once.
 	AcknowledgeBy time.Time
-	// Estimate is what the choice of To rested on, for logs; for StepSend.
+	// Estimate, on StepSend, is the estimate on which the choice of To is based, for logs.
 	Estimate route.EstimateSummary
 	// HedgeAt, when set on StepSend, is when the adapter may call Call.Hedge.
 	HedgeAt time.Time
-	// Outcome, Reason and RetryAfter are for StepEnd with no answer. RetryAfter
-	// is positive whenever the caller may come back with the same request.
+	// Outcome, Reason and RetryAfter are for a StepEnd without a response. RetryAfter is
+	// positive when the caller may send the same request again.
 	Outcome    model.Outcome
 	Reason     model.Reason
 	RetryAfter time.Duration
-	// Notify, when To is set on StepEnd, is to be sent to To, the request's home,
-	// before the caller is told, so that a caller who comes back at once finds
-	// the id free.
+	// Notify, when To is set on StepEnd, must be sent to To, the request's home node, before
+	// the caller gets its response, so that an immediate caller retry finds the id free.
 	Notify *wire.KeyResult
 }
--- a/internal/entry/world_test.go
+++ b/internal/entry/world_test.go
@@ -12,47 +12,47 @@
 	"gypsumstand/internal/route"
 )
 
-// maxSteps bounds the steps of one call in the test's worlds.
+// maxSteps bounds the steps of one call.
 const maxSteps = 100
 
-// world joins calls of one entry node to fake owners by messages that are
-// delayed, lost and crossed, and keeps the ledger of what ran.
+// world connects the calls of one entry node to fake owners by messages that are delayed, lost or
+// mixed up, and records what ran.
 type world struct {
 	t        *rapid.T
 	now      time.Time
 	engine   *Engine
 	owners   []*fakeOwner
-	heard    map[model.InstanceID]heardReport
+	reports  map[model.InstanceID]receivedReport
 	inFlight map[model.InstanceID]int
 	calls    []*liveCall
 	messages []*message
 	replies  []*reply
 	byID     map[model.AttemptID]*liveCall
 	runs     map[model.RequestID]int
-	// focus, when set, is the one call that actions are about.
+	// focus, when set, is the only call that actions apply to.
 	focus *liveCall
-	// tainted ids have a home that lost its memory.
-	tainted map[model.RequestID]bool
+	// homeRestarted holds the ids whose home node lost its records.
+	homeRestarted map[model.RequestID]bool
 }
 
-type heardReport struct {
+type receivedReport struct {
 	report model.LoadReport
 	at     time.Time
 }
 
 type liveCall struct {
-	call     *Call
-	req      Request
-	step     Step
-	awaits   bool
-	attempts []model.Attempt
-	ran      int
-	steps    int
-	// word: the home's last word was that it did not run the id. runsAtWord is
-	// the number of runs of the id then.
-	word       bool
-	runsAtWord int
-	ended      bool
+	call        *Call
+	req         Request
+	step        Step
+	outstanding bool
+	attempts    []model.Attempt
+	ran         int
+	steps       int
+	// deniedByHome reports that the home node's latest reply proved that it did not run the id.
+	// runsAtDenial is the number of runs of the id at that moment.
+	deniedByHome bool
+	runsAtDenial int
+	ended        bool
 }
 
 type message struct {
@@ -68,7 +68,8 @@
 	failed   bool
 }
 
-// Pick, Home, Sent and Done make the world the engine's table.
+// Pick, NextHome, PickInstance, NoUpstreamReason, Sent and Done make the world the engine's
+// routing table.
 func (w *world) Pick(now time.Time, q *route.Query) (route.Choice, bool) {
 	first := rapid.IntRange(0, len(w.owners)-1).Draw(w.t, "first")
 	tried := triedOwners{}
@@ -105,7 +106,7 @@
 func (w *world) choice(o *fakeOwner) route.Choice {
 	in := o.instance
 	in.Incarnation = 0
-	h, ok := w.heard[in.ID]
+	h, ok := w.reports[in.ID]
 	if !ok {
 		return route.Choice{Instance: in}
 	}
@@ -121,8 +122,8 @@
 
 func newWorld(t *rapid.T) *world {
 	w := &world{
-		t: t, now: epoch, heard: map[model.InstanceID]heardReport{}, inFlight: map[model.InstanceID]int{},
-		byID: map[model.AttemptID]*liveCall{}, runs: map[model.RequestID]int{}, tainted: map[model.RequestID]bool{},
+		t: t, now: epoch, reports: map[model.InstanceID]receivedReport{}, inFlight: map[model.InstanceID]int{},
+		byID: map[model.AttemptID]*liveCall{}, runs: map[model.RequestID]int{}, homeRestarted: map[model.RequestID]bool{},
 	}
 	for i := range 3 {
 		o := &fakeOwner{instance: model.Instance{ID: model.InstanceID("payouts-" + string(rune('a'+i))), Incarnation: 6}}
@@ -130,7 +131,7 @@
 		w.owners = append(w.owners, o)
 	}
 	w.engine = testEngine(w)
-	w.engine.paces.of(paceKey{testService, "payout"}, newPace).quantile.Store(int64(time.Millisecond))
+	w.engine.latencies.get(classKey{testService, "payout"}, newLatencyQuantile).nanos.Store(int64(time.Millisecond))
 	return w
 }
 
@@ -150,9 +151,9 @@
 	w.calls = append(w.calls, &liveCall{call: w.engine.Begin(w.now, r), req: r})
 }
 
-// step asks an idle call for its next step and begins to carry it out.
+// step gets the next step of an idle call and starts to carry it out.
 func (w *world) step(t *rapid.T) {
-	l := draw(t, w.calls, func(l *liveCall) bool { return w.about(l) && !l.awaits && !l.ended })
+	l := draw(t, w.calls, func(l *liveCall) bool { return w.inFocus(l) && !l.outstanding && !l.ended })
 	s := l.call.Next(w.now)
 	l.step = s
 	l.steps++
@@ -166,7 +167,7 @@
 	case StepSend:
 		w.send(t, l)
 	case StepResolve:
-		l.awaits = true
+		l.outstanding = true
 	case StepWait:
 		if s.Until.After(l.call.Deadline()) || !s.Until.After(w.now) {
 			t.Fatalf("wait at %v until %v", w.now, s.Until)
@@ -178,14 +179,14 @@
 
 func (w *world) send(t *rapid.T, l *liveCall) {
 	if !l.req.Idempotent {
-		w.wantDead(t, l, "sent again")
+		w.wantCannotRun(t, l, "sent again")
 	}
 	a := l.step.Attempt
-	l.word = l.word && a.Delegated
+	l.deniedByHome = l.deniedByHome && a.Delegated
 	if w.byID[a.ID] != nil {
 		t.Fatalf("attempt id %v used twice", a.ID)
 	}
-	l.awaits = true
+	l.outstanding = true
 	l.attempts = append(l.attempts, a)
 	w.byID[a.ID] = l
 	w.messages = append(w.messages, &message{attempt: a, owner: w.owner(l.step.To.ID)})
@@ -194,9 +195,9 @@
 func (w *world) end(t *rapid.T, l *liveCall) {
 	l.ended = true
 	if l.step.Outcome == model.OutcomeNotRun {
-		w.wantDead(t, l, "told not-run")
-		if l.call.keyed() && !w.tainted[l.req.ID] && (!l.word || l.runsAtWord > 0) {
-			t.Fatalf("%s told not-run, but an earlier sending may have run", l.req.ID)
+		w.wantCannotRun(t, l, "reported not-run")
+		if l.call.needsHome() && !w.homeRestarted[l.req.ID] && (!l.deniedByHome || l.runsAtDenial > 0) {
+			t.Fatalf("%s reported not-run, but an earlier submission may have run", l.req.ID)
 		}
 	}
 	if n := l.step.Notify; n != nil && rapid.IntRange(0, 3).Draw(t, "notify") > 0 {
@@ -204,21 +205,21 @@
 	}
 }
 
-// wantDead fails unless every attempt of l is known never to run.
-func (w *world) wantDead(t *rapid.T, l *liveCall, what string) {
+// wantCannotRun fails unless every attempt of l is proved not to run, now or later.
+func (w *world) wantCannotRun(t *rapid.T, l *liveCall, what string) {
 	if l.ran > 0 {
 		t.Fatalf("%s %s after a run", l.req.ID, what)
 	}
 	for i := range l.attempts {
 		a := &l.attempts[i]
-		if w.posted(a.ID) && !w.owner(a.Owner).dead(w.now, a) {
-			t.Fatalf("%s %s while attempt %v lives", l.req.ID, what, a.ID)
+		if w.mayArrive(a.ID) && !w.owner(a.Owner).cannotRun(w.now, a) {
+			t.Fatalf("%s %s while attempt %v may still run", l.req.ID, what, a.ID)
 		}
 	}
 }
 
-// posted tells whether the attempt may be under way or at its owner.
-func (w *world) posted(id model.AttemptID) bool {
+// mayArrive reports whether the attempt may be in transit or at its owner.
+func (w *world) mayArrive(id model.AttemptID) bool {
 	for _, m := range w.messages {
 		if m.attempt.ID == id {
 			return true
@@ -242,7 +243,7 @@
 }
 
 func (w *world) deliver(t *rapid.T) {
-	m := draw(t, w.messages, func(m *message) bool { return w.about(w.byID[m.attempt.ID]) })
+	m := draw(t, w.messages, func(m *message) bool { return w.inFocus(w.byID[m.attempt.ID]) })
 	w.messages = without(w.messages, m)
 	r, ok := m.owner.offer(t, w.now, m.attempt)
 	if !ok {
@@ -250,7 +251,7 @@
 	}
 }
 
-// refuse sends a refusal. The last reasons are given without a look at the id.
+// refuse sends a refusal. The reasons in the switch are given without looking the id up.
 func (w *world) refuse(o *fakeOwner, a *model.Attempt, r model.Refusal) {
 	w.reply(&reply{attempt: a.ID, report: o.report(w.now), refusal: r})
 	switch r.Reason {
@@ -258,8 +259,8 @@
 		return
 	}
 	if l := w.byID[a.ID]; !a.Delegated {
-		l.word = true
-		l.runsAtWord = w.runs[a.Request]
+		l.deniedByHome = true
+		l.runsAtDenial = w.runs[a.Request]
 	}
 }
 
@@ -269,8 +270,8 @@
 	a := w.attemptIn(t, func(o *fakeOwner) map[model.AttemptID]model.Attempt { return o.queued })
 	o := w.owner(a.Owner)
 	shed := rapid.IntRange(0, 4).Draw(t, "shed") == 0
-	if shed || o.late(w.now, &a) {
-		o.bar(a.ID, a.Request)
+	if shed || o.mayBeExpired(w.now, &a) {
+		o.fence(a.ID, a.Request)
 		reason := model.ReasonExpired
 		if shed {
 			reason = model.ReasonWorkerShed
@@ -290,11 +291,11 @@
 	w.runs[a.Request]++
 	switch {
 	case l.ended && l.step.Outcome == model.OutcomeNotRun:
-		t.Fatalf("%s ran after it was told not-run", a.Request)
+		t.Fatalf("%s ran after it was reported not-run", a.Request)
 	case !a.Idempotent && l.ran > 1:
 		t.Fatalf("%s ran twice", a.Request)
-	case l.call.keyed() && !w.tainted[a.Request] && w.runs[a.Request] > 1:
-		t.Fatalf("%s, sent twice by its caller, ran twice", a.Request)
+	case l.call.needsHome() && !w.homeRestarted[a.Request] && w.runs[a.Request] > 1:
+		t.Fatalf("%s, submitted twice by its caller, ran twice", a.Request)
 	}
 }
 
@@ -316,16 +317,16 @@
 	w.reply(r)
 }
 
-// receive hands a reply to its call, unless the connection is gone.
+// receive delivers a reply to its call, unless the connection is closed.
 func (w *world) receive(t *rapid.T) {
-	r := draw(t, w.replies, func(r *reply) bool { return w.about(w.byID[r.attempt]) })
+	r := draw(t, w.replies, func(r *reply) bool { return w.inFocus(w.byID[r.attempt]) })
 	w.replies = without(w.replies, r)
 	w.observe(r.report)
 	l := w.byID[r.attempt]
-	if !l.awaits || l.step.Kind != StepSend || l.step.Attempt.ID != r.attempt {
+	if !l.outstanding || l.step.Kind != StepSend || l.step.Attempt.ID != r.attempt {
 		return
 	}
-	l.awaits = false
+	l.outstanding = false
 	l.call.Report(w.now, r.report)
 	if r.answered {
 		l.call.Answered(w.now, r.failed)
@@ -335,31 +336,31 @@
 }
 
 func (w *world) observe(r model.LoadReport) {
-	if h, ok := w.heard[r.Owner]; !ok || h.report.Incarnation <= r.Incarnation {
-		w.heard[r.Owner] = heardReport{report: r, at: w.now}
+	if h, ok := w.reports[r.Owner]; !ok || h.report.Incarnation <= r.Incarnation {
+		w.reports[r.Owner] = receivedReport{report: r, at: w.now}
 	}
 }
 
 func (w *world) awaiting(t *rapid.T, kind StepKind) *liveCall {
-	return draw(t, w.calls, func(l *liveCall) bool { return w.about(l) && l.awaits && l.step.Kind == kind })
+	return draw(t, w.calls, func(l *liveCall) bool { return w.inFocus(l) && l.outstanding && l.step.Kind == kind })
 }
 
-// check compares the table's counts with the calls that await an owner's word.
+// check compares the table's counts with the calls that wait for an owner's reply.
 func (w *world) check(t *rapid.T) {
 	want := map[model.InstanceID]int{}
 	for _, l := range w.calls {
-		if l.awaits && l.step.Kind == StepSend {
+		if l.outstanding && l.step.Kind == StepSend {
 			want[l.step.To.ID]++
 		}
 	}
 	for _, o := range w.owners {
 		if id := o.instance.ID; w.inFlight[id] != want[id] {
-			t.Fatalf("%s: %d attempts in flight by Sent and Done, %d in truth", id, w.inFlight[id], want[id])
+			t.Fatalf("%s: %d attempts in flight by Sent and Done, want %d", id, w.inFlight[id], want[id])
 		}
 	}
 }
 
-// draw picks one of list that fits, or skips the action.
+// draw picks one element of list that fits, or skips the action.
 func draw[T any](t *rapid.T, list []T, fits func(T) bool) T {
 	var fitting []T
 	for _, x := range list {
@@ -373,15 +374,15 @@
 	return fitting[rapid.IntRange(0, len(fitting)-1).Draw(t, "which")]
 }
 
-// about tells whether an action may be about l now.
-func (w *world) about(l *liveCall) bool { return w.focus == nil || w.focus == l }
+// inFocus reports whether actions apply to l now.
+func (w *world) inFocus(l *liveCall) bool { return w.focus == nil || w.focus == l }
 
 // attemptIn draws an attempt that is in one of the owners' maps.
 func (w *world) attemptIn(t *rapid.T, in func(*fakeOwner) map[model.AttemptID]model.Attempt) model.Attempt {
 	var list []model.Attempt
 	for _, l := range w.calls {
 		for _, a := range l.attempts {
-			if _, ok := in(w.owner(a.Owner))[a.ID]; ok && w.about(l) {
+			if _, ok := in(w.owner(a.Owner))[a.ID]; ok && w.inFocus(l) {
 				list = append(list, a)
 			}
 		}
@@ -389,22 +390,22 @@
 	return draw(t, list, nil)
 }
 
-// progress does what is due for one call, so that most calls get somewhere.
+// progress does what is due for one call, so that most calls make progress.
 func (w *world) progress(t *rapid.T) {
 	w.focus = draw(t, w.calls, func(l *liveCall) bool { return !l.ended })
 	defer func() { w.focus = nil }()
 	switch l := w.focus; {
-	case !l.awaits:
+	case !l.outstanding:
 		w.step(t)
 	case l.step.Kind == StepResolve:
-		w.settle(t)
+		w.resolveOutcome(t)
 	default:
-		w.carry(t, l.step.Attempt)
+		w.advanceAttempt(t, l.step.Attempt)
 	}
 }
 
-// carry brings an attempt that its call waits for one stage on.
-func (w *world) carry(t *rapid.T, a model.Attempt) {
+// advanceAttempt moves an attempt that its call waits for one stage forward.
+func (w *world) advanceAttempt(t *rapid.T, a model.Attempt) {
 	o := w.owner(a.Owner)
 	_, queued := o.queued[a.ID]
 	_, running := o.running[a.ID]
@@ -413,7 +414,7 @@
 		w.startQueued(t)
 	case running:
 		w.finish(t)
-	case o.attempts[a.ID] == model.AttemptNeverSeen && w.posted(a.ID):
+	case o.attempts[a.ID] == model.AttemptNeverSeen && w.mayArrive(a.ID):
 		w.deliver(t)
 	default:
 		w.receive(t)
@@ -430,16 +431,16 @@
 	return out
 }
 
-// progressWeight is how often a call's due step is drawn beside each other action.
+// progressWeight is how many times progress is in the set of actions.
 const progressWeight = 12
 
-func TestCallsKeepAtMostOnceAndTrueRefusals(t *testing.T) {
+func TestCallsRunAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t)
 		actions := map[string]func(*rapid.T){
 			"begin": w.begin, "begin too": w.begin, "step": w.step, "deliver": w.deliver, "start": w.startQueued,
-			"finish": w.finish, "receive": w.receive, "break": w.breakLink, "no connection": w.noConnection,
-			"settle": w.settle, "hedge": w.hedge, "restart": w.restart, "advance": w.advance, "caller gone": w.callerGone,
+			"finish": w.finish, "receive": w.receive, "break": w.interrupt, "no connection": w.noConnection,
+			"settle": w.resolveOutcome, "hedge": w.hedge, "restart": w.restart, "advance": w.advance, "caller gone": w.callerGone,
 		}
 		for i := range progressWeight {
 			actions["progress "+strconv.Itoa(i)] = w.progress
