--- a/internal/entry/acknowledge.go
+++ b/internal/entry/acknowledge.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// An owner acknowledges an attempt once it has read the head: it asks for the body or refuses.
-// An owner that does neither is unreachable, without power or paused. As it doesn't have the
-// body, the attempt can be withdrawn and the request sent elsewhere, proved not to have run.
+// An owner acknowledges an attempt once it has read the head: it asks for the body or
+// refuses. An owner that does neither is unreachable, without power or paused. As it
+// doesn't have the body, the attempt can be withdrawn and the request sent elsewhere,
+// proved not to have run.
 const (
 	// maxAcknowledgeTime bounds the time that an owner has: several times the longest round
 	// trip between two regions, 70 ms.
 	maxAcknowledgeTime = 250 * time.Millisecond
-	// minAcknowledgeTime is the least time that an owner has: an instance with a CPU quota may
-	// be stopped for most of 100 ms.
+	// minAcknowledgeTime is the least time that an owner has: an instance with a CPU quota
+	// may be stopped for most of 100 ms.
 	minAcknowledgeTime = 100 * time.Millisecond
 	// The time is at most 1/objectiveDivisor of the class's objective, so that the next owner
 	// can still respond within it.
--- a/internal/entry/backoff.go
+++ b/internal/entry/backoff.go
@@ -10,8 +10,8 @@
 	// roundDelay is the mean delay before owners that refused are asked again, when none of
 	// them sent a Retry-After.
 	roundDelay = 10 * time.Millisecond
-	// resolveDelay is the mean delay before an outcome resolution is repeated; it doubles with
-	// each further one.
+	// resolveDelay is the mean delay before an outcome resolution is repeated; it doubles
+	// with each further one.
 	resolveDelay = 5 * time.Millisecond
 	// resolveTimeout is the time that an owner has for the first outcome resolution; it
 	// doubles with each further one.
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -29,8 +29,8 @@
 	return table
 }
 
-// BenchmarkStraightCall measures a call whose first attempt gets a response. Its baseline is the
-// routing that every call needs.
+// BenchmarkStraightCall measures a call whose first attempt gets a response. Its baseline
+// is the routing that every call needs.
 func BenchmarkStraightCall(b *testing.B) {
 	r := testRequest()
 	table := benchTable(r.Target)
--- a/internal/entry/budget.go
+++ b/internal/entry/budget.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// A bucket is an entry node's token bucket of extra attempts for one service, in thousandths of
-// an attempt: each first attempt adds the bundle's ratio, each extra attempt takes its cost.
-// Over any time the extra attempts cost at most
-// ratio x first attempts + bucketRefillPerSecond x seconds + bucketDepth.
+// A bucket is an entry node's token bucket of extra attempts for one service, in
+// thousandths of an attempt: each first attempt adds the bundle's ratio, each extra attempt
+// takes its cost. Over any time the extra attempts cost at most ratio x first attempts +
+// bucketRefillPerSecond x seconds + bucketDepth.
 const (
 	attemptUnit = 1000
 	// bucketDepth bounds the burst after a quiet time: 20 retries.
@@ -23,7 +23,8 @@
 // bucket is safe for concurrent use and takes no lock.
 type bucket struct {
 	tokens atomic.Int64
-	// refilledAt is the time up to which bucketRefillPerSecond was added, in Unix nanoseconds.
+	// refilledAt is the time up to which bucketRefillPerSecond was added, in Unix
+	// nanoseconds.
 	refilledAt atomic.Int64
 }
 
@@ -35,7 +36,8 @@
 }
 
 // deposit adds the ratio for one first attempt. It only reads a full bucket, so that calls
-// don't contend for it while nothing fails. Each concurrent deposit may overfill it by one ratio.
+// don't contend for it while nothing fails. Each concurrent deposit may overfill it by one
+// ratio.
 func (b *bucket) deposit(ratio float64) {
 	if b.tokens.Load() < bucketDepth {
 		b.tokens.Add(int64(ratio * attemptUnit))
@@ -80,6 +82,6 @@
 	b.tokens.Add(min(amount, bucketDepth-b.tokens.Load()))
 }
 
-// childBudget returns how much of a budget of extra attempts an attempt passes on to the calls
-// below it: this hop keeps the greater half for itself.
+// childBudget returns how much of a budget of extra attempts an attempt passes on to the
+// calls below it: this hop keeps the greater half for itself.
 func childBudget(budget int) int { return budget / 2 }
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -69,7 +69,8 @@
 	acknowledgeBy time.Time
 	hedgeAt       time.Time
 	hedged        bool
-	// unresolved reports that the current attempt neither ended nor was proved not to have run.
+	// unresolved reports that the current attempt neither ended nor was proved not to have
+	// run.
 	unresolved bool
 	// mayHaveRun reports that an attempt before the current one may have run.
 	mayHaveRun bool
@@ -191,7 +192,8 @@
 }
 
 // choose picks an owner that this call has not tried in this round. A request that needs
-// its home node goes there until the home delegates it; a deferred one goes to its only owner.
+// its home node goes there until the home delegates it; a deferred one goes to its only
+// owner.
 func (c *Call) choose(now time.Time) (route.Choice, bool) {
 	if c.sends == maxSends {
 		return route.Choice{}, false
@@ -221,7 +223,8 @@
 	return &c.query
 }
 
-// resend sends to the current owner again, with the incarnation and the clock that it reported.
+// resend sends to the current owner again, with the incarnation and the clock that it
+// reported.
 func (c *Call) resend(now time.Time) {
 	c.resent = true
 	c.to.Incarnation = c.ownerIncarnation
--- a/internal/entry/callertimeout.go
+++ b/internal/entry/callertimeout.go
@@ -42,8 +42,8 @@
 	mean, share float64
 }
 
-// observe adds the timeout of a submission, and returns an estimate of how long its caller had
-// waited before; zero for a first submission.
+// observe adds the timeout of a submission, and returns an estimate of how long its caller
+// had waited before; zero for a first submission.
 func (c *callerTimeout) observe(now time.Time, timeout time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/entry/end.go
+++ b/internal/entry/end.go
@@ -31,9 +31,9 @@
 	c.end(model.OutcomeUnknown, reason)
 }
 
-// isProvedNotRun reports whether the caller may be told that its request was not run. With a
-// caller's own key that is a statement about the id, including earlier submissions, which only
-// the id's home node can prove.
+// isProvedNotRun reports whether the caller may be told that its request was not run. With
+// a caller's own key that is a statement about the id, including earlier submissions, which
+// only the id's home node can prove.
 func (c *Call) isProvedNotRun() bool {
 	if c.unresolved || c.mayHaveRun {
 		return false
@@ -61,9 +61,9 @@
 	return s
 }
 
-// callerRetryAfter returns the Retry-After for the caller, or zero when it should not send the
-// request again: when a repeated run could do harm, or when the request has run, as another
-// submission could come after the home node has forgotten the id.
+// callerRetryAfter returns the Retry-After for the caller, or zero when it should not send
+// the request again: when a repeated run could do harm, or when the request has run, as
+// another submission could come after the home node has forgotten the id.
 func (c *Call) callerRetryAfter() time.Duration {
 	if c.outcome == model.OutcomeAnswered {
 		return 0
--- a/internal/entry/fleetbudget.go
+++ b/internal/entry/fleetbudget.go
@@ -98,8 +98,8 @@
 	return b
 }
 
-// SetEntryNodes sets how many entry nodes share the fleet's allowance of extra attempts. It is
-// called when the fleet changes.
+// SetEntryNodes sets how many entry nodes share the fleet's allowance of extra attempts. It
+// is called when the fleet changes.
 func (e *Engine) SetEntryNodes(n int) { e.entryNodes.Store(int64(n)) }
 
 // spendWorkerAttempt reports whether the request may go to one more worker, and takes that
@@ -114,8 +114,8 @@
 	return c.fleetBudget == nil || c.fleetBudget.spend(now)
 }
 
-// countWorkerAttempt counts an attempt with the refusal r if a worker received it or may have;
-// a zero r stands for any other end.
+// countWorkerAttempt counts an attempt with the refusal r if a worker received it or may
+// have; a zero r stands for any other end.
 func (c *Call) countWorkerAttempt(r model.Refusal) {
 	if r.NotRun && !refusedByWorker(r.Reason) {
 		return
@@ -123,7 +123,8 @@
 	c.workerAttempts++
 }
 
-// refusedByWorker reports whether a refusal that proves "not run" came from the worker itself.
+// refusedByWorker reports whether a refusal that proves "not run" came from the worker
+// itself.
 func refusedByWorker(r model.Reason) bool {
 	return r == model.ReasonWorkerShed || r == model.ReasonWorkerReplaced
 }
--- a/internal/entry/hedge.go
+++ b/internal/entry/hedge.go
@@ -11,18 +11,18 @@
 	"gypsumstand/internal/model"
 )
 
-// hedgeMinBudget is what a service's bucket must hold for a hedge. Refusals for load drain the
-// bucket, so that hedging stops where it would worsen an overload.
+// hedgeMinBudget is what a service's bucket must hold for a hedge. Refusals for load drain
+// the bucket, so that hedging stops where it would worsen an overload.
 const hedgeMinBudget = bucketDepth / 2
 
-// Hedge starts a second attempt at another owner beside the one in flight. The adapter may call
-// it once the step's HedgeAt has passed without a response; ok is false when the budgets or the
-// owners left do not allow it.
+// Hedge starts a second attempt at another owner beside the one in flight. The adapter may
+// call it once the step's HedgeAt has passed without a response; ok is false when the
+// budgets or the owners left do not allow it.
 //
-// The hedge is a separate call for the same request with c's deadline; another goroutine may
-// carry out its steps concurrently with c's. The first of the two that ends with a response
-// provides the caller's, and the adapter calls CallerCancelled on the other. If neither does,
-// the caller gets the result of CombineOutcomes.
+// The hedge is a separate call for the same request with c's deadline; another goroutine
+// may carry out its steps concurrently with c's. The first of the two that ends with a
+// response provides the caller's, and the adapter calls CallerCancelled on the other. If
+// neither does, the caller gets the result of CombineOutcomes.
 func (c *Call) Hedge(now time.Time) (h *Call, ok bool) {
 	if c.hedgeAt.IsZero() || !c.bucket.holds(hedgeMinBudget) {
 		return nil, false
@@ -30,9 +30,9 @@
 	return c.hedge(now)
 }
 
-// HedgeUnreachable is Hedge for an attempt whose owner turned out to be unreachable: it doesn't
-// wait for HedgeAt and needs no hedgeMinBudget, as it takes the place of the retry that would
-// follow.
+// HedgeUnreachable is Hedge for an attempt whose owner turned out to be unreachable: it
+// doesn't wait for HedgeAt and needs no hedgeMinBudget, as it takes the place of the retry
+// that would follow.
 func (c *Call) HedgeUnreachable(now time.Time) (h *Call, ok bool) {
 	if !c.req.Idempotent || !c.canResend() || c.hedged {
 		return nil, false
@@ -63,16 +63,16 @@
 	return h, true
 }
 
-// spendHedgeAttempt is spendWorkerAttempt for a hedge: the attempt in flight counts as one that
-// a worker received.
+// spendHedgeAttempt is spendWorkerAttempt for a hedge: the attempt in flight counts as one
+// that a worker received.
 func (c *Call) spendHedgeAttempt(now time.Time) bool {
 	c.workerAttempts++
 	defer func() { c.workerAttempts-- }()
 	return c.spendWorkerAttempt(now)
 }
 
-// CombineOutcomes returns the step that ends a request when neither a call nor its hedge got a
-// response: not-run only when both are proved not to have run.
+// CombineOutcomes returns the step that ends a request when neither a call nor its hedge
+// got a response: not-run only when both are proved not to have run.
 func CombineOutcomes(a, b Step) Step {
 	if a.Outcome == model.OutcomeUnknown {
 		return a
--- a/internal/entry/home.go
+++ b/internal/entry/home.go
@@ -33,8 +33,8 @@
 // maxSkippedHomes bounds the home nodes that one call skips.
 const maxSkippedHomes = 3
 
-// tryNextHome makes the call continue at the next home node in order; it returns false when the
-// current one is still in charge.
+// tryNextHome makes the call continue at the next home node in order; it returns false when
+// the current one is still in charge.
 func (c *Call) tryNextHome(now time.Time, r model.Reason) bool {
 	if !c.mustUseHome() || len(c.home.skipped) == maxSkippedHomes {
 		return false
@@ -63,8 +63,8 @@
 // mustUseHome reports whether the next attempt may go to the home node only.
 func (c *Call) mustUseHome() bool { return c.needsHome() && !c.home.isDelegated() }
 
-// chooseHome returns the id's home node unless it was asked in this round. A home node that is
-// leaving or gone is succeeded by the next one in the table's order.
+// chooseHome returns the id's home node unless it was asked in this round. A home node that
+// is leaving or gone is succeeded by the next one in the table's order.
 func (c *Call) chooseHome(now time.Time) (route.Choice, bool) {
 	choice, ok := c.engine.table.NextHome(now, c.routeQuery(now), c.scopedID(), c.home.skipped)
 	if !ok || c.tried.has(choice.Instance.ID) || c.tried.full() {
@@ -93,7 +93,8 @@
 	c.home.delegate = &delegation{instance: c.to, attempt: c.current.ID}
 }
 
-// homeNotice returns what the home node that delegated the request is to learn of its outcome.
+// homeNotice returns what the home node that delegated the request is to learn of its
+// outcome.
 func (c *Call) homeNotice() *wire.KeyResult {
 	if !c.home.isDelegated() {
 		return nil
--- a/internal/entry/move_test.go
+++ b/internal/entry/move_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// extraAttempts simulates one entry whose attempts all fail and returns the extra attempts of one
-// window after a quiet time.
+// extraAttempts simulates one entry whose attempts all fail and returns the extra attempts
+// of one window after a quiet time.
 func extraAttempts(t *testing.T, entries int, extra, ratio float64, perSecond int) int {
 	t.Helper()
 	engine := testEngine(newFakeTable(6))
@@ -111,9 +111,9 @@
 	return attempts
 }
 
-// offers returns how many owners a call is offered to. Each owner starts it at once or, if full,
-// refuses it as busy where it may move and queues it otherwise. delayed is the share of attempts
-// that the owners report not to start at once, in thousandths.
+// offers returns how many owners a call is offered to. Each owner starts it at once or, if
+// full, refuses it as busy where it may move and queues it otherwise. delayed is the share
+// of attempts that the owners report not to start at once, in thousandths.
 func offers(e *Engine, r Request, full bool, delayed uint16) int {
 	c := e.Begin(epoch, r)
 	for n := 1; ; n++ {
@@ -128,8 +128,9 @@
 	}
 }
 
-// All owners are full. If requests kept moving, each would be offered to six owners, of which one
-// in 25 starts it, and the bytes and CPU time of these offers would delay the requests that run.
+// All owners are full. If requests kept moving, each would be offered to six owners, of
+// which one in 25 starts it, and the bytes and CPU time of these offers would delay the
+// requests that run.
 func TestMovesStopDuringOverload(t *testing.T) {
 	e, r := testEngine(newFakeTable(6)), testRequest()
 	withMoves(5)(&r)
--- a/internal/entry/onlyowner.go
+++ b/internal/entry/onlyowner.go
@@ -7,8 +7,8 @@
 	"gypsumstand/internal/route"
 )
 
-// onlyOwnerState is what a call knows of the owners at which its request may run, once a worker
-// crashed while running it.
+// onlyOwnerState is what a call knows of the owners at which its request may run, once a
+// worker crashed while running it.
 type onlyOwnerState struct {
 	// id is the only owner at which the request may run, as another owner reported; empty
 	// while none did.
@@ -28,10 +28,10 @@
 	}
 }
 
-// placeAtOnlyOwner continues after an owner deferred the request because a worker crashed while
-// running it: the request goes to the only owner that may run it, or the call ends. That takes
-// nothing out of the budgets, as no worker received the request. The Retry-After of the last
-// owner counts, as that owner knows best when its worker recovers.
+// placeAtOnlyOwner continues after an owner deferred the request because a worker crashed
+// while running it: the request goes to the only owner that may run it, or the call ends.
+// That takes nothing out of the budgets, as no worker received the request. The Retry-After
+// of the last owner counts, as that owner knows best when its worker recovers.
 func (c *Call) placeAtOnlyOwner(now time.Time, r model.Refusal) {
 	c.retryAfter = r.RetryAfter
 	c.onlyOwner.id, c.onlyOwner.granted = r.OnlyOwner, r.Granted
--- a/internal/entry/onlyowner_test.go
+++ b/internal/entry/onlyowner_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// The only owner's worker has just crashed, undetected so far. A request with the caller's own
-// key would otherwise wait for it until the deadline.
+// The only owner's worker has just crashed, undetected so far. A request with the caller's
+// own key would otherwise wait for it until the deadline.
 func TestKeyedRequestFailsFastWhenOnlyOwnerHasNoWorker(t *testing.T) {
 	s := start(t, 3, keyed)
 	s.do(func(s *script) {
@@ -41,8 +41,8 @@
 	}
 }
 
-// No other owner may run the request, so that the call ends at once, with the Retry-After of the
-// only owner.
+// No other owner may run the request, so that the call ends at once, with the Retry-After
+// of the only owner.
 func TestDeferredRequestFailsFastWhenOnlyOwnerHasNoWorker(t *testing.T) {
 	s := start(t, 3)
 	s.do(deferTo("payouts-c", 3*time.Second), deferTo("payouts-c", 1200*time.Millisecond))
@@ -62,7 +62,8 @@
 	}
 }
 
-// Two owners each name the other as the only one. Each is asked as such once, then the call ends.
+// Two owners each name the other as the only one. Each is asked as such once, then the call
+// ends.
 func TestDisagreeingOwnersEndTheCall(t *testing.T) {
 	s := start(t, 3)
 	first := s.step.To.ID
@@ -93,8 +94,8 @@
 	}
 }
 
-// The next owner defers the request before it learns which owner coordinates it. The call asks the
-// owner whose worker crashed again, and that one grants the run to an owner.
+// The next owner defers the request before it learns which owner coordinates it. The call
+// asks the owner whose worker crashed again, and that one grants the run to an owner.
 func TestDeferredRequestCarriesTheGrant(t *testing.T) {
 	s := start(t, 3, idempotent)
 	crashed := s.step.To.ID
--- a/internal/entry/owner_test.go
+++ b/internal/entry/owner_test.go
@@ -9,8 +9,8 @@
 	"gypsumstand/internal/wire"
 )
 
-// fakeOwner implements the owner's part of docs/DESIGN.md, "At most once". It decides at random
-// where a real owner would consider its load.
+// fakeOwner implements the owner's part of docs/DESIGN.md, "At most once". It decides at
+// random where a real owner would consider its load.
 type fakeOwner struct {
 	instance model.Instance
 	started  time.Time
--- a/internal/entry/place.go
+++ b/internal/entry/place.go
@@ -60,9 +60,9 @@
 	return c.engine.tuning.PlaceCost
 }
 
-// retry continues after an attempt that may have run, if the request is idempotent, both budgets
-// allow it and there is another owner. What the attempt was allowed to pass on to the calls below
-// counts as spent.
+// retry continues after an attempt that may have run, if the request is idempotent, both
+// budgets allow it and there is another owner. What the attempt was allowed to pass on to
+// the calls below counts as spent.
 func (c *Call) retry(now time.Time) bool {
 	c.budget -= c.current.RetryBudget
 	if c.budget < 1 || !c.canResend() || !c.hasUntried(now) {
@@ -86,12 +86,13 @@
 	return ok
 }
 
-// afterAllTried continues when every owner was asked in this round: it waits until the earliest
-// Retry-After, and gives up if that is past the deadline or over the budgets. It also gives up
-// when an owner refused for load, or none refused for a transient reason: another round would
-// answer few more calls, and the caller gets a Retry-After. A request that needs its home node
-// waits all the same, as a caller retry would prove nothing about this submission. A request
-// that may run at one owner only does not wait for that owner's worker to recover.
+// afterAllTried continues when every owner was asked in this round: it waits until the
+// earliest Retry-After, and gives up if that is past the deadline or over the budgets. It
+// also gives up when an owner refused for load, or none refused for a transient reason:
+// another round would answer few more calls, and the caller gets a Retry-After. A request
+// that needs its home node waits all the same, as a caller retry would prove nothing about
+// this submission. A request that may run at one owner only does not wait for that owner's
+// worker to recover.
 func (c *Call) afterAllTried(now time.Time) {
 	switch {
 	case c.sends == 0:
@@ -121,8 +122,8 @@
 	c.wait(until, phasePlace)
 }
 
-// isTransient reports whether the reason of a refusal passes within a moment. How long an owner
-// stays not ready or unreachable is not known.
+// isTransient reports whether the reason of a refusal passes within a moment. How long an
+// owner stays not ready or unreachable is not known.
 func isTransient(r model.Reason) bool {
 	switch r {
 	case model.ReasonPaused, model.ReasonIncarnation, model.ReasonStale, model.ReasonFenced:
@@ -163,8 +164,8 @@
 	}
 }
 
-// noteLoadRetryAfter records the Retry-After of an owner that refused for load. Unlike one that
-// is only busy, such an owner knows how long its overload has lasted.
+// noteLoadRetryAfter records the Retry-After of an owner that refused for load. Unlike one
+// that is only busy, such an owner knows how long its overload has lasted.
 func (c *Call) noteLoadRetryAfter(after time.Duration) {
 	c.retryAfter = max(after, c.overloadRetryAfter)
 	c.overloadRetryAfter = c.retryAfter
--- a/internal/entry/place_test.go
+++ b/internal/entry/place_test.go
@@ -7,7 +7,8 @@
 	"gypsumstand/internal/model"
 )
 
-// The Retry-After of a busy owner is the time until a slot is free, not until an overload ends.
+// The Retry-After of a busy owner is the time until a slot is free, not until an overload
+// ends.
 func TestCallerGetsLongestOverloadRetryAfter(t *testing.T) {
 	s := start(t, 3, withMoves(5))
 	s.do(func(s *script) {
--- a/internal/entry/registry.go
+++ b/internal/entry/registry.go
@@ -2,8 +2,9 @@
 
 import "sync/atomic"
 
-// registry holds one value per key, created on first use. Its keys come from bundles, so their
-// number is bounded. Reads take no lock and allocate nothing; a new key copies the map.
+// registry holds one value per key, created on first use. Its keys come from bundles, so
+// their number is bounded. Reads take no lock and allocate nothing; a new key copies the
+// map.
 type registry[K comparable, V any] struct {
 	values atomic.Pointer[map[K]*V]
 }
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -8,9 +8,10 @@
 	"gypsumstand/internal/wire"
 )
 
-// Report passes on the load report that came with a response or a refusal. The adapter calls it
-// before Answered or Refused, and also passes the report to route.Table.Observe.
-// ReasonWorkerUnreachable without a report means that the owner itself could not be reached.
+// Report passes on the load report that came with a response or a refusal. The adapter
+// calls it before Answered or Refused, and also passes the report to route.Table.Observe.
+// ReasonWorkerUnreachable without a report means that the owner itself could not be
+// reached.
 func (c *Call) Report(now time.Time, r model.LoadReport) {
 	if c.phase != phaseSent || r.Owner != c.to.ID {
 		return
@@ -29,9 +30,9 @@
 	}
 }
 
-// Answered reports the worker's complete response or, when the adapter streams it, its head.
-// failed reports a server error of the worker: if Next then returns StepSend, the adapter must
-// discard the response.
+// Answered reports the worker's complete response or, when the adapter streams it, its
+// head. failed reports a server error of the worker: if Next then returns StepSend, the
+// adapter must discard the response.
 func (c *Call) Answered(now time.Time, failed bool) {
 	if c.phase != phaseSent {
 		return
@@ -118,10 +119,10 @@
 	c.placeElsewhere(now)
 }
 
-// Interrupted reports that the connection to the owner failed or a response was truncated after
-// bytes had been sent, or that the step's Until passed without a response. sentToCaller reports
-// that part of a response was already sent to the caller; in that case Interrupted may follow
-// Answered, when the rest of a streamed response is missing.
+// Interrupted reports that the connection to the owner failed or a response was truncated
+// after bytes had been sent, or that the step's Until passed without a response.
+// sentToCaller reports that part of a response was already sent to the caller; in that case
+// Interrupted may follow Answered, when the rest of a streamed response is missing.
 func (c *Call) Interrupted(now time.Time, sentToCaller bool) {
 	if c.phase == phaseEnd && c.outcome == model.OutcomeAnswered && sentToCaller {
 		c.end(model.OutcomeUnknown, model.ReasonLinkBroken)
@@ -147,9 +148,9 @@
 	return model.ReasonExpired
 }
 
-// afterMaybeRun continues after an attempt that may have run: an idempotent request is retried,
-// any other has its outcome resolved first. A broken or crashed worker has received the request,
-// so that resolving the outcome could not prove "not run".
+// afterMaybeRun continues after an attempt that may have run: an idempotent request is
+// retried, any other has its outcome resolved first. A broken or crashed worker has
+// received the request, so that resolving the outcome could not prove "not run".
 func (c *Call) afterMaybeRun(now time.Time, why model.Reason) {
 	c.reason = why
 	if why == model.ReasonWorkerCrashed {
--- a/internal/entry/resolve.go
+++ b/internal/entry/resolve.go
@@ -28,8 +28,8 @@
 }
 
 // Resolved reports the owner's reply. A reply about another attempt counts as a failure.
-// Started, done and forgotten are final: the response was lost with its connection, and asking
-// again could not recover it.
+// Started, done and forgotten are final: the response was lost with its connection, and
+// asking again could not recover it.
 func (c *Call) Resolved(now time.Time, r wire.ResolveReply) {
 	if !c.isResolving() {
 		return
@@ -59,8 +59,8 @@
 	return false
 }
 
-// ResolveFailed reports that an outcome resolution got no reply. It is repeated after a doubling,
-// jittered delay, until the deadline.
+// ResolveFailed reports that an outcome resolution got no reply. It is repeated after a
+// doubling, jittered delay, until the deadline.
 func (c *Call) ResolveFailed(now time.Time) {
 	if c.phase != phaseResolving {
 		return
--- a/internal/entry/startrate.go
+++ b/internal/entry/startrate.go
@@ -7,12 +7,12 @@
 	"gypsumstand/internal/bundle"
 )
 
-// A request moves on from owners that cannot start it at once, since usually another owner can.
-// In an overload no other owner can either, and each move costs a round trip, the body's bytes
-// on slow links and CPU time of two nodes: at 1.3 times the capacity left in two of three data
-// centres, with five moves each, owners refused 25 attempts for each one that they started. So
-// owners report the share of attempts that they start at once, and where a service's owners
-// seldom do, requests queue at an owner after fewer moves.
+// A request moves on from owners that cannot start it at once, since usually another owner
+// can. In an overload no other owner can either, and each move costs a round trip, the
+// body's bytes on slow links and CPU time of two nodes: at 1.3 times the capacity left in
+// two of three data centres, with five moves each, owners refused 25 attempts for each one
+// that they started. So owners report the share of attempts that they start at once, and
+// where a service's owners seldom do, requests queue at an owner after fewer moves.
 
 const (
 	// fullMovesRate is the share of attempts started at once from which on requests make all
@@ -39,8 +39,8 @@
 	s.delayedBits.Store(math.Float64bits(before + (1-share-before)*startRateGain))
 }
 
-// maxMoves returns how many owners may refuse a request as busy, of the number that the bundle
-// allows.
+// maxMoves returns how many owners may refuse a request as busy, of the number that the
+// bundle allows.
 func (s *startRate) maxMoves(bundleMoves int) int {
 	share := 1 - math.Float64frombits(s.delayedBits.Load())
 	part := (share - noMovesRate) / (fullMovesRate - noMovesRate)
--- a/internal/entry/tuning.go
+++ b/internal/entry/tuning.go
@@ -1,7 +1,7 @@
 package entry
 
-// AttemptCost is the cost of one attempt in a retry budget, MaxBudget the greatest budget, both
-// in thousandths of an attempt.
+// AttemptCost is the cost of one attempt in a retry budget, MaxBudget the greatest budget,
+// both in thousandths of an attempt.
 const (
 	AttemptCost = attemptUnit
 	MaxBudget   = bucketDepth
@@ -10,8 +10,8 @@
 // Tuning holds the parameters that simulations vary; see package simulation/calls. Nodes use
 // DefaultTuning.
 type Tuning struct {
-	// MaxRounds is the number of times that a call waits and then asks the owners that refused
-	// it again.
+	// MaxRounds is the number of times that a call waits and then asks the owners that
+	// refused it again.
 	MaxRounds int
 	// ShedCost and PlaceCost are the costs of placing a request elsewhere after an owner
 	// refused it for load and for any other reason, in thousandths of an attempt. Where one
--- a/internal/entry/world_faults_test.go
+++ b/internal/entry/world_faults_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// resolveOutcome ends an outcome resolution with a reply, a lost request, a lost reply or a reply
-// about another attempt.
+// resolveOutcome ends an outcome resolution with a reply, a lost request, a lost reply or a
+// reply about another attempt.
 func (w *world) resolveOutcome(t *rapid.T) {
 	l := w.awaiting(t, StepResolve)
 	l.outstanding = false
--- a/internal/entry/world_test.go
+++ b/internal/entry/world_test.go
@@ -15,8 +15,8 @@
 // maxSteps bounds the steps of one call.
 const maxSteps = 100
 
-// world connects the calls of one entry node to fake owners by messages that are delayed, lost or
-// mixed up, and records what ran.
+// world connects the calls of one entry node to fake owners by messages that are delayed,
+// lost or mixed up, and records what ran.
 type world struct {
 	t        *rapid.T
 	now      time.Time
@@ -48,8 +48,8 @@
 	attempts    []model.Attempt
 	ran         int
 	steps       int
-	// deniedByHome reports that the home node's latest reply proved that it did not run the id.
-	// runsAtDenial is the number of runs of the id at that moment.
+	// deniedByHome reports that the home node's latest reply proved that it did not run the
+	// id. runsAtDenial is the number of runs of the id at that moment.
 	deniedByHome bool
 	runsAtDenial int
 	ended        bool
--- a/internal/route/bench_test.go
+++ b/internal/route/bench_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// makeTable returns a table that has heard from all of n upstreams.
+// makeTable returns a table with a report of each of n upstreams.
 func makeTable(n int, cfg Config) (*Table, *model.Fleet) {
 	cfg.DataCentre = "dc0"
 	t := NewTable(cfg)
@@ -69,7 +69,7 @@
 	}
 }
 
-// BenchmarkCall is a whole decision: Pick, Sent, Observe, Done, by all cores.
+// BenchmarkCall measures a full decision (Pick, Sent, Observe, Done) on all cores.
 func BenchmarkCall(b *testing.B) {
 	for _, n := range []int{16, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/route/cell.go
+++ b/internal/route/cell.go
@@ -9,97 +9,95 @@
 )
 
 const (
-	// sendTimes is how many of the last own send times a cell keeps, to tell
-	// which attempts a report could not have counted yet.
-	sendTimes = 16
-	// driftDivisor bounds the drift of two clocks against each other:
-	// 1/5000 = 200 ppm.
-	driftDivisor = 5000
+	// keptSendTimes is how many of the latest own send times a cell keeps, to know which
+	// attempts a report cannot include yet.
+	keptSendTimes = 16
+	// maxDriftInverse is the inverse of the greatest drift between two clocks: 1/5000 = 200
+	// ppm.
+	maxDriftInverse = 5000
 	// failureGain is the weight of one result in the smoothed failure rate.
 	failureGain = 1.0 / 8
-	// pathGain is the weight of one result in the smoothed time of the way.
+	// pathGain is the weight of one result in the smoothed path excess.
 	pathGain = 1.0 / 16
-	// maxExcess bounds one result's part in it, in mean service times: one late
-	// answer says little.
-	maxExcess = 4
-	// sameAnswer is the time within which a report may be the one that rode on a
-	// refusal.
-	sameAnswer = int64(time.Millisecond)
-	// absentBackOff is how long an instance whose address refuses connections is
-	// not worth another try while there are others; membership takes it out.
-	absentBackOff = time.Second
-	// mostlyFailing is the failure rate in thousandths above which a worker's
-	// service time says nothing of its service's.
-	mostlyFailing = 500
+	// maxPathExcess bounds what one result adds to the path excess, in mean service times,
+	// as a single late response proves little.
+	maxPathExcess = 4
+	// refusalReportWindow is the time after a refusal within which a report may be the one
+	// that came with it.
+	refusalReportWindow = int64(time.Millisecond)
+	// absentOwnerBackOff is the back-off from an instance whose address refuses connections;
+	// the membership protocol removes it from the fleet later.
+	absentOwnerBackOff = time.Second
+	// maxFailureForServiceTime is the failure rate, in thousandths, above which a worker's
+	// service time does not count in its service's mean.
+	maxFailureForServiceTime = 500
 )
 
-// heard is the last report of an upstream; immutable.
-type heard struct {
-	report model.LoadReport
-	// at is when it was heard.
-	at int64
-	// covered is the number of own sends that it counts.
-	covered uint64
+// receivedReport is the last report received from an upstream's owner; it is immutable.
+type receivedReport struct {
+	report     model.LoadReport
+	receivedAt int64
+	// countedSends is the number of own sends that the report includes.
+	countedSends uint64
 }
 
-// retired marks the cell of an upstream that no picker holds.
-var retired = &heard{}
+// retiredReport marks the cell of an upstream that is in no picker any more.
+var retiredReport = &receivedReport{}
 
-// ownerClock returns the lower bound of the owner's clock at time now.
-func (h *heard) ownerClock(now int64) time.Duration {
-	if h == retired {
+// ownerClock returns a lower bound of the owner's clock at time now.
+func (h *receivedReport) ownerClock(now int64) time.Duration {
+	if h == retiredReport {
 		return 0
 	}
-	passed := max(0, now-h.at)
-	allowance := (passed + driftDivisor - 1) / driftDivisor
+	passed := max(0, now-h.receivedAt)
+	allowance := (passed + maxDriftInverse - 1) / maxDriftInverse
 	return h.report.Clock + time.Duration(passed-allowance)
 }
 
 // contribution returns what a report adds to its service's statistics.
-func (h *heard) contribution() (reports, utilisation, serviceTime int64) {
-	if h == nil || h == retired || h.report.State != model.StateLive || h.report.Limit == 0 {
+func (h *receivedReport) contribution() (reports, utilisation, serviceTime int64) {
+	if h == nil || h == retiredReport || h.report.State != model.StateLive || h.report.Limit == 0 {
 		return 0, 0, 0
 	}
-	if h.report.FailureRate > mostlyFailing || h.report.ServiceTime <= 0 {
+	if h.report.FailureRate > maxFailureForServiceTime || h.report.ServiceTime <= 0 {
 		return 0, 0, 0
 	}
 	load := int64(h.report.InFlight) + int64(h.report.Queued)
 	return 1, load * fixedPoint / int64(h.report.Limit), int64(h.report.ServiceTime)
 }
 
-// cell is what this node knows of one life of one upstream. Times are
-// picker.nanos. Its parts are read one by one, without a lock: a reader may see
-// parts of two moments, which an estimate bears.
+// cell is what this node knows about one incarnation of an upstream. Times are
+// picker.nanos. The fields are read separately, without a lock: a reader may see fields of
+// two moments, which an estimate tolerates.
 type cell struct {
-	heard atomic.Pointer[heard]
-	// fleetIncarnation is the fleet's, zero when it knows none.
+	lastReport atomic.Pointer[receivedReport]
+	// fleetIncarnation is the incarnation in the fleet's view, zero when it knows none.
 	fleetIncarnation atomic.Uint64
-	// fleetState is the fleet's, and since when.
+	// fleetState is the state in the fleet's view, fleetStateAt when it changed to that.
 	fleetState   atomic.Uint32
 	fleetStateAt atomic.Int64
 	inFlight     atomic.Int64
-	// sent counts own sends; sentAt holds the times of the last ones.
+	// sent counts own sends; sentAt holds the times of the latest ones.
 	sent   atomic.Uint64
-	sentAt [sendTimes]atomic.Int64
-	// silentSince is when the upstream was last heard, or when the oldest
-	// attempt since then was sent.
+	sentAt [keptSendTimes]atomic.Int64
+	// silentSince is when the last report was received, or when the oldest attempt since then
+	// was sent.
 	silentSince atomic.Int64
-	// backOffUntil is when a refusal's RetryAfter ends, refusedAt when the
-	// refusal came.
+	// backOffUntil is when a refusal's RetryAfter ends, refusedAt when the refusal was
+	// received.
 	backOffUntil atomic.Int64
 	refusedAt    atomic.Int64
-	// leavingIn is the incarnation whose owner refused as leaving.
+	// leavingIn is the incarnation (as a leavingKey) whose owner refused as leaving.
 	leavingIn atomic.Uint64
-	// unreachedUntil is until when the owner counts as out of reach, zero while it
-	// does not.
-	unreachedUntil atomic.Int64
-	// warmingUntil is until when the worker is known to be warming, and turnAt when this
-	// entry's next turn at it comes meanwhile; zero for never.
-	warmingUntil, turnAt atomic.Int64
-	failure              decaying
-	// path is the time of the way beyond the link's usual one, in nanoseconds.
-	path decaying
-	// polledLoad is for the baseline PolicyPolledTwoChoices only.
+	// unreachableUntil is until when the owner counts as unreachable, zero if it doesn't.
+	unreachableUntil atomic.Int64
+	// warmingUntil is until when the worker is known to be warming, nextTurnAt when this
+	// entry may next choose it meanwhile; zero for never.
+	warmingUntil, nextTurnAt atomic.Int64
+	failureRate              decaying
+	// pathExcess is the network time above the link's usual one, in nanoseconds.
+	pathExcess decaying
+	// polledLoad is used by the baseline PolicyPolledTwoChoices only.
 	polledLoad atomic.Int64
 }
 
@@ -109,45 +107,44 @@
 	return c
 }
 
-// incarnation returns the newest known one, zero when none is.
+// incarnation returns the newest known incarnation, zero when none is known.
 func (c *cell) incarnation() model.Incarnation {
 	inc := model.Incarnation(c.fleetIncarnation.Load())
-	if h := c.heard.Load(); h != nil {
+	if h := c.lastReport.Load(); h != nil {
 		inc = max(inc, h.report.Incarnation)
 	}
 	return inc
 }
 
-// raiseIncarnation takes the fleet's word; an older one is ignored. Called by
-// Update only.
+// raiseIncarnation takes over the fleet's incarnation if it is newer. Only Update calls it.
 func (c *cell) raiseIncarnation(inc model.Incarnation) {
 	if uint64(inc) > c.fleetIncarnation.Load() {
 		c.fleetIncarnation.Store(uint64(inc))
 	}
 }
 
-// setFleetState notes the fleet's word.
+// setFleetState takes over the state in the fleet's view.
 func (c *cell) setFleetState(now int64, s model.UpstreamState) {
 	if c.fleetStateAt.Load() != 0 && c.fleetState.Load() == uint32(s) {
 		return
 	}
 	c.fleetState.Store(uint32(s))
 	c.fleetStateAt.Store(now)
-	c.endBackOff(now)
+	c.clearBackOff(now)
 }
 
-// sendOne counts an attempt.
-func (c *cell) sendOne(now int64) {
+// countSend counts the start of an attempt.
+func (c *cell) countSend(now int64) {
 	if c.inFlight.Add(1) == 1 {
 		c.silentSince.Store(now)
 	}
 	n := c.sent.Add(1)
-	c.sentAt[n%sendTimes].Store(now)
+	c.sentAt[n%keptSendTimes].Store(now)
 }
 
-// endOne ends an attempt. An attempt may end at a cell that did not see it
-// begin (another life of the instance), so the count stops at zero.
-func (c *cell) endOne(now int64) {
+// countEnd counts the end of an attempt. The attempt may have started at the cell of another
+// incarnation, so the count stops at zero.
+func (c *cell) countEnd(now int64) {
 	c.silentSince.Store(now)
 	for {
 		n := c.inFlight.Load()
@@ -157,126 +154,126 @@
 	}
 }
 
-// sentAfter counts the own sends after a time, at most sendTimes.
+// sentAfter returns the number of own sends after a time, at most keptSendTimes.
 func (c *cell) sentAfter(at int64) uint64 {
 	n := c.sent.Load()
 	count := uint64(0)
-	for count < min(n, sendTimes) && c.sentAt[(n-count)%sendTimes].Load() > at {
+	for count < min(n, keptSendTimes) && c.sentAt[(n-count)%keptSendTimes].Load() > at {
 		count++
 	}
 	return count
 }
 
-// sentSince returns the own attempts in flight that h does not count.
-func (c *cell) sentSince(h *heard) int64 {
-	n := int64(c.sent.Load() - h.covered)
+// sendsNotCounted returns the number of own attempts in flight that h does not include.
+func (c *cell) sendsNotCounted(h *receivedReport) int64 {
+	n := int64(c.sent.Load() - h.countedSends)
 	return max(0, min(n, c.inFlight.Load()))
 }
 
-// leaving tells whether the owner itself said that it is leaving or gone, within
-// memory before now where that is not zero.
-func (c *cell) leaving(now, memory int64) bool {
-	h := c.heard.Load()
-	if h != nil && h.report.State >= model.StateLeaving && (memory == 0 || now-h.at < memory) {
+// reportedLeaving reports whether the owner itself announced that it is leaving or gone,
+// within ttl before now, or ever if ttl is zero.
+func (c *cell) reportedLeaving(now, ttl int64) bool {
+	h := c.lastReport.Load()
+	if h != nil && h.report.State >= model.StateLeaving && (ttl == 0 || now-h.receivedAt < ttl) {
 		return true
 	}
 	in := c.leavingIn.Load()
 	if in == 0 || in != leavingKey(c.incarnation()) {
 		return false
 	}
-	return memory == 0 || now-c.refusedAt.Load() < memory
+	return ttl == 0 || now-c.refusedAt.Load() < ttl
 }
 
-// leavingKey tells an unknown incarnation from no refusal.
+// leavingKey distinguishes an unknown incarnation from zero, which means no refusal.
 func leavingKey(inc model.Incarnation) uint64 { return uint64(inc) + 1 }
 
-// observe takes a report. final says that leaving never turns back within an
-// incarnation: so it is where the worker's lives are its node's. taken is false for one that
-// is no news.
-func (u *upstream) observe(now int64, r *model.LoadReport, final bool) (taken bool) {
+// observe takes over a report; it returns false for one that is not newer. final reports that
+// leaving is final within an incarnation, as it is where worker and node restart together.
+func (u *upstream) observe(now int64, r *model.LoadReport, final bool) (accepted bool) {
 	c := u.cell
 	if r.Incarnation < model.Incarnation(c.fleetIncarnation.Load()) {
 		return false
 	}
 	covered := c.sent.Load() - c.sentAfter(now-u.link.roundTrip())
 	for {
-		last := c.heard.Load()
-		if last == retired || (last != nil && !newer(r, &last.report)) {
+		last := c.lastReport.Load()
+		if last == retiredReport || (last != nil && !isNewer(r, &last.report)) {
 			return false
 		}
-		next := &heard{report: *r, at: now, covered: covered}
+		next := &receivedReport{report: *r, receivedAt: now, countedSends: covered}
 		if final {
-			next.report.State = stateAfter(last, r)
+			next.report.State = nextState(last, r)
 		}
-		if !c.heard.CompareAndSwap(last, next) {
+		if !c.lastReport.CompareAndSwap(last, next) {
 			continue
 		}
 		u.service.stats.replace(last, next)
 		if last != nil && r.Incarnation > last.report.Incarnation {
-			c.forget()
+			c.resetLearned()
 		}
 		c.silentSince.Store(now)
-		c.endBackOff(now)
+		c.clearBackOff(now)
 		return true
 	}
 }
 
-// stateAfter returns the state that r tells; leaving never turns back within an
-// incarnation.
-func stateAfter(last *heard, r *model.LoadReport) model.UpstreamState {
+// nextState returns the state after report r; leaving is final within an incarnation.
+func nextState(last *receivedReport, r *model.LoadReport) model.UpstreamState {
 	if last == nil || last.report.Incarnation != r.Incarnation || last.report.State < model.StateLeaving {
 		return r.State
 	}
 	return max(r.State, last.report.State)
 }
 
-// newer orders two reports of one owner.
-func newer(r, last *model.LoadReport) bool {
+// isNewer orders two reports of one owner.
+func isNewer(r, last *model.LoadReport) bool {
 	if r.Incarnation != last.Incarnation {
 		return r.Incarnation > last.Incarnation
 	}
 	return r.Clock > last.Clock
 }
 
-// forget drops what was learned of an earlier life, save the attempts in flight.
-func (c *cell) forget() {
+// resetLearned drops what was learned about an earlier incarnation, except the attempts in
+// flight.
+func (c *cell) resetLearned() {
 	c.backOffUntil.Store(0)
-	c.failure.reset()
-	c.path.reset()
+	c.failureRate.reset()
+	c.pathExcess.reset()
 }
 
-// retire ends a cell's part in its service's statistics.
+// retire takes a cell's last report out of its service's statistics and rejects later
+// reports.
 func (u *upstream) retire() {
-	last := u.cell.heard.Swap(retired)
+	last := u.cell.lastReport.Swap(retiredReport)
 	u.service.stats.replace(last, nil)
 }
 
-// learn takes the result of an own attempt.
-func (u *upstream) learn(now int64, r *Result) {
+// addResult learns from the result of an own attempt.
+func (u *upstream) addResult(now int64, r *Result) {
 	c := u.cell
 	if r.Refused != model.ReasonNone {
-		u.learnRefusal(now, r)
+		u.addRefusal(now, r)
 		return
 	}
 	failed := 0.0
 	if r.Failed {
 		failed = 1
 	}
-	c.failure.add(now, failed, failureGain, failureMemory)
+	c.failureRate.add(now, failed, failureGain, failureDecay)
 	if !r.Failed {
-		u.learnPath(now, r)
-		u.link.sample(now, int64(r.Latency-r.OwnerTime))
+		u.addPathSample(now, r)
+		u.link.addSample(now, int64(r.Latency-r.OwnerTime))
 	}
 }
 
-func (u *upstream) learnRefusal(now int64, r *Result) {
+func (u *upstream) addRefusal(now int64, r *Result) {
 	c := u.cell
 	if r.Refused == model.ReasonOwnerAbsent {
 		c.refusedAt.Store(now)
-		c.backOffUntil.Store(now + int64(absentBackOff))
+		c.backOffUntil.Store(now + int64(absentOwnerBackOff))
 		return
 	}
-	if r.RetryAfter > 0 && aboutUpstream(r.Refused) {
+	if r.RetryAfter > 0 && concernsUpstream(r.Refused) {
 		c.refusedAt.Store(now)
 		c.backOffUntil.Store(now + int64(min(r.RetryAfter, maxBackOff)))
 	}
@@ -284,12 +281,12 @@
 		c.refusedAt.Store(now)
 		c.leavingIn.Store(leavingKey(c.incarnation()))
 	}
-	u.link.sample(now, int64(r.Latency-r.OwnerTime))
+	u.link.addSample(now, int64(r.Latency-r.OwnerTime))
 }
 
-// aboutUpstream tells whether a refusal speaks of the upstream, not of the
+// concernsUpstream reports whether the reason of a refusal concerns the upstream, not the
 // request or its tenant.
-func aboutUpstream(r model.Reason) bool {
+func concernsUpstream(r model.Reason) bool {
 	switch r {
 	case model.ReasonOverloaded, model.ReasonQueueFull, model.ReasonLeaving,
 		model.ReasonNotReady, model.ReasonWorkerUnreachable,
@@ -299,60 +296,61 @@
 	return false
 }
 
-// endBackOff ends the back-off when the upstream's word is later than the
-// refusal: the load that it tells speaks for itself.
-func (c *cell) endBackOff(now int64) {
-	if c.backOffUntil.Load() != 0 && now-c.refusedAt.Load() > sameAnswer {
+// clearBackOff ends the back-off when a report or state newer than the refusal is received,
+// as the estimate then uses that one's load.
+func (c *cell) clearBackOff(now int64) {
+	if c.backOffUntil.Load() != 0 && now-c.refusedAt.Load() > refusalReportWindow {
 		c.backOffUntil.Store(0)
 	}
 }
 
-// learnPath smooths the time of the way beyond the link's usual one. Where the
-// owner does not tell how long it held the attempt, its mean service time and
-// the wait at its last report stand for that.
-func (u *upstream) learnPath(now int64, r *Result) {
-	h := u.cell.heard.Load()
+// addPathSample smooths the network time above the link's usual one. If the owner did not
+// report how long the attempt was there, the service time and the wait by its last report
+// are used.
+func (u *upstream) addPathSample(now int64, r *Result) {
+	h := u.cell.lastReport.Load()
 	held := float64(r.OwnerTime)
 	if held <= 0 {
-		if h == nil || h == retired {
+		if h == nil || h == retiredReport {
 			return
 		}
-		held = h.held()
+		held = h.expectedOwnerTime()
 	}
 	excess := float64(r.Latency) - held - float64(u.link.roundTrip())
 	if _, meanService, ok := u.service.stats.means(); ok {
-		excess = min(excess, maxExcess*meanService)
+		excess = min(excess, maxPathExcess*meanService)
 	}
-	u.cell.path.add(now, excess, pathGain, pathMemory)
+	u.cell.pathExcess.add(now, excess, pathGain, pathDecay)
 }
 
-// held is the expected time of an attempt at the owner at the report's moment.
-func (h *heard) held() float64 {
+// expectedOwnerTime is the expected time of an attempt at the owner when the report was
+// made, in nanoseconds.
+func (h *receivedReport) expectedOwnerTime() float64 {
 	limit := float64(max(1, h.report.Limit))
 	ahead := float64(h.report.InFlight) + float64(h.report.Queued) + 1 - limit
 	return float64(h.report.ServiceTime) * (1 + max(0, ahead)/limit)
 }
 
-// decaying is a smoothed value that falls towards zero while nothing is added.
-// Its two parts are written without a lock: of two writers at once one may be
-// lost, which a smoothed value bears.
+// decaying is a smoothed value that decays to zero while nothing is added. Its two fields are
+// written without a lock: one of two concurrent updates may be lost, which a smoothed value
+// tolerates.
 type decaying struct {
 	bits atomic.Uint64
 	at   atomic.Int64
 }
 
-// value returns the value at time now, with the memory's time constant.
-func (d *decaying) value(now int64, memory float64) float64 {
+// value returns the value at time now.
+func (d *decaying) value(now int64, timeConstant float64) float64 {
 	v := math.Float64frombits(d.bits.Load())
 	if v == 0 {
 		return 0
 	}
-	return v * math.Exp(-float64(max(0, now-d.at.Load()))/memory)
+	return v * math.Exp(-float64(max(0, now-d.at.Load()))/timeConstant)
 }
 
-// add smooths x in with the given gain.
-func (d *decaying) add(now int64, x, gain, memory float64) {
-	v := d.value(now, memory)
+// add adds a sample x with the given gain.
+func (d *decaying) add(now int64, x, gain, timeConstant float64) {
+	v := d.value(now, timeConstant)
 	d.bits.Store(math.Float64bits(v + (x-v)*gain))
 	d.at.Store(now)
 }
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// recentCall is how long after its last call a service counts as called.
-	recentCall = int64(10 * time.Second)
-	// scanFactor bounds the upstreams that Stale looks at beyond the services
-	// called recently, as a multiple of the number asked for.
+	// recentCallAge is how long after its last call a service counts as called.
+	recentCallAge = int64(10 * time.Second)
+	// scanFactor bounds how many upstreams of services not called recently StaleUpstreams
+	// inspects, as a multiple of the number asked for.
 	scanFactor = 8
 )
 
-// UpstreamCount returns the number of the service's upstreams that may be chosen by
-// the fleet's word.
+// UpstreamCount returns the number of the service's upstreams that are neither leaving nor
+// gone in the fleet's view.
 func (t *Table) UpstreamCount(service model.ServiceName) int {
 	svc := t.picker.Load().services[service]
 	if svc == nil {
@@ -25,10 +25,9 @@
 	return len(svc.all)
 }
 
-// Explain returns the estimates of all upstreams of the query's service, the
-// least cost first, those that are leaving last. Pick compares a few
-// of them, drawn at random, with a deviation drawn at random for the uncertain
-// part of the load; Explain shows them without that deviation.
+// Explain returns the estimates of all upstreams of the query's service by increasing cost,
+// with those that are leaving last. Unlike Pick, which compares a few at random, each with
+// a random deviation for the uncertain part of its load, Explain leaves out that deviation.
 func (t *Table) Explain(now time.Time, q *Query) []Estimate {
 	p := t.picker.Load()
 	svc := p.services[q.Service]
@@ -52,7 +51,7 @@
 	e := t.estimate(u, now, remaining, 0)
 	out := Estimate{
 		Instance:    u.instance,
-		Reported:    e.heard,
+		Reported:    e.reported,
 		Load:        e.load,
 		Limit:       e.limit,
 		OwnInFlight: int(u.cell.inFlight.Load()),
@@ -60,45 +59,45 @@
 		Link:        time.Duration(e.link),
 		Wait:        time.Duration(e.wait),
 		Service:     time.Duration(e.service),
-		Overdue:     time.Duration(e.silence),
+		Overdue:     time.Duration(e.overdue),
 		Failure:     time.Duration(e.failure),
 		Expected:    time.Duration(e.latency()),
 		Cost:        time.Duration(e.cost()),
-		Leaving:     u.cell.leaving(now, int64(t.cfg.LeavingTTL)),
-		Unreachable: u.cell.unreached(now),
+		Leaving:     u.cell.reportedLeaving(now, int64(t.cfg.LeavingTTL)),
+		Unreachable: u.cell.isUnreachable(now),
 		Evacuated:   u.evacuated,
 		Warming:     time.Duration(max(u.cell.warmingUntil.Load()-now, 0)),
 	}
-	if e.heard {
+	if e.reported {
 		out.Age = time.Duration(e.age)
 	}
 	return out
 }
 
-// StaleUpstreams returns up to n upstreams whose owners were not heard for longer than
-// age, for probes: those of services that this node called recently first, the
-// latest called service first; then some of the others, from a random place.
+// StaleUpstreams returns up to n upstreams whose last report is older than age, to be
+// probed: those of the services that this node called recently, the latest called first,
+// then some others, from a random position on.
 func (t *Table) StaleUpstreams(now time.Time, age time.Duration, n int) []model.Instance {
 	p := t.picker.Load()
 	nanos := p.nanos(now)
-	s := staleScan{now: nanos, age: int64(age), memory: int64(t.cfg.LeavingTTL), want: n}
-	called, others := p.byLastCall(nanos)
+	s := staleScan{now: nanos, age: int64(age), leavingTTL: int64(t.cfg.LeavingTTL), want: n}
+	called, others := p.splitByLastCall(nanos)
 	for _, svc := range called {
-		s.scan(svc, below(uint32(t.cfg.Random()), len(svc.all)), len(svc.all))
+		s.scan(svc, scaleRandom(uint32(t.cfg.Random()), len(svc.all)), len(svc.all))
 	}
 	if len(others) == 0 {
 		return s.found
 	}
-	start := below(uint32(t.cfg.Random()), len(others))
+	start := scaleRandom(uint32(t.cfg.Random()), len(others))
 	for i, left := 0, scanFactor*n; i < len(others) && left > 0; i++ {
 		svc := others[(start+i)%len(others)]
-		s.scan(svc, below(uint32(t.cfg.Random()), len(svc.all)), left)
+		s.scan(svc, scaleRandom(uint32(t.cfg.Random()), len(svc.all)), left)
 		left -= len(svc.all)
 	}
 	return s.found
 }
 
-// CalledRecently tells whether this node called the service within the last recentCall.
+// CalledRecently reports whether this node called the service within the last recentCallAge.
 func (t *Table) CalledRecently(now time.Time, service model.ServiceName) bool {
 	p := t.picker.Load()
 	svc := p.services[service]
@@ -106,17 +105,17 @@
 		return false
 	}
 	last := svc.stats.lastCalled.Load()
-	return last > 0 && p.nanos(now)-last < recentCall
+	return last > 0 && p.nanos(now)-last < recentCallAge
 }
 
-// byLastCall parts the services with upstreams into those called recently, the
-// latest first, and the others, in the order of their names.
-func (p *picker) byLastCall(now int64) (called, others []*service) {
+// splitByLastCall splits the services with upstreams into those called recently, the latest
+// first, and the others, by name.
+func (p *picker) splitByLastCall(now int64) (called, others []*service) {
 	for _, svc := range p.services {
 		last := svc.stats.lastCalled.Load()
 		switch {
 		case len(svc.all) == 0:
-		case last > 0 && now-last < recentCall:
+		case last > 0 && now-last < recentCallAge:
 			called = append(called, svc)
 		default:
 			others = append(others, svc)
@@ -133,21 +132,21 @@
 	return called, others
 }
 
-// staleScan collects upstreams that were not heard for long.
+// staleScan collects upstreams whose last report is old.
 type staleScan struct {
-	now, age, memory int64
-	want             int
-	found            []model.Instance
+	now, age, leavingTTL int64
+	want                 int
+	found                []model.Instance
 }
 
-// scan looks at up to most upstreams of a service from place start on.
-func (s *staleScan) scan(svc *service, start, most int) {
-	for i := 0; i < min(most, len(svc.all)) && len(s.found) < s.want; i++ {
+// scan inspects up to limit upstreams of a service from index start on.
+func (s *staleScan) scan(svc *service, start, limit int) {
+	for i := 0; i < min(limit, len(svc.all)) && len(s.found) < s.want; i++ {
 		u := svc.all[(start+i)%len(svc.all)]
-		if u.cell.leaving(s.now, s.memory) {
+		if u.cell.reportedLeaving(s.now, s.leavingTTL) {
 			continue
 		}
-		if h := u.cell.heard.Load(); h == nil || s.now-h.at > s.age {
+		if h := u.cell.lastReport.Load(); h == nil || s.now-h.receivedAt > s.age {
 			s.found = append(s.found, u.instance)
 		}
 	}
--- a/internal/route/explain_test.go
+++ b/internal/route/explain_test.go
@@ -11,7 +11,7 @@
 	"gypsumstand/internal/model"
 )
 
-func TestExplainShowsAllInOrderOfCost(t *testing.T) {
+func TestExplainSortsByCost(t *testing.T) {
 	table := seeded(4)
 	table.Done(origin, "s-00000", Result{Refused: model.ReasonOverloaded, RetryAfter: time.Second})
 	leaving := report("s-00001", 2*time.Second)
@@ -22,9 +22,9 @@
 		ids = append(ids, e.Instance.ID)
 		sum := e.Link + e.Wait + e.Service + e.Overdue
 		if off := sum - e.Expected; off < -5 || off > 5 {
-			t.Errorf("%v: parts sum up to %v, expected is %v", e.Instance.ID, sum, e.Expected)
+			t.Errorf("%v: the parts add up to %v, Expected is %v", e.Instance.ID, sum, e.Expected)
 		}
-		cost := e.Link + e.Service + e.Overdue + queueWeight*(e.Wait+e.Failure)
+		cost := e.Link + e.Service + e.Overdue + waitWeight*(e.Wait+e.Failure)
 		if off := cost - e.Cost; off < -10 || off > 10 {
 			t.Errorf("%v: cost %v, want %v", e.Instance.ID, e.Cost, cost)
 		}
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestStaleNamesUpstreamsOfCalledServicesFirst(t *testing.T) {
+func TestStaleUpstreamsOfCalledServicesComeFirst(t *testing.T) {
 	table := NewTable(Config{Random: rand.New(rand.NewPCG(1, 2)).Uint64})
 	fleet := &model.Fleet{}
 	for _, service := range []model.ServiceName{"a", "b", "c"} {
@@ -55,16 +55,16 @@
 		}
 		for i, in := range got {
 			if in.ID == "b1" {
-				t.Error("an upstream heard just now is named")
+				t.Error("an upstream with a recent report is returned")
 			}
 			if called := in.Service == "b"; called != (i < 4) {
-				t.Errorf("place %d is %v", i, in.ID)
+				t.Errorf("position %d is %v, want the four of service b first", i, in.ID)
 			}
 		}
 	}
 }
 
-func TestUpstreamsCountsThoseNotLeaving(t *testing.T) {
+func TestUpstreamCountExcludesLeaving(t *testing.T) {
 	fleet := makeFleet(4)
 	fleet.Instances[1].State = model.StateLeaving
 	fleet.Instances[2].State = model.StateGone
@@ -74,6 +74,6 @@
 		t.Errorf("got %d, want 2", got)
 	}
 	if got := table.UpstreamCount("other"); got != 0 {
-		t.Errorf("got %d of an unknown service", got)
+		t.Errorf("got %d for an unknown service, want 0", got)
 	}
 }
--- a/internal/route/home.go
+++ b/internal/route/home.go
@@ -11,24 +11,24 @@
 	"gypsumstand/internal/model"
 )
 
-// Home returns the upstream whose owner registers a caller's own request id:
-// the first, by rendezvous hashing of id, among the service's upstreams that
-// are not leaving or gone. Equal views give equal homes, whatever the load.
+// Home returns the upstream that is the home node of a caller's own request id: the one
+// with the highest rendezvous hash among the service's upstreams that are not leaving, gone
+// or unreachable. Nodes with equal views agree on it, whatever the load.
 func (t *Table) Home(now time.Time, service model.ServiceName, id model.RequestID) (c Choice, ok bool) {
 	return t.NextHome(now, &Query{Service: service}, id, nil)
 }
 
-// NextHome is Home within a query's regions, without the instances passed: the one that
-// registers the id when those take no part any more.
-func (t *Table) NextHome(now time.Time, q *Query, id model.RequestID, passed []model.InstanceID) (c Choice, ok bool) {
+// NextHome is Home within a query's regions and without the instances in skipped: the home
+// node that takes over once those are no longer in charge.
+func (t *Table) NextHome(now time.Time, q *Query, id model.RequestID, skipped []model.InstanceID) (c Choice, ok bool) {
 	p := t.picker.Load()
 	svc := p.services[q.Service]
 	if svc == nil {
 		return Choice{}, false
 	}
-	f := t.filter(p.nanos(now), passed, q.Regions)
-	// The owners of an evacuated data centre run nothing, but remember ids.
-	f.evacuated, f.outOfTurn = true, true
+	f := t.newFilter(p.nanos(now), skipped, q.Regions)
+	// The owners of an evacuated data centre run no requests but remember ids.
+	f.includeEvacuated, f.ignoreTurns = true, true
 	u := svc.home(xxhash.Sum64String(string(id)), f)
 	if u == nil {
 		return Choice{}, false
@@ -36,7 +36,7 @@
 	return t.choice(u, p.nanos(now), q), true
 }
 
-// PickInstance returns one instance of a service; ok is false where it takes no requests.
+// PickInstance returns one instance of a service; ok is false when it may not be chosen.
 func (t *Table) PickInstance(now time.Time, q *Query, id model.InstanceID) (c Choice, ok bool) {
 	p := t.picker.Load()
 	svc := p.services[q.Service]
@@ -46,16 +46,16 @@
 	i, found := slices.BinarySearchFunc(svc.all, id, func(u *upstream, id model.InstanceID) int {
 		return cmp.Compare(u.instance.ID, id)
 	})
-	f := t.filter(p.nanos(now), nil, q.Regions)
-	f.outOfTurn = true
+	f := t.newFilter(p.nanos(now), nil, q.Regions)
+	f.ignoreTurns = true
 	if !found || !svc.all[i].eligible(f) {
 		return Choice{}, false
 	}
 	return t.choice(svc.all[i], p.nanos(now), q), true
 }
 
-// home returns the upstream with the highest score for a request's hash, the
-// first of the order of ids among equals, without those passed.
+// home returns the eligible upstream with the highest score for a request's hash; among
+// equals, the first by id.
 func (s *service) home(request uint64, f filter) *upstream {
 	var best *upstream
 	var highest uint64
@@ -70,7 +70,7 @@
 	return best
 }
 
-// rendezvous scores an instance for a request.
+// rendezvous returns the score of an instance for a request.
 func rendezvous(request, instance uint64) uint64 {
 	var pair [16]byte
 	binary.LittleEndian.PutUint64(pair[:8], request)
--- a/internal/route/home_test.go
+++ b/internal/route/home_test.go
@@ -12,15 +12,15 @@
 	t.Helper()
 	c, ok := table.Home(origin, "s", model.RequestID(fmt.Sprint("key-", id)))
 	if !ok {
-		t.Fatal("no home")
+		t.Fatal("no home node")
 	}
 	return c.Instance.ID
 }
 
-func TestHomeIsTheSameForEqualViewsWhateverTheLoad(t *testing.T) {
+func TestHomeDoesNotDependOnLoad(t *testing.T) {
 	idle, busy := seeded(7), NewTable(Config{DataCentre: "dc2"})
 	fleet := makeFleet(7)
-	// The order of the view must not matter.
+	// The order of the instances must not matter.
 	for i, j := 0, 6; i < j; i, j = i+1, j-1 {
 		fleet.Instances[i], fleet.Instances[j] = fleet.Instances[j], fleet.Instances[i]
 	}
@@ -33,19 +33,19 @@
 	}
 	for i := range 500 {
 		if a, b := homeOf(t, idle, i), homeOf(t, busy, i); a != b {
-			t.Fatalf("request %d is at home at %v and %v", i, a, b)
+			t.Fatalf("home nodes of request %d: %v and %v", i, a, b)
 		}
 	}
 }
 
-func TestHomeMovesOnlyForRequestsOfAnUpstreamThatLeaves(t *testing.T) {
+func TestHomeMovesOnlyFromLeavingUpstream(t *testing.T) {
 	leave := map[string]func(*Table){
 		"by the fleet": func(table *Table) {
 			fleet := makeFleet(7)
 			fleet.Instances[3].State = model.StateLeaving
 			table.Update(origin, fleet, nil)
 		},
-		"by the owner's word": func(table *Table) {
+		"by the owner's report": func(table *Table) {
 			r := report("s-00003", 2*time.Second)
 			r.State = model.StateLeaving
 			table.Observe(origin, r)
@@ -60,7 +60,7 @@
 				a, b := homeOf(t, before, i), homeOf(t, after, i)
 				counts[a]++
 				if b == "s-00003" {
-					t.Fatal("a leaving upstream is a home")
+					t.Fatal("a leaving upstream is a home node")
 				}
 				if a != b && a != "s-00003" {
 					t.Fatalf("request %d moved from %v to %v", i, a, b)
@@ -68,27 +68,27 @@
 			}
 			for id, n := range counts {
 				if n < 850 || n > 1150 {
-					t.Errorf("%v is home to %d of 7000", id, n)
+					t.Errorf("%v is the home node of %d of 7000, want about 1000", id, n)
 				}
 			}
 		})
 	}
 }
 
-func TestAnOwnerIsFoundByItsNameWhileItMayBeChosen(t *testing.T) {
+func TestPickInstanceFindsEligibleOnly(t *testing.T) {
 	table := seeded(7)
 	fleet := makeFleet(7)
 	for _, in := range fleet.Instances {
 		if c, ok := table.PickInstance(origin, &Query{Service: "s"}, in.ID); !ok || c.Instance.ID != in.ID {
-			t.Errorf("%s: found %s, %t", in.ID, c.Instance.ID, ok)
+			t.Errorf("%s: got %s, %t", in.ID, c.Instance.ID, ok)
 		}
 	}
 	if _, ok := table.PickInstance(origin, &Query{Service: "s"}, "nobody"); ok {
-		t.Error("an owner that is not listed is found")
+		t.Error("an unknown owner is chosen")
 	}
-	gone := fleet.Instances[2]
-	table.MarkUnreachable(origin, gone)
-	if _, ok := table.PickInstance(origin, &Query{Service: "s"}, gone.ID); ok {
-		t.Error("an owner that is out of reach is found")
+	unreachable := fleet.Instances[2]
+	table.MarkUnreachable(origin, unreachable)
+	if _, ok := table.PickInstance(origin, &Query{Service: "s"}, unreachable.ID); ok {
+		t.Error("an unreachable owner is chosen")
 	}
 }
--- a/internal/route/leaving_test.go
+++ b/internal/route/leaving_test.go
@@ -7,19 +7,19 @@
 	"gypsumstand/internal/model"
 )
 
-// Found by seed 46 of the soak: a node whose worker had drained and come back as
-// another life was never sent anything again by those who had heard of the drain.
-func TestAnOwnerWhoseWorkerHasAnotherLifeIsUsedAgain(t *testing.T) {
+// Guards against an owner that gets no more requests after its worker has drained and
+// restarted, because other nodes had received the announcement of the drain.
+func TestOwnerIsUsedAgainAfterWorkerRestart(t *testing.T) {
 	for name, tt := range map[string]struct {
-		memory time.Duration
-		want   bool
+		ttl  time.Duration
+		want bool
 	}{
-		"lives of workers apart from those of nodes": {2 * time.Second, true},
-		"leaving is final within an incarnation":     {0, false},
+		"workers restart independently of their nodes": {2 * time.Second, true},
+		"leaving is final within an incarnation":       {0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
-			table := NewTable(Config{Self: "e", LeavingTTL: tt.memory})
+			table := NewTable(Config{Self: "e", LeavingTTL: tt.ttl})
 			in := model.Instance{ID: "w1", Service: "shop", State: model.StateLive}
 			table.Update(now, &model.Fleet{Instances: []model.Instance{in}}, nil)
 			report := model.LoadReport{Owner: "w1", Incarnation: 7, Clock: time.Second, State: model.StateLeaving, Limit: 4}
@@ -27,7 +27,7 @@
 			report.Clock, report.State = 2*time.Second, model.StateLive
 			table.Observe(now.Add(time.Second), report)
 			if _, ok := table.Pick(now.Add(time.Second), &Query{Service: "shop"}); ok != tt.want {
-				t.Errorf("chosen: %v, want %v", ok, tt.want)
+				t.Errorf("owner chosen: %v, want %v", ok, tt.want)
 			}
 		})
 	}
--- a/internal/route/link.go
+++ b/internal/route/link.go
@@ -7,65 +7,64 @@
 )
 
 const (
-	// linkWindow is the time over which a link's least round trip is taken.
+	// linkWindow is the time over which a link's minimum round trip is taken.
 	linkWindow = int64(time.Second)
-	// linkSamples is the least number of samples in a window that may raise it.
-	linkSamples = 8
-	// linkRise is the part of the way that a window raises the estimate by.
-	linkRise = 4
+	// minLinkSamples is the number of samples that a window needs to raise the estimate.
+	minLinkSamples = 8
+	// A window raises the estimate by 1/linkRiseDivisor of the difference to its minimum.
+	linkRiseDivisor = 4
 )
 
-// linkTime learns the round trip to one data centre as a smoothed minimum. A
-// sample is a latency less the time that the owner held the attempt, or the
-// whole latency where that is not known; either way it is an upper bound of the
-// link's own round trip. So a smaller sample is taken at once, and a larger one
-// only as the least of a window, by part of the way.
+// linkTime estimates the round trip to one data centre as a smoothed minimum. A sample is a
+// latency less the time that the attempt spent at the owner, or the full latency where that
+// is not known; either is an upper bound of the link's round trip. So a smaller sample
+// counts at once, and a larger one only as the minimum of a window, in part.
 type linkTime struct {
-	estimate atomic.Int64
-	least    atomic.Int64
-	count    atomic.Int64
-	began    atomic.Int64
+	estimate    atomic.Int64
+	windowMin   atomic.Int64
+	windowCount atomic.Int64
+	windowStart atomic.Int64
 }
 
 func newLinkTime(guess time.Duration) *linkTime {
 	l := &linkTime{}
 	l.estimate.Store(int64(guess))
-	l.least.Store(math.MaxInt64)
+	l.windowMin.Store(math.MaxInt64)
 	return l
 }
 
 // roundTrip returns the estimate in nanoseconds.
 func (l *linkTime) roundTrip() int64 { return l.estimate.Load() }
 
-// sample learns from one attempt.
-func (l *linkTime) sample(now, nanos int64) {
+// addSample adds the round trip of one attempt, in nanoseconds.
+func (l *linkTime) addSample(now, nanos int64) {
 	if nanos <= 0 {
 		return
 	}
-	l.began.CompareAndSwap(0, now)
-	lower(&l.estimate, nanos)
-	lower(&l.least, nanos)
-	began := l.began.Load()
-	if l.count.Add(1) < linkSamples || now-began < linkWindow {
+	l.windowStart.CompareAndSwap(0, now)
+	storeMin(&l.estimate, nanos)
+	storeMin(&l.windowMin, nanos)
+	began := l.windowStart.Load()
+	if l.windowCount.Add(1) < minLinkSamples || now-began < linkWindow {
 		return
 	}
-	if l.began.CompareAndSwap(began, now) {
+	if l.windowStart.CompareAndSwap(began, now) {
 		l.closeWindow()
 	}
 }
 
-// closeWindow raises the estimate towards the least sample of the window.
+// closeWindow raises the estimate towards the minimum of the window.
 func (l *linkTime) closeWindow() {
-	l.count.Store(0)
-	least := l.least.Swap(math.MaxInt64)
+	l.windowCount.Store(0)
+	least := l.windowMin.Swap(math.MaxInt64)
 	est := l.estimate.Load()
 	if least != math.MaxInt64 && least > est {
-		l.estimate.CompareAndSwap(est, est+(least-est)/linkRise)
+		l.estimate.CompareAndSwap(est, est+(least-est)/linkRiseDivisor)
 	}
 }
 
-// lower sets a to the smaller of itself and v.
-func lower(a *atomic.Int64, v int64) {
+// storeMin sets a to the smaller of itself and v.
+func storeMin(a *atomic.Int64, v int64) {
 	for {
 		old := a.Load()
 		if old <= v || a.CompareAndSwap(old, v) {
--- a/internal/route/link_test.go
+++ b/internal/route/link_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestRemoteIsPaidForOnlyWhenTheLocalQueueCostsMore(t *testing.T) {
+func TestRemoteIsChosenOnlyWhenLocalQueueCostsMore(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		local    uint16
@@ -30,11 +30,11 @@
 	}
 }
 
-func TestFarDataCentresDoNotTakeTheSample(t *testing.T) {
+func TestFarDataCentresDoNotCrowdOutNearOnes(t *testing.T) {
 	table := seeded(300)
 	for i := range 100 {
 		now := origin.Add(time.Duration(i) * time.Second)
-		for range linkSamples {
+		for range minLinkSamples {
 			table.Done(now, "s-00002", Result{Latency: 50 * time.Millisecond})
 		}
 	}
@@ -52,20 +52,20 @@
 		}
 	}
 	if near < 2*far || far == 0 {
-		t.Errorf("%d candidates are near and %d far, want about three to one", near, far)
+		t.Errorf("%d candidates are near and %d far, want at least two to one", near, far)
 	}
 }
 
 func TestLinkTimeIsLearned(t *testing.T) {
 	const roundTrip = 6 * time.Millisecond
 	rng := rand.New(rand.NewPCG(5, 6))
-	for _, held := range []bool{true, false} {
+	for _, ownerTimeKnown := range []bool{true, false} {
 		table := seeded(2)
 		for i := range 2000 {
 			now := origin.Add(time.Duration(i) * 10 * time.Millisecond)
 			atOwner := time.Duration(rng.ExpFloat64() * float64(10*time.Millisecond))
 			r := Result{Latency: roundTrip + atOwner}
-			if held {
+			if ownerTimeKnown {
 				r.OwnerTime = atOwner
 			}
 			table.Done(now, "s-00001", r)
@@ -76,19 +76,19 @@
 				continue
 			}
 			if off := e.Link - roundTrip; off < -time.Millisecond/2 || off > time.Millisecond {
-				t.Errorf("held known %v: link %v, want about %v", held, e.Link, roundTrip)
+				t.Errorf("owner time known %v: link %v, want about %v", ownerTimeKnown, e.Link, roundTrip)
 			}
 		}
 	}
 }
 
-func TestSlowWayToOneUpstreamCountsAgainstIt(t *testing.T) {
+func TestSlowPathCountsAgainstUpstream(t *testing.T) {
 	table := seeded(2)
 	for i := range 20 {
 		now := origin.Add(time.Duration(i) * time.Millisecond)
 		table.Done(now, "s-00001", Result{Latency: 40 * time.Millisecond, OwnerTime: 10 * time.Millisecond})
 	}
 	if got := share(table, origin.Add(20*time.Millisecond), query, 200)["s-00001"]; got > 0.05 {
-		t.Errorf("%v of the picks took the slow way", got)
+		t.Errorf("%v of the picks took the slow path, want 0.05 at most", got)
 	}
 }
--- a/internal/route/picker.go
+++ b/internal/route/picker.go
@@ -17,11 +17,10 @@
 	clockOffset = int64(time.Second)
 )
 
-// picker is an immutable index of the fleet. Only the cells, link times and
-// statistics that it points to change.
+// picker is an immutable index of the fleet. Only the cells, link times and statistics that
+// it refers to change.
 type picker struct {
-	// base is the origin of the times in cells; it is the same for all pickers
-	// of a table.
+	// base is the origin of the times in cells, the same for all pickers of a table.
 	base     time.Time
 	services map[model.ServiceName]*service
 	byID     map[model.InstanceID]*upstream
@@ -30,42 +29,43 @@
 
 var emptyPicker = &picker{}
 
-// nanos returns now in nanoseconds since the picker's origin.
+// nanos returns now in nanoseconds since the picker's origin, plus clockOffset.
 func (p *picker) nanos(now time.Time) int64 {
 	return int64(now.Sub(p.base)) + clockOffset
 }
 
-// service is the upstreams of one service that may be chosen.
+// service holds the upstreams of one service that are not leaving.
 type service struct {
 	name model.ServiceName
-	// local are those of the table's own data centre, remote all others.
+	// local are the upstreams of the table's own data centre and remote those of others,
+	// without evacuated ones; all holds all of them, evacuated ones included, sorted by id.
 	local, remote []*upstream
 	all           []*upstream
-	// slots is the bundle's, for upstreams that were never heard.
+	// slots is the bundle's, for upstreams without a report.
 	slots int
 	stats *serviceStats
-	// warming is how long its workers warm up after their start, and turnGap the mean time
-	// between the turns of one entry at a warming one, both in nanoseconds; zero where a
-	// warming one bears as much as any.
-	warming, turnGap int64
+	// warming is how long the service's workers warm up after their start, and meanTurnGap
+	// the mean time between the turns of one entry at a warming worker, both in
+	// nanoseconds; zero where the bundle does not restrict warming workers.
+	warming, meanTurnGap int64
 }
 
 // upstream is one instance in a picker.
 type upstream struct {
 	instance model.Instance
-	// hash is of the instance's id, for Home.
+	// hash is the hash of the instance's id, for Home.
 	hash    uint64
 	service *service
 	link    *linkTime
 	cell    *cell
 	region  model.RegionName
-	// evacuated: nothing is to be sent to the workers of its data centre.
+	// evacuated reports that the workers of the upstream's data centre get no requests.
 	evacuated bool
 }
 
-// Update rebuilds the picker from the blackboard's sections, keeping what was
-// learned of upstreams that stay. Called by the route controller only; it may
-// take time proportional to the fleet.
+// Update rebuilds the picker from the blackboard's sections and keeps what was learned
+// about upstreams that remain. Only the route controller calls it; it takes time
+// proportional to the fleet.
 func (t *Table) Update(now time.Time, fleet *model.Fleet, bundles *bundle.Set) {
 	old := t.picker.Load()
 	p := &picker{
@@ -87,7 +87,7 @@
 	b.retire()
 }
 
-// builder builds one picker from the one before.
+// builder builds a picker from the previous one.
 type builder struct {
 	table   *Table
 	old     *picker
@@ -113,7 +113,7 @@
 		evacuated: b.fleet.IsEvacuated(in.DataCentre),
 	}
 	u.cell.setFleetState(b.now, in.State)
-	b.warm(u)
+	b.updateWarming(u)
 	b.next.byID[in.ID] = u
 	if in.State >= model.StateLeaving {
 		return
@@ -129,8 +129,8 @@
 	}
 }
 
-// cell returns the cell of an instance: the one before, unless this is another
-// life or it serves something else now.
+// cell returns the cell of an instance: the previous one, unless the instance has another
+// incarnation or serves another service now.
 func (b *builder) cell(in *model.Instance) *cell {
 	before := b.old.byID[in.ID]
 	if before == nil || before.instance.Service != in.Service {
@@ -161,8 +161,8 @@
 		}
 		if s != nil && s.WarmingPerSecond > 0 {
 			svc.warming = int64(s.Warming())
-			// All the fleet's nodes choose.
-			svc.turnGap = int64(float64(len(b.fleet.Instances)) / s.WarmingPerSecond * float64(time.Second))
+			// All nodes of the fleet are entry nodes.
+			svc.meanTurnGap = int64(float64(len(b.fleet.Instances)) / s.WarmingPerSecond * float64(time.Second))
 		}
 	}
 	b.next.services[name] = svc
@@ -186,8 +186,8 @@
 	return l
 }
 
-// retire takes the cells that the new picker no longer holds out of their
-// services' statistics. Reports that still reach them are dropped.
+// retire takes the cells that are not in the new picker out of their services' statistics.
+// Reports that still arrive at them are dropped.
 func (b *builder) retire() {
 	for id, before := range b.old.byID {
 		after := b.next.byID[id]
@@ -198,25 +198,26 @@
 	}
 }
 
-// serviceStats is what is known of a service as a whole. Its sums are over the
-// last reports of the service's live upstreams.
+// serviceStats is what is known about a service as a whole. Its sums cover the last reports
+// of the service's live upstreams.
 type serviceStats struct {
 	// reports is the number of reports in the sums.
 	reports atomic.Int64
 	// utilisation sums (in flight + queued) / limit, in 1/fixedPoint.
 	utilisation atomic.Int64
-	// serviceTime sums nanoseconds.
+	// serviceTime sums service times, in nanoseconds.
 	serviceTime atomic.Int64
-	// lastCalled is when this node last sent to the service.
+	// lastCalled is when this node last sent an attempt to the service.
 	lastCalled atomic.Int64
-	// robin counts the choices of the baseline round robin.
-	robin atomic.Uint64
+	// roundRobin counts the choices of the baseline PolicyRoundRobin.
+	roundRobin atomic.Uint64
 }
 
+// fixedPoint is the scale of utilisation.
 const fixedPoint = 1 << 16
 
-// means returns the service's mean utilisation and service time in nanoseconds;
-// ok is false while nothing was heard.
+// means returns the service's mean utilisation, and its mean service time in nanoseconds;
+// ok is false without any report.
 func (s *serviceStats) means() (utilisation, serviceTime float64, ok bool) {
 	n := s.reports.Load()
 	if n <= 0 {
@@ -227,8 +228,8 @@
 	return utilisation, serviceTime, true
 }
 
-// replace takes the contribution of one report out and puts another in.
-func (s *serviceStats) replace(before, after *heard) {
+// replace subtracts the contribution of one report and adds that of another.
+func (s *serviceStats) replace(before, after *receivedReport) {
 	n0, u0, s0 := before.contribution()
 	n1, u1, s1 := after.contribution()
 	s.utilisation.Add(u1 - u0)
--- a/internal/route/policies.go
+++ b/internal/route/policies.go
@@ -3,25 +3,24 @@
 // Policy selects how Pick chooses.
 type Policy uint8
 
-// The policies. All but PolicyExpectedTime are baselines, for comparisons in
-// benchmarks only.
+// The policies. All but PolicyExpectedTime are baselines for benchmarks.
 const (
-	// PolicyExpectedTime takes the least expected completion time of a few
-	// candidates.
+	// PolicyExpectedTime takes the candidate with the lowest cost, see Estimate.Cost, of a
+	// few.
 	PolicyExpectedTime Policy = iota
-	// PolicyRandom takes any.
+	// PolicyRandom takes any upstream.
 	PolicyRandom
-	// PolicyRoundRobin takes one after the other.
+	// PolicyRoundRobin takes the upstreams in turn.
 	PolicyRoundRobin
-	// PolicyLeastInFlight takes the one with the fewest attempts of this node's.
+	// PolicyLeastInFlight takes the upstream with the fewest attempts of this node in flight.
 	PolicyLeastInFlight
-	// PolicyPolledTwoChoices takes the less loaded of two at random, by the last
+	// PolicyPolledTwoChoices takes the less loaded of two random upstreams, by the last
 	// polled load (ObserveProbe).
 	PolicyPolledTwoChoices
 )
 
-// policy chooses an upstream of svc for q; nil when none may be chosen. q goes
-// by value so that the caller's need not be on the heap.
+// policy chooses an upstream of svc for q, or nil when none may be chosen. q is passed by
+// value so that the caller's query can stay on the stack.
 type policy interface {
 	choose(t *Table, svc *service, now int64, q Query) *upstream
 }
@@ -41,25 +40,26 @@
 	}
 }
 
-// expectedTime is the product's policy.
+// expectedTime implements PolicyExpectedTime.
 type expectedTime struct{}
 
 func (expectedTime) choose(t *Table, svc *service, now int64, q Query) *upstream {
 	var c candidates
-	f := t.filter(now, q.Tried, q.Regions)
+	f := t.newFilter(now, q.Tried, q.Regions)
 	t.sample(&c, svc, f)
 	if c.n == 0 {
-		// Better a warming upstream out of turn, whose owner has the last word, than none.
-		f.outOfTurn = true
+		// A warming upstream out of turn is better than none: its owner decides whether to
+		// run it.
+		f.ignoreTurns = true
 		t.sample(&c, svc, f)
 	}
 	var best *upstream
 	var least float64
-	start := below(uint32(t.cfg.Random()), c.n)
+	start := scaleRandom(uint32(t.cfg.Random()), c.n)
 	for i := range c.n {
-		// From a random place on, so that ties are broken at random.
+		// Starts at a random candidate, so that ties are broken at random.
 		u := c.list[(start+i)%c.n]
-		deviate := t.tuning.Noise * normal(t.cfg.Random())
+		deviate := t.tuning.Noise * normalDeviate(t.cfg.Random())
 		e := t.estimate(u, now, q.Remaining, deviate)
 		if best == nil || e.cost() < least {
 			best, least = u, e.cost()
@@ -68,34 +68,34 @@
 	return best
 }
 
-// randomChoice is a baseline.
+// randomChoice implements PolicyRandom.
 type randomChoice struct{}
 
 func (randomChoice) choose(t *Table, svc *service, now int64, q Query) *upstream {
-	return svc.firstEligible(below(uint32(t.cfg.Random()), len(svc.all)), t.filter(now, q.Tried, q.Regions))
+	return svc.firstEligible(scaleRandom(uint32(t.cfg.Random()), len(svc.all)), t.newFilter(now, q.Tried, q.Regions))
 }
 
-// roundRobin is a baseline.
+// roundRobin implements PolicyRoundRobin.
 type roundRobin struct{}
 
 func (roundRobin) choose(t *Table, svc *service, now int64, q Query) *upstream {
 	if len(svc.all) == 0 {
 		return nil
 	}
-	turn := svc.stats.robin.Add(1)
-	return svc.firstEligible(int(turn%uint64(len(svc.all))), t.filter(now, q.Tried, q.Regions))
+	turn := svc.stats.roundRobin.Add(1)
+	return svc.firstEligible(int(turn%uint64(len(svc.all))), t.newFilter(now, q.Tried, q.Regions))
 }
 
-// leastInFlight is a baseline.
+// leastInFlight implements PolicyLeastInFlight.
 type leastInFlight struct{}
 
 func (leastInFlight) choose(t *Table, svc *service, now int64, q Query) *upstream {
 	var best *upstream
 	n := len(svc.all)
-	start := below(uint32(t.cfg.Random()), n)
+	start := scaleRandom(uint32(t.cfg.Random()), n)
 	for i := range svc.all {
 		u := svc.all[(start+i)%n]
-		if !u.eligible(t.filter(now, q.Tried, q.Regions)) {
+		if !u.eligible(t.newFilter(now, q.Tried, q.Regions)) {
 			continue
 		}
 		if best == nil || u.cell.inFlight.Load() < best.cell.inFlight.Load() {
@@ -105,7 +105,7 @@
 	return best
 }
 
-// polledTwoChoices is a baseline.
+// polledTwoChoices implements PolicyPolledTwoChoices.
 type polledTwoChoices struct{}
 
 func (polledTwoChoices) choose(t *Table, svc *service, now int64, q Query) *upstream {
--- a/internal/route/reach.go
+++ b/internal/route/reach.go
@@ -6,43 +6,43 @@
 	"gypsumstand/internal/model"
 )
 
-// unreachedMemory is how long an owner is left out after this node last failed to
-// connect to it. Probes renew it several times a second; should they stop, a request
-// tries the owner again after this time.
-const unreachedMemory = 2 * time.Second
+// unreachableTTL is how long an owner is excluded after this node last failed to connect to
+// it. Probes renew it several times a second; if they stop, a request tries the owner after
+// this time.
+const unreachableTTL = 2 * time.Second
 
-// Unreachable leaves an owner out of Pick's choices for unreachedMemory, as this node
-// cannot connect to it. It tells whether the owner is known at that address. Called
-// by the reach controller only.
+// MarkUnreachable excludes an owner from choices for unreachableTTL, as this node cannot
+// connect to it. It reports whether the owner is known at that address. Only the reach
+// controller calls it.
 func (t *Table) MarkUnreachable(now time.Time, owner model.Instance) bool {
 	p := t.picker.Load()
 	u := p.byID[owner.ID]
 	if u == nil || u.instance.PeerAddress != owner.PeerAddress {
 		return false
 	}
-	u.cell.unreachedUntil.Store(p.nanos(now) + int64(unreachedMemory))
+	u.cell.unreachableUntil.Store(p.nanos(now) + int64(unreachableTTL))
 	return true
 }
 
-// MarkReachable takes Unreached back: a connection could be had.
+// MarkReachable revokes MarkUnreachable, as a connection succeeded.
 func (t *Table) MarkReachable(id model.InstanceID) {
 	if u := t.picker.Load().byID[id]; u != nil {
-		u.cell.unreachedUntil.Store(0)
+		u.cell.unreachableUntil.Store(0)
 	}
 }
 
-// ReportedWithin tells whether a report of the owner's was heard in the last age.
+// ReportedWithin reports whether a report of the owner was received within the last age.
 func (t *Table) ReportedWithin(now time.Time, id model.InstanceID, age time.Duration) bool {
 	p := t.picker.Load()
 	u := p.byID[id]
 	if u == nil {
 		return false
 	}
-	h := u.cell.heard.Load()
-	return h != nil && h != retired && p.nanos(now)-h.at < int64(age)
+	h := u.cell.lastReport.Load()
+	return h != nil && h != retiredReport && p.nanos(now)-h.receivedAt < int64(age)
 }
 
-// Owner returns the owner of an upstream that may be chosen.
+// Owner returns an instance of the fleet; ok is false if it is unknown or leaving.
 func (t *Table) Owner(id model.InstanceID) (owner model.Instance, ok bool) {
 	u := t.picker.Load().byID[id]
 	if u == nil || u.instance.State >= model.StateLeaving {
@@ -51,19 +51,19 @@
 	return u.instance, true
 }
 
-// SilentOwners returns the owners with attempts of this node of which nothing was heard for
-// age, nor for twice the time in which an answer was expected. It looks at the
-// services called in the last ten seconds.
+// SilentOwners returns the owners with attempts of this node in flight and no report for
+// age and for silentFactor times the expected latency. It covers the services called within
+// recentCallAge.
 func (t *Table) SilentOwners(now time.Time, age time.Duration) []model.Instance {
 	p := t.picker.Load()
 	nanos := p.nanos(now)
 	var out []model.Instance
 	for _, svc := range p.services {
-		if last := svc.stats.lastCalled.Load(); last == 0 || nanos-last >= recentCall {
+		if last := svc.stats.lastCalled.Load(); last == 0 || nanos-last >= recentCallAge {
 			continue
 		}
 		for _, u := range svc.all {
-			if t.silent(u, nanos, age) {
+			if t.isSilent(u, nanos, age) {
 				out = append(out, u.instance)
 			}
 		}
@@ -71,20 +71,21 @@
 	return out
 }
 
-// overdue is how many times the expected latency an owner must be silent for Silent.
-const overdue = 2
+// silentFactor is how many times the expected latency an owner must be silent for
+// SilentOwners.
+const silentFactor = 2
 
-func (t *Table) silent(u *upstream, now int64, age time.Duration) bool {
-	if u.cell.inFlight.Load() == 0 || u.cell.unreached(now) {
+func (t *Table) isSilent(u *upstream, now int64, age time.Duration) bool {
+	if u.cell.inFlight.Load() == 0 || u.cell.isUnreachable(now) {
 		return false
 	}
-	quiet := now - u.cell.silentSince.Load()
-	if quiet < int64(age) {
+	silence := now - u.cell.silentSince.Load()
+	if silence < int64(age) {
 		return false
 	}
 	e := t.estimate(u, now, 0, 0)
-	return float64(quiet) >= overdue*(e.latency()-e.silence)
+	return float64(silence) >= silentFactor*(e.latency()-e.overdue)
 }
 
-// unreached tells whether no connection to the owner can be had.
-func (c *cell) unreached(now int64) bool { return now < c.unreachedUntil.Load() }
+// isUnreachable reports whether the owner counts as unreachable.
+func (c *cell) isUnreachable(now int64) bool { return now < c.unreachableUntil.Load() }
--- a/internal/route/reach_test.go
+++ b/internal/route/reach_test.go
@@ -7,24 +7,24 @@
 	"gypsumstand/internal/model"
 )
 
-// Load: three workers of one service, one of them cut off. A call whose time-out was
-// 600 ms spent 400 ms of it on a connection to the lost one, again and again: in one
-// day with a cut of 7 s, 137 calls failed for it in 8 s.
-func TestAnOwnerOutOfReachIsNotChosenAndComesBack(t *testing.T) {
+// Guards against calls that spend their time on connections to an unreachable owner: with
+// one of three workers cut off, calls with a timeout of 600 ms spent 400 ms of it on the
+// connection, and in a network partition of 7 s 137 calls failed within 8 s.
+func TestUnreachableOwnerIsExcludedForAWhile(t *testing.T) {
 	now := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 	table := NewTable(Config{Self: "e"})
-	lost := model.Instance{ID: "w1", Service: "shop", PeerAddress: "10.0.0.1:1", State: model.StateLive}
+	unreachable := model.Instance{ID: "w1", Service: "shop", PeerAddress: "10.0.0.1:1", State: model.StateLive}
 	other := model.Instance{ID: "w2", Service: "shop", PeerAddress: "10.0.0.2:1", State: model.StateLive}
-	table.Update(now, &model.Fleet{Instances: []model.Instance{lost, other}}, nil)
-	if !table.MarkUnreachable(now, lost) {
-		t.Fatal("not known")
+	table.Update(now, &model.Fleet{Instances: []model.Instance{unreachable, other}}, nil)
+	if !table.MarkUnreachable(now, unreachable) {
+		t.Fatal("the owner is not known at its address")
 	}
-	moved := lost
+	moved := unreachable
 	moved.PeerAddress = "10.0.0.9:1"
 	if table.MarkUnreachable(now, moved) {
-		t.Error("known at an address that it does not have")
+		t.Error("the owner is known at another address")
 	}
-	// Attempts weigh on the one in reach, so that cost alone would choose the other.
+	// Attempts in flight raise the cost of w2, so that cost alone would choose w1.
 	for range 50 {
 		table.Sent(now, "w2")
 	}
@@ -36,19 +36,19 @@
 		t.Errorf("chosen %q, want w2", got)
 	}
 	if got := chosen(now, "w2"); got != "" {
-		t.Errorf("with the other one tried: chosen %q, want none", got)
+		t.Errorf("w2 was tried: chosen %q, want none", got)
 	}
-	if got := chosen(now.Add(unreachedMemory)); got != "w1" {
-		t.Errorf("after the memory: chosen %q, want w1", got)
+	if got := chosen(now.Add(unreachableTTL)); got != "w1" {
+		t.Errorf("after unreachableTTL: chosen %q, want w1", got)
 	}
-	table.MarkUnreachable(now, lost)
+	table.MarkUnreachable(now, unreachable)
 	table.MarkReachable("w1")
 	if got := chosen(now); got != "w1" {
-		t.Errorf("once reached: chosen %q, want w1", got)
+		t.Errorf("after MarkReachable: chosen %q, want w1", got)
 	}
 }
 
-func TestAnOwnerIsSilentOnceAnAnswerIsLongOverdue(t *testing.T) {
+func TestOwnerIsSilentOnceResponseIsLongOverdue(t *testing.T) {
 	now := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 	table := NewTable(Config{Self: "e"})
 	in := model.Instance{ID: "w1", Service: "shop", State: model.StateLive}
@@ -58,7 +58,7 @@
 	const age = 500 * time.Millisecond
 	silent := func(after time.Duration) bool { return len(table.SilentOwners(now.Add(after), age)) == 1 }
 	if silent(5 * time.Second) {
-		t.Error("silent although nothing was sent")
+		t.Error("silent although no attempt is in flight")
 	}
 	table.Sent(now, "w1")
 	if silent(600 * time.Millisecond) {
@@ -69,6 +69,6 @@
 	}
 	table.Done(now, "w1", Result{Latency: time.Second})
 	if silent(5 * time.Second) {
-		t.Error("silent although everything was answered")
+		t.Error("silent although all attempts have ended")
 	}
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,7 +1,7 @@
-// Package route chooses the upstream of an attempt from estimates that are
-// always stale. Pick reads an immutable picker and per-upstream atomic cells;
-// it takes no lock and allocates nothing. Update, called by the route
-// controller, swaps the picker. Design: docs/DESIGN.md, "Routing".
+// Package route chooses the upstream of an attempt from estimates that are always stale.
+// Pick reads an immutable picker and per-upstream atomic cells; it takes no lock and
+// allocates nothing. Update, called by the route controller, replaces the picker. Design:
+// docs/DESIGN.md, "Routing".
 package route
 
 import (
@@ -12,40 +12,39 @@
 	"gypsumstand/internal/model"
 )
 
-// Config is a table's fixed setting.
+// Config is the fixed configuration of a table.
 type Config struct {
 	Self       model.InstanceID
 	DataCentre model.DataCentre
-	// Regions names the region of each data centre.
+	// Regions holds the region of each data centre.
 	Regions model.DataCentreRegions
-	// LocalDelay and RemoteDelay are the first guesses of one-way link time
-	// within and between data centres; measured times replace them. Zero means
-	// 100 µs and 1 ms.
+	// LocalDelay and RemoteDelay are the initial guesses of the one-way link time within and
+	// between data centres, until they are measured. Zero means 100 µs and 1 ms.
 	LocalDelay  time.Duration
 	RemoteDelay time.Duration
 	// Random returns uniform 64-bit values and is safe for concurrent use; nil
 	// means math/rand/v2's global source.
 	Random func() uint64
-	// RemoteCost is what an attempt to another data centre costs beside its time: the
-	// traffic between them is paid for. Zero means nothing.
+	// RemoteCost is the cost of an attempt to another data centre in addition to its
+	// latency, as traffic between data centres is paid for. Zero means none.
 	RemoteCost time.Duration
-	// LeavingTTL is how long an owner's own word that it leaves keeps attempts
-	// away; zero means for as long as its incarnation is the newest known.
+	// LeavingTTL is how long an owner that announced that it is leaving gets no attempts;
+	// zero means for as long as its incarnation is the newest known one.
 	LeavingTTL time.Duration
-	// Policy selects how Pick chooses; the zero value is the product's policy.
-	// The others are baselines for benchmarks only.
+	// Policy selects how Pick chooses. The zero value is the policy of nodes, the others are
+	// baselines for benchmarks.
 	Policy Policy
-	// Tuning replaces parts of the product's policy, for measurements only; nil
-	// means DefaultTuning.
+	// Tuning replaces parameters of PolicyExpectedTime in simulations; nil means
+	// DefaultTuning.
 	Tuning *Tuning
 }
 
-// Query asks for an upstream.
+// Query describes a request that needs an upstream.
 type Query struct {
 	Service   model.ServiceName
 	Class     model.ClassName
 	Remaining time.Duration
-	// Tried lists owners that this request must not be sent to again now.
+	// Tried lists owners that the request must not be sent to now.
 	Tried []model.InstanceID
 	// Regions are those in which the request may run.
 	Regions model.Regions
@@ -53,10 +52,10 @@
 
 // Choice is a chosen upstream.
 type Choice struct {
-	// Instance is as the fleet shows it, with the incarnation that its owner
-	// last reported when that is newer.
+	// Instance is as in the fleet's view, except that its incarnation is the one that its
+	// owner last reported if that is newer.
 	Instance model.Instance
-	// Expected is the estimated time to the whole answer.
+	// Expected is the estimated time to the complete response.
 	Expected time.Duration
 	// OwnerClock is the lower bound of the owner's clock now; see
 	// model.Attempt.OwnerClock.
@@ -64,27 +63,28 @@
 	Estimate   EstimateSummary
 }
 
-// EstimateSummary is what a choice rested on.
+// EstimateSummary is the estimate on which a choice is based.
 type EstimateSummary struct {
-	// Reported tells whether a report was heard, Age how long ago.
+	// Reported reports whether the owner sent a load report, Age how long ago.
 	Reported bool
 	Age      time.Duration
 	// Load is the expected number of requests at the owner.
 	Load float64
-	// Expected is the estimated time to the whole answer.
+	// Expected is the estimated time to the complete response.
 	Expected time.Duration
 }
 
-// Result tells how an attempt at a choice ended.
+// Result is how an attempt ended.
 type Result struct {
 	Latency time.Duration
-	// OwnerTime is the part of Latency that the attempt spent at its owner, from
-	// arrival to answer, as the owner tells it; zero means not known. Latency
-	// less Held is the time that the way took.
+	// OwnerTime is the part of Latency from the attempt's arrival at its owner to the
+	// response, as the owner reported it; zero means not known. The rest of Latency is
+	// network time.
 	OwnerTime time.Duration
-	// Failed: the worker failed it, or the way broke.
+	// Failed reports that the worker failed the attempt or the connection to the owner
+	// failed.
 	Failed bool
-	// Refused, when not ReasonNone, is the owner's refusal.
+	// Refused is the reason of the owner's refusal, or ReasonNone.
 	Refused    model.Reason
 	RetryAfter time.Duration
 }
@@ -117,8 +117,8 @@
 	return t
 }
 
-// Pick chooses an upstream; ok is false when none is known, or all were tried,
-// are leaving or out of reach. It never blocks.
+// Pick chooses an upstream; ok is false when none is known or all were tried, are leaving
+// or are unreachable. It never blocks.
 func (t *Table) Pick(now time.Time, q *Query) (c Choice, ok bool) {
 	p := t.picker.Load()
 	svc := p.services[q.Service]
@@ -133,38 +133,38 @@
 	return t.choice(u, nanos, q), true
 }
 
-// choice describes a chosen upstream.
+// choice returns the Choice of an upstream.
 func (t *Table) choice(u *upstream, now int64, q *Query) Choice {
 	c := Choice{Instance: u.instance}
 	c.Instance.Incarnation = u.cell.incarnation()
-	if h := u.cell.heard.Load(); h != nil {
+	if h := u.cell.lastReport.Load(); h != nil {
 		c.OwnerClock = h.ownerClock(now)
 	}
 	e := t.estimate(u, now, q.Remaining, 0)
 	c.Expected = time.Duration(e.latency())
-	c.Estimate = EstimateSummary{Reported: e.heard, Load: e.load, Expected: c.Expected}
-	if e.heard {
+	c.Estimate = EstimateSummary{Reported: e.reported, Load: e.load, Expected: c.Expected}
+	if e.reported {
 		c.Estimate.Age = time.Duration(e.age)
 	}
 	return c
 }
 
-// OwnerClock returns a lower bound of the clock of id's owner now, 0 when no
-// report of it was heard; see model.Attempt.OwnerClock.
+// OwnerClock returns a lower bound of the current clock of id's owner, 0 without any
+// report; see model.Attempt.OwnerClock.
 func (t *Table) OwnerClock(now time.Time, id model.InstanceID) time.Duration {
 	p := t.picker.Load()
 	u := p.byID[id]
 	if u == nil {
 		return 0
 	}
-	h := u.cell.heard.Load()
+	h := u.cell.lastReport.Load()
 	if h == nil {
 		return 0
 	}
 	return h.ownerClock(p.nanos(now))
 }
 
-// Sent counts an attempt in flight at the choice. Done must follow.
+// Sent counts an attempt in flight. Done must follow.
 func (t *Table) Sent(now time.Time, id model.InstanceID) {
 	p := t.picker.Load()
 	u := p.byID[id]
@@ -172,12 +172,12 @@
 		return
 	}
 	nanos := p.nanos(now)
-	u.cell.sendOne(nanos)
-	t.offered(u, nanos)
+	u.cell.countSend(nanos)
+	t.scheduleNextTurn(u, nanos)
 	u.service.stats.lastCalled.Store(nanos)
 }
 
-// Done ends what Sent began and learns from the result.
+// Done ends an attempt that Sent counted, and learns from its result.
 func (t *Table) Done(now time.Time, id model.InstanceID, r Result) {
 	p := t.picker.Load()
 	u := p.byID[id]
@@ -185,12 +185,12 @@
 		return
 	}
 	nanos := p.nanos(now)
-	u.cell.endOne(nanos)
-	u.learn(nanos, &r)
+	u.cell.countEnd(nanos)
+	u.addResult(nanos, &r)
 }
 
-// Observe takes an owner's load report. An older one than the last of the same
-// incarnation is ignored, and so is one of an older incarnation.
+// Observe takes over an owner's load report. It ignores one that is older than the last one
+// or of an older incarnation.
 func (t *Table) Observe(now time.Time, r model.LoadReport) {
 	p := t.picker.Load()
 	if u := p.byID[r.Owner]; u != nil {
@@ -200,12 +200,12 @@
 
 func (t *Table) observe(u *upstream, now int64, r *model.LoadReport) {
 	if u.observe(now, r, t.cfg.LeavingTTL == 0) {
-		t.heardWarming(u, now, r)
+		t.noteWarming(u, now, r)
 	}
 }
 
-// ObserveProbe takes a load report that was asked for by a message of its own.
-// Only the baseline PolicyPolledTwoChoices tells it from Observe.
+// ObserveProbe takes over a load report that was requested by a probe. Only the baseline
+// PolicyPolledTwoChoices distinguishes it from Observe.
 func (t *Table) ObserveProbe(now time.Time, r model.LoadReport) {
 	p := t.picker.Load()
 	u := p.byID[r.Owner]
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -11,7 +11,7 @@
 	"gypsumstand/internal/model"
 )
 
-// share returns how often each of the picks of n queries chose which upstream.
+// share returns the share of n picks for a query that each upstream got.
 func share(t *Table, now time.Time, q *Query, n int) map[model.InstanceID]float64 {
 	out := map[model.InstanceID]float64{}
 	for range n {
@@ -22,7 +22,8 @@
 	return out
 }
 
-// seeded returns a table of n upstreams, all just heard with the same load.
+// seeded returns a table of n upstreams with equal reports, received just now, and a fixed
+// seed.
 func seeded(n int) *Table {
 	t := NewTable(Config{DataCentre: "dc0", LocalDelay: time.Millisecond, RemoteDelay: time.Millisecond, Random: rand.New(rand.NewPCG(1, 2)).Uint64})
 	fleet := makeFleet(n)
@@ -50,7 +51,7 @@
 	}
 }
 
-func TestPickLeavesOutTriedAndLeaving(t *testing.T) {
+func TestPickExcludesTriedAndLeaving(t *testing.T) {
 	for _, p := range []Policy{PolicyExpectedTime, PolicyRandom, PolicyRoundRobin, PolicyLeastInFlight, PolicyPolledTwoChoices} {
 		t.Run(fmt.Sprint(p), func(t *testing.T) {
 			table := seeded(4)
@@ -94,7 +95,7 @@
 	}
 }
 
-func TestBackOffLowersTheWishUntilThenAndNoLonger(t *testing.T) {
+func TestBackOffEndsAtRetryAfter(t *testing.T) {
 	table := seeded(4)
 	refused := Result{Refused: model.ReasonOverloaded, RetryAfter: 200 * time.Millisecond}
 	table.Done(origin, "s-00000", refused)
@@ -108,16 +109,16 @@
 		table.Done(origin, model.InstanceID(fmt.Sprintf("s-%05d", i)), refused)
 	}
 	if len(share(table, origin, query, 500)) < 4 {
-		t.Error("with all backed off not all are chosen still")
+		t.Error("all upstreams are in back-off, but some are not chosen")
 	}
 }
 
-func TestLaterWordEndsBackOff(t *testing.T) {
+func TestNewerReportEndsBackOff(t *testing.T) {
 	later := origin.Add(50 * time.Millisecond)
 	cases := []struct {
 		name   string
 		refuse model.Reason
-		word   func(table *Table)
+		then   func(table *Table)
 		ended  bool
 	}{
 		{"none", model.ReasonOverloaded, func(*Table) {}, false},
@@ -127,7 +128,7 @@
 		{"a later report", model.ReasonOverloaded, func(table *Table) {
 			table.Observe(later, report("s-00000", 2*time.Second))
 		}, true},
-		{"the fleet's news", model.ReasonNotReady, func(table *Table) {
+		{"a later state in the fleet's view", model.ReasonNotReady, func(table *Table) {
 			fleet := makeFleet(4)
 			fleet.Instances[0].State = model.StateCold
 			table.Update(origin, fleet, nil)
@@ -139,17 +140,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			table := seeded(4)
 			table.Done(origin, "s-00000", Result{Refused: c.refuse, RetryAfter: time.Second})
-			c.word(table)
+			c.then(table)
 			got := share(table, later.Add(100*time.Millisecond), query, 500)["s-00000"]
 			if ended := got > 0.1; ended != c.ended {
-				t.Errorf("%v of the picks, want the back-off ended: %v", got, c.ended)
+				t.Errorf("%v of the picks; want the back-off ended: %v", got, c.ended)
 			}
 		})
 	}
 }
 
-func TestFastFailureDoesNotAttract(t *testing.T) {
-	tell := map[string]func(table *Table, id model.InstanceID){
+func TestFastFailureDoesNotAttractRequests(t *testing.T) {
+	failures := map[string]func(table *Table, id model.InstanceID){
 		"by the owner's report": func(table *Table, id model.InstanceID) {
 			r := report(id, 2*time.Second)
 			r.ServiceTime, r.InFlight, r.FailureRate = 100*time.Microsecond, 0, 1000
@@ -165,7 +166,7 @@
 			}
 		},
 	}
-	for name, fail := range tell {
+	for name, fail := range failures {
 		t.Run(name, func(t *testing.T) {
 			table := seeded(4)
 			fail(table, "s-00000")
@@ -179,17 +180,17 @@
 			got := share(table, origin, query, 1000)
 			for id, part := range got {
 				if part < 0.15 || part > 0.35 {
-					t.Errorf("with all failing %v got %v of the picks, want about a quarter", id, part)
+					t.Errorf("all upstreams fail: %v got %v of the picks, want about a quarter", id, part)
 				}
 			}
 			if len(got) != 4 {
-				t.Errorf("with all failing %d are chosen, want 4", len(got))
+				t.Errorf("all upstreams fail: %d are chosen, want 4", len(got))
 			}
 		})
 	}
 }
 
-func TestFastFailureDoesNotAttractWithLittleTimeLeft(t *testing.T) {
+func TestFastFailureDoesNotAttractShortDeadlines(t *testing.T) {
 	table := seeded(4)
 	r := report("s-00000", 2*time.Second)
 	r.ServiceTime, r.FailureRate = 100*time.Microsecond, 1000
@@ -200,7 +201,7 @@
 	}
 }
 
-func TestFailureIsForgotten(t *testing.T) {
+func TestFailureRateDecays(t *testing.T) {
 	table := seeded(4)
 	r := report("s-00000", 2*time.Second)
 	r.FailureRate = 1000
@@ -211,8 +212,8 @@
 	}
 }
 
-// TestEqualViewsDoNotHerd gives many entry nodes the same view, with one
-// upstream idle and the others busy, as long ago as a burst lasts.
+// TestEqualViewsDoNotHerd gives many entry nodes the same view, 20 ms old, in which one
+// upstream is idle and the others are busy. They must not all choose the idle one.
 func TestEqualViewsDoNotHerd(t *testing.T) {
 	const nodes = 200
 	for _, c := range []struct {
@@ -258,9 +259,9 @@
 	reported := origin.Add(100 * time.Millisecond)
 	cases := []struct {
 		name string
-		// before and after are when 5 attempts are sent, from the report on.
+		// sent is when 5 attempts are sent, relative to the report.
 		sent time.Duration
-		// load is the report's.
+		// load is the load in the report.
 		load uint16
 		want float64
 	}{
@@ -304,7 +305,7 @@
 	}
 }
 
-func TestABurstOfOwnSendsIsSpread(t *testing.T) {
+func TestBurstOfOwnSendsIsSpread(t *testing.T) {
 	table := seeded(4)
 	sent := map[model.InstanceID]int{}
 	for range 80 {
@@ -314,21 +315,21 @@
 	}
 	for id, n := range sent {
 		if n < 12 || n > 28 {
-			t.Errorf("%v got %d of 80", id, n)
+			t.Errorf("%v got %d of 80 attempts, want 12 to 28", id, n)
 		}
 	}
 }
 
-func TestSilenceCountsAgainstAnUpstream(t *testing.T) {
+func TestOverdueAttemptCountsAgainstUpstream(t *testing.T) {
 	table := seeded(2)
 	table.Sent(origin, "s-00000")
 	now := origin.Add(300 * time.Millisecond)
 	if got := share(table, now, query, 200)["s-00000"]; got > 0.01 {
-		t.Errorf("%v of the picks went where an attempt is overdue", got)
+		t.Errorf("%v of the picks went to the upstream with an overdue attempt, want none", got)
 	}
 	table.Done(now, "s-00000", Result{Latency: 300 * time.Millisecond})
 	if got := share(table, now, query, 200)["s-00000"]; got < 0.3 {
-		t.Errorf("%v of the picks after it answered, want about a half", got)
+		t.Errorf("%v of the picks after its response, want about a half", got)
 	}
 }
 
@@ -344,9 +345,9 @@
 	r.State, r.Limit, r.InFlight = model.StateCold, 0, 0
 	table.Observe(origin, r)
 	if got := share(table, origin, query, 200)["s-00000"]; got > 0 {
-		t.Errorf("%v of the picks went to the cold one", got)
+		t.Errorf("%v of the picks went to the cold upstream, want none", got)
 	}
 	if got := share(table, origin.Add(2*time.Second), query, 500)["s-00000"]; got == 0 {
-		t.Error("no pick went to it two seconds later")
+		t.Error("no pick went to the cold upstream two seconds later")
 	}
 }
--- a/internal/route/sample.go
+++ b/internal/route/sample.go
@@ -9,13 +9,13 @@
 // maxCandidates bounds the candidates of one choice.
 const maxCandidates = 8
 
-// candidates is a bounded set without heap memory.
+// candidates is a bounded set that needs no heap allocation.
 type candidates struct {
 	list [maxCandidates]*upstream
 	n    int
 }
 
-// add puts u in unless it is there, and tells whether it did.
+// add adds u unless it is in the set, and reports whether it did.
 func (c *candidates) add(u *upstream) bool {
 	for _, other := range c.list[:c.n] {
 		if other == u {
@@ -27,25 +27,24 @@
 	return true
 }
 
-// sample fills c with upstreams that may be chosen, of the own data centre and
-// of others; what one side lacks the other gives.
+// sample fills c with random upstreams that may be chosen, of the own data centre and of
+// others; what is missing on one side is taken from the other.
 func (t *Table) sample(c *candidates, svc *service, f filter) {
 	local, remote := t.tuning.Local, t.tuning.Remote
-	lackLocal := max(0, local-len(svc.local))
-	lackRemote := max(0, remote-len(svc.remote))
-	t.draw(c, svc.local, local+lackRemote, false, f)
-	t.draw(c, svc.remote, remote+lackLocal, true, f)
+	missingLocal := max(0, local-len(svc.local))
+	missingRemote := max(0, remote-len(svc.remote))
+	t.draw(c, svc.local, local+missingRemote, false, f)
+	t.draw(c, svc.remote, remote+missingLocal, true, f)
 }
 
-// draw adds up to k distinct upstreams of list at random. With nearer, each is
-// the nearer by link of two draws, so that far data centres do not take the
-// place of near ones.
-func (t *Table) draw(c *candidates, list []*upstream, k int, nearer bool, f filter) {
+// draw adds up to k distinct random upstreams of list. With preferNear each is the nearer,
+// by link, of two draws, so that far data centres don't crowd out near ones.
+func (t *Table) draw(c *candidates, list []*upstream, k int, preferNear bool, f filter) {
 	n := len(list)
 	for range min(k, n, maxCandidates-c.n) {
 		bits := t.cfg.Random()
-		i := below(uint32(bits), n)
-		if j := below(uint32(bits>>32), n); nearer && list[j].link.roundTrip() < list[i].link.roundTrip() {
+		i := scaleRandom(uint32(bits), n)
+		if j := scaleRandom(uint32(bits>>32), n); preferNear && list[j].link.roundTrip() < list[i].link.roundTrip() {
 			i = j
 		}
 		if !c.addFrom(list, i, f) {
@@ -54,8 +53,8 @@
 	}
 }
 
-// addFrom adds the first upstream of list from place start on that may be
-// chosen and is not there, and tells whether there was one.
+// addFrom adds the first upstream of list, from index start on, that may be chosen and is
+// not in the set, and reports whether there was one.
 func (c *candidates) addFrom(list []*upstream, start int, f filter) bool {
 	for i := range list {
 		u := list[(start+i)%len(list)]
@@ -66,46 +65,45 @@
 	return false
 }
 
-// below maps 32 random bits to 0..n-1.
-func below(bits uint32, n int) int { return int(uint64(bits) * uint64(n) >> 32) }
+// scaleRandom maps 32 random bits to 0..n-1.
+func scaleRandom(bits uint32, n int) int { return int(uint64(bits) * uint64(n) >> 32) }
 
-// filter says which upstreams may be chosen.
+// filter defines which upstreams may be chosen.
 type filter struct {
-	// tried lists those that must not be.
-	tried []model.InstanceID
-	now   int64
-	// memory is Config.LeavingTTL in nanoseconds.
-	memory int64
+	// excluded lists instances that may not be chosen.
+	excluded []model.InstanceID
+	now      int64
+	// leavingTTL is Config.LeavingTTL in nanoseconds.
+	leavingTTL int64
 	// regions are those in which the request may run.
 	regions model.Regions
-	// evacuated lets upstreams of evacuated data centres be chosen, outOfTurn warming ones
-	// whose turn at this entry has not come.
-	evacuated, outOfTurn bool
+	// includeEvacuated allows upstreams of evacuated data centres, ignoreTurns warming ones
+	// out of turn.
+	includeEvacuated, ignoreTurns bool
 }
 
-// filter returns the table's filter at time now.
-func (t *Table) filter(now int64, tried []model.InstanceID, regions model.Regions) filter {
-	return filter{tried: tried, now: now, memory: int64(t.cfg.LeavingTTL), regions: regions}
+// newFilter returns a filter with the table's settings at time now.
+func (t *Table) newFilter(now int64, excluded []model.InstanceID, regions model.Regions) filter {
+	return filter{excluded: excluded, now: now, leavingTTL: int64(t.cfg.LeavingTTL), regions: regions}
 }
 
-// eligible tells whether u may be chosen for a request.
+// eligible reports whether u may be chosen.
 func (u *upstream) eligible(f filter) bool {
-	for _, id := range f.tried {
+	for _, id := range f.excluded {
 		if id == u.instance.ID {
 			return false
 		}
 	}
 	switch {
-	case u.evacuated && !f.evacuated, !f.regions.Allows(u.region):
+	case u.evacuated && !f.includeEvacuated, !f.regions.Allows(u.region):
 		return false
-	case u.cell.leaving(f.now, f.memory), u.cell.unreached(f.now):
+	case u.cell.reportedLeaving(f.now, f.leavingTTL), u.cell.isUnreachable(f.now):
 		return false
 	}
-	return f.outOfTurn || u.cell.inTurn(f.now)
+	return f.ignoreTurns || u.cell.turnDue(f.now)
 }
 
-// firstEligible returns the first upstream that may be chosen from place start
-// on, or nil.
+// firstEligible returns the first upstream, from index start on, that may be chosen, or nil.
 func (s *service) firstEligible(start int, f filter) *upstream {
 	for i := range s.all {
 		if u := s.all[(start+i)%len(s.all)]; u.eligible(f) {
@@ -115,9 +113,9 @@
 	return nil
 }
 
-// normal returns a nearly normal deviate from 64 random bits: the sum of four
-// uniform ones.
-func normal(bits uint64) float64 {
+// normalDeviate returns a nearly standard normal deviate from 64 random bits, as the sum of
+// four uniform ones.
+func normalDeviate(bits uint64) float64 {
 	const (
 		unit     = 1.0 / (1 << 16)
 		mean     = 2
--- a/internal/route/state_test.go
+++ b/internal/route/state_test.go
@@ -11,7 +11,7 @@
 	"gypsumstand/internal/model"
 )
 
-// checkSums compares a service's statistics with a sum over its cells.
+// checkSums compares the services' statistics with sums over the cells.
 func checkSums(table *Table, fail func(format string, args ...any)) {
 	p := table.picker.Load()
 	for name, svc := range p.services {
@@ -20,7 +20,7 @@
 			if u.service != svc {
 				continue
 			}
-			a, b, c := u.cell.heard.Load().contribution()
+			a, b, c := u.cell.lastReport.Load().contribution()
 			n, use, time = n+a, use+b, time+c
 		}
 		st := svc.stats
@@ -30,12 +30,12 @@
 	}
 }
 
-// ledger is the oracle of TestTableAgainstLedger for one instance.
+// ledger is the expected state of one instance in TestTableAgainstLedger.
 type ledger struct {
 	member      bool
 	incarnation model.Incarnation
 	newest      model.LoadReport
-	heard       bool
+	reported    bool
 	at          time.Time
 	leaving     bool
 }
@@ -84,11 +84,11 @@
 				if !l.member || r.Incarnation < l.incarnation {
 					return
 				}
-				same := l.heard && r.Incarnation == l.newest.Incarnation
+				same := l.reported && r.Incarnation == l.newest.Incarnation
 				if same && r.Clock <= l.newest.Clock {
 					return
 				}
-				l.newest, l.heard, l.at, l.incarnation = r, true, now, r.Incarnation
+				l.newest, l.reported, l.at, l.incarnation = r, true, now, r.Incarnation
 				l.leaving = r.State == model.StateLeaving || same && l.leaving
 			},
 			"send": func(t *rapid.T) {
@@ -107,7 +107,7 @@
 				for _, id := range ids {
 					l := known[id]
 					want := time.Duration(0)
-					if l.heard {
+					if l.reported {
 						passed := now.Sub(l.at)
 						want = l.newest.Clock + passed - (passed+4999)/5000
 					}
@@ -120,17 +120,17 @@
 				}
 				c, ok := table.Pick(now, &Query{Service: "s"})
 				if ok != (eligible > 0) {
-					t.Fatalf("picked %v with %d eligible", ok, eligible)
+					t.Fatalf("picked one: %v, with %d eligible", ok, eligible)
 				}
 				if ok && (known[c.Instance.ID].leaving || !known[c.Instance.ID].member) {
-					t.Fatalf("picked %v", c.Instance.ID)
+					t.Fatalf("picked %v, which is leaving or unknown", c.Instance.ID)
 				}
 				if ok && c.Instance.Incarnation != known[c.Instance.ID].incarnation {
 					t.Fatalf("picked incarnation %v of %v, want %v", c.Instance.Incarnation, c.Instance.ID, known[c.Instance.ID].incarnation)
 				}
 				for _, u := range table.picker.Load().byID {
 					if u.cell.inFlight.Load() < 0 {
-						t.Fatalf("%v: negative in flight", u.instance.ID)
+						t.Fatalf("%v: negative number of attempts in flight", u.instance.ID)
 					}
 				}
 				checkSums(table, t.Fatalf)
@@ -139,13 +139,12 @@
 	})
 }
 
-// TestOwnerClockIsALowerBound lets owner and entry clocks drift and reports be
-// late.
+// TestOwnerClockIsALowerBound lets the clocks of owner and entry drift and delays reports.
 func TestOwnerClockIsALowerBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable(Config{})
 		table.Update(origin, makeFleet(1), nil)
-		// rate is the owner's clock against this node's.
+		// rate is the speed of the owner's clock relative to this node's.
 		rate := 1 + rapid.Float64Range(-200, 200).Draw(t, "drift ppm")/1e6
 		ownerAt := func(entry time.Duration) time.Duration {
 			return time.Hour + time.Duration(rate*float64(entry))
@@ -156,7 +155,7 @@
 			made := max(0, now-delay)
 			table.Observe(origin.Add(now), report("s-00000", ownerAt(made)))
 			now += time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "time"))
-			// A nanosecond is the rounding of this test's own float.
+			// One nanosecond allows for the rounding of this test's floats.
 			if got, true := table.OwnerClock(origin.Add(now), "s-00000"), ownerAt(now); got > true+1 {
 				t.Fatalf("owner clock %v is over the true %v", got, true)
 			}
@@ -164,7 +163,7 @@
 	})
 }
 
-func TestUpdateKeepsWhatWasLearnedOfTheSameIncarnation(t *testing.T) {
+func TestUpdateKeepsStateOfSameIncarnation(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		incarnation model.Incarnation
@@ -185,14 +184,14 @@
 					continue
 				}
 				if e.Reported != c.heard || (e.FailureRate > 0) != c.heard {
-					t.Errorf("heard %v, failure rate %v; want kept: %v", e.Reported, e.FailureRate, c.heard)
+					t.Errorf("reported %v, failure rate %v; want kept: %v", e.Reported, e.FailureRate, c.heard)
 				}
 			}
 		})
 	}
 }
 
-func TestNewIncarnationForgetsFailureAndBackOff(t *testing.T) {
+func TestNewIncarnationResetsFailureAndBackOff(t *testing.T) {
 	table := seeded(1)
 	table.Done(origin, "s-00000", Result{Failed: true})
 	table.Done(origin, "s-00000", Result{Refused: model.ReasonOverloaded, RetryAfter: time.Second})
@@ -201,11 +200,11 @@
 	table.Observe(origin, r)
 	e := table.Explain(origin, query)[0]
 	if e.FailureRate != 0 || e.Wait > 100*time.Millisecond {
-		t.Errorf("failure rate %v, wait %v, want none of the old life's", e.FailureRate, e.Wait)
+		t.Errorf("failure rate %v, wait %v, want those of a new incarnation", e.FailureRate, e.Wait)
 	}
 }
 
-func TestReportOfARetiredCellCountsNoMore(t *testing.T) {
+func TestReportOfRetiredCellIsDropped(t *testing.T) {
 	table := seeded(3)
 	old := table.picker.Load()
 	table.Update(origin, makeFleet(2), nil)
@@ -215,8 +214,7 @@
 	checkSums(table, t.Errorf)
 }
 
-// TestTableUnderConcurrency is for the race detector; the sums must come out
-// even.
+// TestTableUnderConcurrency is for the race detector. Afterwards the sums must match.
 func TestTableUnderConcurrency(t *testing.T) {
 	const workers, calls = 8, 2000
 	table := NewTable(Config{})
--- a/internal/route/tuning.go
+++ b/internal/route/tuning.go
@@ -2,35 +2,32 @@
 
 import "time"
 
-// Tuning holds the parts of the product's policy that measurements vary; see
-// package simulation. A node runs on DefaultTuning.
+// Tuning holds the parameters of PolicyExpectedTime that simulations vary; see package
+// simulation. Nodes use DefaultTuning.
 type Tuning struct {
-	// Local and Remote are the numbers of candidates of the own data centre and
-	// of others.
+	// Local and Remote are the numbers of candidates of the own data centre and of others.
 	Local, Remote int
-	// LoadDecay is the decay constant of a report's load towards its service's
-	// mean.
+	// LoadDecay is the time constant of the decay of a report's load to its service's mean.
 	LoadDecay time.Duration
-	// DeadZone is the share of its service's mean by which an upstream's service
-	// time must differ to count.
+	// DeadZone is the share of its service's mean service time by which an upstream's must
+	// differ to count.
 	DeadZone float64
-	// OwnSends adds this node's attempts since a report to the load in it.
+	// OwnSends adds the own attempts that a report does not include to its load.
 	OwnSends bool
 	// Failure adds the expected cost of failure.
 	Failure bool
-	// Noise is the number of standard deviations of the load that a normal
-	// deviate of one stands for; 0 switches the deviation off.
+	// Noise scales the random deviation of the load, in standard deviations; 0 disables it.
 	Noise float64
-	// Overdue adds the time by which an answer is overdue.
+	// Overdue adds the time by which a response is overdue.
 	Overdue bool
-	// Path adds the time of the way beyond the link's usual one.
+	// Path adds the network time above the link's usual one.
 	Path bool
 }
 
-// DefaultTuning returns the product's.
+// DefaultTuning returns the parameters that nodes use.
 func DefaultTuning() Tuning {
 	return Tuning{
-		Local: 2, Remote: 2, LoadDecay: loadMemory, DeadZone: deadZone,
+		Local: 2, Remote: 2, LoadDecay: loadDecay, DeadZone: deadZone,
 		OwnSends: true, Failure: true, Noise: 2, Overdue: true, Path: true,
 	}
 }
--- a/internal/route/warming_test.go
+++ b/internal/route/warming_test.go
@@ -12,17 +12,18 @@
 
 var warmingStart = time.Date(2026, 12, 3, 12, 0, 0, 0, time.UTC)
 
-const playedEntries = 40
+const entryNodes = 40
 
-// placed plays a second in which each of playedEntries entries sends 50 attempts a second to
-// a fleet, and counts them by data centre.
-func placed(t *testing.T, fleets ...*model.Fleet) map[model.DataCentre]int {
+// simulateSecond lets each of entryNodes entries send 50 attempts within a second to a
+// fleet, after it got all the fleets given in order, and counts the attempts by data
+// centre.
+func simulateSecond(t *testing.T, fleets ...*model.Fleet) map[model.DataCentre]int {
 	t.Helper()
 	set := bundle.NewSet([]*bundle.Bundle{{Name: "b", Version: 1, Services: []bundle.Service{
 		{Name: "shop", Slots: 9, WarmingPerSecond: 13, WarmingMs: 3000},
 	}}})
 	counts := map[model.DataCentre]int{}
-	for e := range playedEntries {
+	for e := range entryNodes {
 		rng := rand.New(rand.NewPCG(uint64(e), 7))
 		table := NewTable(Config{Self: "e", DataCentre: "a", Random: rng.Uint64, Regions: model.DataCentreRegions{"a": "north", "b": "north"}})
 		for _, fleet := range fleets {
@@ -42,11 +43,11 @@
 	return counts
 }
 
-// playedFleet has four workers in data centre a and four in b, which warm up until a time, and
-// as many instances of another service as make playedEntries.
-func playedFleet(warmingUntil time.Time, evacuated ...model.DataCentre) *model.Fleet {
+// warmingFleet has four workers in data centre a and four in b that are warming until a
+// time, and instances of another service up to entryNodes in total.
+func warmingFleet(warmingUntil time.Time, evacuated ...model.DataCentre) *model.Fleet {
 	f := &model.Fleet{Evacuated: evacuated}
-	for i := range playedEntries {
+	for i := range entryNodes {
 		in := model.Instance{ID: model.InstanceID(fmt.Sprintf("i%02d", i)), Service: "other", DataCentre: "c", State: model.StateLive}
 		if i < 8 {
 			in.Service, in.DataCentre = "shop", "a"
@@ -59,42 +60,42 @@
 	return f
 }
 
-func TestEntriesTogetherOfferWarmingWorkersWhatTheyBear(t *testing.T) {
-	got := placed(t, playedFleet(warmingStart.Add(3*time.Second)))
-	// Four workers bear 13 a second each; the turns are drawn, so some more or fewer come.
+func TestEntriesTogetherRespectWarmingRate(t *testing.T) {
+	got := simulateSecond(t, warmingFleet(warmingStart.Add(3*time.Second)))
+	// Four workers take 13 a second each. The turns are random, so that the number varies.
 	if n := got["b"]; n == 0 || n > 4*13*3/2 {
-		t.Errorf("%d of 2000 attempts went to four warming workers that bear 52", n)
+		t.Errorf("%d of 2000 attempts went to four warming workers that together take 52 a second", n)
 	}
 	if n := got["a"]; n < 1900 {
-		t.Errorf("%d of 2000 attempts went to the warm ones", n)
+		t.Errorf("%d of 2000 attempts went to the warm workers, want 1900 or more", n)
 	}
 }
 
-func TestWarmingWorkersAreChosenWhereThereAreNoOthers(t *testing.T) {
-	if got := placed(t, playedFleet(warmingStart.Add(3*time.Second), "a")); got["b"] != 2000 {
-		t.Errorf("placed %v, want all at the warming ones", got)
+func TestWarmingWorkersAreUsedIfThereAreNoOthers(t *testing.T) {
+	if got := simulateSecond(t, warmingFleet(warmingStart.Add(3*time.Second), "a")); got["b"] != 2000 {
+		t.Errorf("placed %v, want all at the warming workers", got)
 	}
 }
 
-func TestAnEvacuatedDataCentreIsNotChosen(t *testing.T) {
-	if got := placed(t, playedFleet(time.Time{}, "b")); got["b"] != 0 || got["a"] != 2000 {
-		t.Errorf("placed %v, want nothing in the evacuated one", got)
+func TestEvacuatedDataCentreIsNotChosen(t *testing.T) {
+	if got := simulateSecond(t, warmingFleet(time.Time{}, "b")); got["b"] != 0 || got["a"] != 2000 {
+		t.Errorf("placed %v, want none in the evacuated data centre", got)
 	}
-	if got := placed(t, playedFleet(time.Time{}, "a", "b")); len(got) != 0 {
-		t.Errorf("placed %v although all are evacuated", got)
+	if got := simulateSecond(t, warmingFleet(time.Time{}, "a", "b")); len(got) != 0 {
+		t.Errorf("placed %v although all data centres are evacuated", got)
 	}
 }
 
-func TestADataCentreThatIsTakenBackIsUsedAsAWarmingOne(t *testing.T) {
-	got := placed(t, playedFleet(time.Time{}, "b"), playedFleet(time.Time{}))
+func TestRestoredDataCentreCountsAsWarming(t *testing.T) {
+	got := simulateSecond(t, warmingFleet(time.Time{}, "b"), warmingFleet(time.Time{}))
 	if n := got["b"]; n == 0 || n > 4*13*3/2 {
-		t.Errorf("%d of 2000 attempts went there in the first second, its workers may bear 52", n)
+		t.Errorf("%d of 2000 attempts went there in the first second, its workers together take 52 a second", n)
 	}
 }
 
-func TestARequestIsPlacedWithinItsRegions(t *testing.T) {
+func TestPickStaysWithinRegions(t *testing.T) {
 	table := NewTable(Config{Self: "e", DataCentre: "a", Regions: model.DataCentreRegions{"a": "north", "b": "south"}})
-	fleet := playedFleet(time.Time{})
+	fleet := warmingFleet(time.Time{})
 	table.Update(warmingStart, fleet, nil)
 	south := model.NewRegions([]model.RegionName{"south"})
 	for range 200 {
@@ -104,14 +105,14 @@
 		}
 		home, ok := table.NextHome(warmingStart, &Query{Service: "shop", Regions: south}, "r", nil)
 		if !ok || home.Instance.DataCentre != "b" {
-			t.Fatalf("its home is %s in %s, want b", home.Instance.ID, home.Instance.DataCentre)
+			t.Fatalf("the home node is %s in %s, want b", home.Instance.ID, home.Instance.DataCentre)
 		}
 	}
 }
 
-func TestTheLackOfAnUpstreamHasItsReason(t *testing.T) {
+func TestNoUpstreamReason(t *testing.T) {
 	table := NewTable(Config{Self: "e", DataCentre: "a", Regions: model.DataCentreRegions{"a": "north", "b": "south"}})
-	table.Update(warmingStart, playedFleet(time.Time{}, "b"), nil)
+	table.Update(warmingStart, warmingFleet(time.Time{}, "b"), nil)
 	for name, tt := range map[string]struct {
 		q    Query
 		want model.Reason
@@ -127,24 +128,24 @@
 	}
 }
 
-// The owners of an evacuated data centre run nothing, but remember callers' own ids.
-func TestAnEvacuationMovesNoHomes(t *testing.T) {
+// The owners of an evacuated data centre run no requests, but remember callers' own ids.
+func TestEvacuationMovesNoHomes(t *testing.T) {
 	before, after := NewTable(Config{Self: "e"}), NewTable(Config{Self: "e"})
-	before.Update(warmingStart, playedFleet(time.Time{}), nil)
-	after.Update(warmingStart, playedFleet(time.Time{}, "b"), nil)
+	before.Update(warmingStart, warmingFleet(time.Time{}), nil)
+	after.Update(warmingStart, warmingFleet(time.Time{}, "b"), nil)
 	for i := range 100 {
 		id := model.RequestID(fmt.Sprint("r", i))
 		want, _ := before.Home(warmingStart, "shop", id)
 		if got, _ := after.Home(warmingStart, "shop", id); got.Instance.ID != want.Instance.ID {
-			t.Errorf("the home of %s moved from %s to %s", id, want.Instance.ID, got.Instance.ID)
+			t.Errorf("the home node of %s moved from %s to %s", id, want.Instance.ID, got.Instance.ID)
 		}
 	}
 }
 
-// Word of an evacuation reaches an entry up to 1.5 s after the owners there.
-func TestAnOwnerThatRefusesAsEvacuatedIsLeftToLast(t *testing.T) {
+// An entry may learn of an evacuation up to 1.5 s after the owners in that data centre.
+func TestOwnerThatRefusesAsEvacuatedIsAvoided(t *testing.T) {
 	table := NewTable(Config{Self: "e", DataCentre: "a"})
-	table.Update(warmingStart, playedFleet(time.Time{}), nil)
+	table.Update(warmingStart, warmingFleet(time.Time{}), nil)
 	for i := 4; i < 8; i++ {
 		id := model.InstanceID(fmt.Sprintf("i%02d", i))
 		table.Sent(warmingStart, id)
