--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -1,10 +1,10 @@
-// Package reach finds out which owners this node cannot connect to, so that few
-// callers' requests are spent on finding out. An owner is probed on a connection of its
-// own when a request could not reach it, its way broke, it has been silent for long, or
-// a peer says that it cannot reach it. While probes fail the routing table leaves the
-// owner out. Each node judges for itself and for a short while only: a peer's word makes
-// it probe and nothing else, and a probe that gets through ends the matter at once. No
-// I/O. Design: docs/DESIGN.md, "Owners out of reach".
+// Package reach detects which owners this node cannot connect to, so that few callers'
+// requests are spent on unreachable ones. It probes an owner on a separate connection when
+// a request could not connect to it, a connection to it failed, it has been silent for
+// long, or a peer reports that it cannot reach it. While probes fail, the routing table
+// excludes the owner. Each node decides for itself and for a short time only: a peer's
+// report causes a probe and nothing else, and a successful probe makes the owner eligible
+// at once. The package does no I/O. Design: docs/DESIGN.md, "Owners out of reach".
 package reach
 
 import (
@@ -19,74 +19,73 @@
 )
 
 const (
-	// interval is the time between two probes of one owner. Load: a cut of some
-	// seconds, or a node that restarts within one; on average an owner that is back
-	// is used again after half of it. Ten nodes and a dead one cost 50 probes a
-	// second over the fleet, of about 0.3 KB each with its connection (reckoned).
-	interval = 200 * time.Millisecond
-	// maxDoubted bounds the owners that are probed at the same time, so that a lost
-	// data centre of thousands costs this node no more than 64 probes an interval.
-	maxDoubted = 64
-	// aliveAge is how recently an owner must have been heard to need no probe when an
-	// attempt's time ran out there: a slow worker is no lost owner. It is twice the
-	// time in which a called owner is heard at 10 calls a second.
-	aliveAge = 200 * time.Millisecond
-	// soundAge is for how long an owner that was heard, or answered a probe, is not
-	// probed for what peers say or for silence. Peers that are cut off themselves would
-	// otherwise have everybody probe everybody.
-	soundAge = time.Second
-	// silentAge is how long an owner with attempts of this node must have been silent
-	// to be probed, if that is over twice the time that it was expected to take. A
-	// machine without power ends no connection that is open; the time-outs of requests
-	// are 1.2 s and more.
-	silentAge = 500 * time.Millisecond
+	// probeInterval is the mean time between two probes of one owner. A network partition
+	// or a node restart lasts some seconds; an owner that recovers is used again after half
+	// the interval on average. One dead node in a fleet of ten costs 50 probes a second
+	// over the fleet, computed, of about 0.3 KB each including the connection.
+	probeInterval = 200 * time.Millisecond
+	// maxProbed bounds the owners that are probed concurrently, so that an unreachable data
+	// centre with thousands of instances costs this node at most 64 probes per interval.
+	maxProbed = 64
+	// recentReportAge is the age of an owner's report up to which an attempt that timed out
+	// there causes no probe, as a slow worker does not make its owner unreachable. It is
+	// twice the time between two reports of an owner that gets 10 calls a second.
+	recentReportAge = 200 * time.Millisecond
+	// reachableAge is how long after a report or a successful probe an owner is not probed
+	// because of peers' reports or silence. Otherwise peers that are cut off themselves would
+	// make all nodes probe each other.
+	reachableAge = time.Second
+	// maxSilence is how long an owner with attempts in flight must have been silent to be
+	// probed, unless twice the expected latency is longer. Open connections to an instance
+	// that lost power do not fail, and requests time out after 1.2 s or more.
+	maxSilence = 500 * time.Millisecond
 )
 
-// Table is what the controller needs of a route.Table.
+// Table is the part of route.Table that the controller uses.
 type Table interface {
-	// MarkUnreachable leaves an owner out of choices for a short while from now on, and
-	// tells whether it is known at that address.
+	// MarkUnreachable excludes an owner from choices for a short time from now, and reports
+	// whether it is known at that address.
 	MarkUnreachable(now time.Time, owner model.Instance) bool
-	// MarkReachable takes that back.
+	// MarkReachable revokes MarkUnreachable.
 	MarkReachable(id model.InstanceID)
-	// ReportedWithin tells whether the owner itself was heard in the last age.
+	// ReportedWithin reports whether a report of the owner itself was received within the
+	// last age.
 	ReportedWithin(now time.Time, id model.InstanceID, age time.Duration) bool
-	// Owner returns an owner that may be chosen; ok is false for others.
+	// Owner returns an owner that is neither unknown nor leaving; ok is false for others.
 	Owner(id model.InstanceID) (owner model.Instance, ok bool)
-	// SilentOwners returns owners with attempts of this node that nothing was heard of for
-	// age, nor for twice the time that an answer was expected to take.
+	// SilentOwners returns the owners with attempts of this node in flight and no report for
+	// age and for twice the expected latency.
 	SilentOwners(now time.Time, age time.Duration) []model.Instance
 }
 
-// Controller probes doubted owners. It is fed by one goroutine.
+// Controller probes owners of uncertain reachability. It is used by one goroutine.
 type Controller struct {
-	self    model.InstanceID
-	table   Table
-	board   *blackboard.Board
-	rng     *rand.Rand
-	doubted map[model.InstanceID]*doubt
-	// sound holds when an owner last answered a probe.
-	sound map[model.InstanceID]time.Time
+	self      model.InstanceID
+	table     Table
+	board     *blackboard.Board
+	rng       *rand.Rand
+	uncertain map[model.InstanceID]*uncertainOwner
+	// lastReachable holds when an owner last replied to a probe.
+	lastReachable map[model.InstanceID]time.Time
 }
 
-// doubt is one owner that may be out of reach.
-type doubt struct {
+// uncertainOwner is an owner that may be unreachable.
+type uncertainOwner struct {
 	owner model.Instance
-	// lost is when it was first found out of reach, zero before.
-	lost time.Time
-	// told: the attempts there were told.
-	told bool
-	// probing: a probe is under way. next is when another one is due.
-	probing bool
-	next    time.Time
+	// unreachableSince is when the owner was first found unreachable, zero before.
+	unreachableSince time.Time
+	// attemptsNotified reports that the attempts in flight there were notified.
+	attemptsNotified bool
+	probing          bool
+	nextProbeAt      time.Time
 }
 
-// New returns a controller of the node self that doubts nobody. It writes the board's
-// section OutOfReach.
+// New returns a controller of the node self without uncertain owners. It writes the board's
+// section Unreachable.
 func New(self model.InstanceID, table Table, board *blackboard.Board, rng *rand.Rand) *Controller {
 	return &Controller{
 		self: self, table: table, board: board, rng: rng,
-		doubted: map[model.InstanceID]*doubt{}, sound: map[model.InstanceID]time.Time{},
+		uncertain: map[model.InstanceID]*uncertainOwner{}, lastReachable: map[model.InstanceID]time.Time{},
 	}
 }
 
@@ -94,156 +93,157 @@
 func (c *Controller) Handle(now time.Time, ev control.Event) []control.Action {
 	switch e := ev.(type) {
 	case control.OwnerUnresponsive:
-		return c.unanswered(now, e)
+		return c.ownerUnresponsive(now, e)
 	case control.OwnersReportedUnreachable:
-		return c.saidLost(now, e.Owners)
+		return c.peersReported(now, e.Owners)
 	case control.ReachabilityProbed:
-		return c.probed(now, e)
+		return c.probeDone(now, e)
 	case control.Tick:
 		return c.tick(now)
 	case control.Paused:
-		// Failures that waited while the process was stopped are its own.
-		clear(c.doubted)
+		// Failures that were buffered while the process was paused are due to the pause.
+		clear(c.uncertain)
 		c.publish()
 	}
 	return nil
 }
 
-// unanswered doubts an owner that gave an attempt no answer.
-func (c *Controller) unanswered(now time.Time, e control.OwnerUnresponsive) []control.Action {
-	if !e.NoConnection && c.table.ReportedWithin(now, e.Owner.ID, aliveAge) {
+// ownerUnresponsive handles an attempt that its owner did not respond to.
+func (c *Controller) ownerUnresponsive(now time.Time, e control.OwnerUnresponsive) []control.Action {
+	if !e.NoConnection && c.table.ReportedWithin(now, e.Owner.ID, recentReportAge) {
 		return nil
 	}
-	out := c.doubt(e.Owner)
+	out := c.startProbing(e.Owner)
 	switch {
 	case len(out) == 0:
 	case e.NoConnection:
-		out = append(out, c.lose(now, c.doubted[e.Owner.ID], "a request could not connect")...)
+		out = append(out, c.markUnreachable(now, c.uncertain[e.Owner.ID], "a request could not connect")...)
 	case e.NotAcknowledged:
-		out = append(out, c.lose(now, c.doubted[e.Owner.ID], "an attempt was not taken up")...)
+		out = append(out, c.markUnreachable(now, c.uncertain[e.Owner.ID], "an attempt was not acknowledged")...)
 	}
 	return out
 }
 
-// saidLost doubts owners that a peer cannot connect to.
-func (c *Controller) saidLost(now time.Time, ids []model.InstanceID) []control.Action {
+// peersReported handles a peer's report of owners that it cannot connect to.
+func (c *Controller) peersReported(now time.Time, ids []model.InstanceID) []control.Action {
 	var out []control.Action
 	for _, id := range ids {
-		if owner, ok := c.table.Owner(id); ok && id != c.self && !c.isSound(now, id) {
-			out = append(out, c.doubt(owner)...)
+		if owner, ok := c.table.Owner(id); ok && id != c.self && !c.knownReachable(now, id) {
+			out = append(out, c.startProbing(owner)...)
 		}
 	}
 	return out
 }
 
-// isSound tells whether an owner was heard, or answered a probe, a short while ago.
-func (c *Controller) isSound(now time.Time, id model.InstanceID) bool {
-	return now.Sub(c.sound[id]) < soundAge || c.table.ReportedWithin(now, id, soundAge)
+// knownReachable reports whether the owner sent a report or replied to a probe within
+// reachableAge.
+func (c *Controller) knownReachable(now time.Time, id model.InstanceID) bool {
+	return now.Sub(c.lastReachable[id]) < reachableAge || c.table.ReportedWithin(now, id, reachableAge)
 }
 
-// doubt begins to probe an owner, unless it is doubted already.
-func (c *Controller) doubt(owner model.Instance) []control.Action {
-	if c.doubted[owner.ID] != nil || len(c.doubted) == maxDoubted {
+// startProbing starts to probe an owner, unless it is being probed or maxProbed are.
+func (c *Controller) startProbing(owner model.Instance) []control.Action {
+	if c.uncertain[owner.ID] != nil || len(c.uncertain) == maxProbed {
 		return nil
 	}
-	d := &doubt{owner: owner}
-	c.doubted[owner.ID] = d
-	return []control.Action{d.probe()}
+	o := &uncertainOwner{owner: owner}
+	c.uncertain[owner.ID] = o
+	return []control.Action{o.probe()}
 }
 
-// tick doubts owners that have been silent, and probes those whose time has come.
+// tick probes owners whose next probe is due, and starts to probe silent ones.
 func (c *Controller) tick(now time.Time) []control.Action {
-	for id, at := range c.sound {
-		if now.Sub(at) >= soundAge {
-			delete(c.sound, id)
+	for id, reachedAt := range c.lastReachable {
+		if now.Sub(reachedAt) >= reachableAge {
+			delete(c.lastReachable, id)
 		}
 	}
 	out := c.probeDue(now)
-	for _, owner := range c.table.SilentOwners(now, silentAge) {
-		if !c.isSound(now, owner.ID) {
-			out = append(out, c.doubt(owner)...)
+	for _, owner := range c.table.SilentOwners(now, maxSilence) {
+		if !c.knownReachable(now, owner.ID) {
+			out = append(out, c.startProbing(owner)...)
 		}
 	}
 	return out
 }
 
-// probed takes the end of a probe.
-func (c *Controller) probed(now time.Time, e control.ReachabilityProbed) []control.Action {
-	d := c.doubted[e.Owner.ID]
-	if d == nil || d.owner.PeerAddress != e.Owner.PeerAddress {
+// probeDone handles the result of a probe.
+func (c *Controller) probeDone(now time.Time, e control.ReachabilityProbed) []control.Action {
+	o := c.uncertain[e.Owner.ID]
+	if o == nil || o.owner.PeerAddress != e.Owner.PeerAddress {
 		return nil
 	}
-	d.probing = false
+	o.probing = false
 	if e.Err == nil {
-		delete(c.doubted, e.Owner.ID)
-		c.sound[e.Owner.ID] = now
+		delete(c.uncertain, e.Owner.ID)
+		c.lastReachable[e.Owner.ID] = now
 		c.table.MarkReachable(e.Owner.ID)
 		c.publish()
-		if d.lost.IsZero() {
+		if o.unreachableSince.IsZero() {
 			return nil
 		}
-		return record(event.OwnerReachable, d, now.Sub(d.lost).String(), nil)
+		return record(event.OwnerReachable, o, now.Sub(o.unreachableSince).String(), nil)
 	}
-	if !c.table.MarkUnreachable(now, d.owner) {
-		delete(c.doubted, e.Owner.ID)
+	if !c.table.MarkUnreachable(now, o.owner) {
+		delete(c.uncertain, e.Owner.ID)
 		c.publish()
 		return nil
 	}
-	// Half of the interval is random, so that the nodes that lost an owner together
-	// do not probe it together.
-	half := interval / 2
-	d.next = now.Add(half + time.Duration(c.rng.Int64N(int64(interval))))
+	// The delay is random, from 0.5 to 1.5 of the interval, so that the nodes that lost an
+	// owner at the same time do not probe it at the same time.
+	half := probeInterval / 2
+	o.nextProbeAt = now.Add(half + time.Duration(c.rng.Int64N(int64(probeInterval))))
 	var out []control.Action
-	if !d.told {
-		d.told = true
-		out = append(out, control.OwnerUnreachable{Owner: d.owner.ID})
+	if !o.attemptsNotified {
+		o.attemptsNotified = true
+		out = append(out, control.OwnerUnreachable{Owner: o.owner.ID})
 	}
-	if !d.lost.IsZero() {
+	if !o.unreachableSince.IsZero() {
 		return out
 	}
-	d.lost = now
+	o.unreachableSince = now
 	c.publish()
-	return append(out, record(event.OwnerUnreachable, d, "a probe failed", e.Err)...)
+	return append(out, record(event.OwnerUnreachable, o, "a probe failed", e.Err)...)
 }
 
-// lose leaves the owner out of choices until a probe gets through.
-func (c *Controller) lose(now time.Time, d *doubt, why string) []control.Action {
-	if !c.table.MarkUnreachable(now, d.owner) {
+// markUnreachable excludes the owner from choices until a probe succeeds.
+func (c *Controller) markUnreachable(now time.Time, o *uncertainOwner, reason string) []control.Action {
+	if !c.table.MarkUnreachable(now, o.owner) {
 		return nil
 	}
-	d.lost = now
+	o.unreachableSince = now
 	c.publish()
-	return record(event.OwnerUnreachable, d, why, nil)
+	return record(event.OwnerUnreachable, o, reason, nil)
 }
 
-// publish names the owners out of reach, for peers.
+// publish writes the unreachable owners to the board, for peers.
 func (c *Controller) publish() {
-	var lost []model.InstanceID
-	for id, d := range c.doubted {
-		if !d.lost.IsZero() {
-			lost = append(lost, id)
+	var unreachable []model.InstanceID
+	for id, o := range c.uncertain {
+		if !o.unreachableSince.IsZero() {
+			unreachable = append(unreachable, id)
 		}
 	}
-	slices.Sort(lost)
-	c.board.Unreachable.Put(&lost)
+	slices.Sort(unreachable)
+	c.board.Unreachable.Put(&unreachable)
 }
 
-// probeDue probes the owners whose time has come.
+// probeDue probes the owners whose next probe is due.
 func (c *Controller) probeDue(now time.Time) []control.Action {
 	var out []control.Action
-	for _, d := range c.doubted {
-		if !d.probing && !now.Before(d.next) {
-			out = append(out, d.probe())
+	for _, o := range c.uncertain {
+		if !o.probing && !now.Before(o.nextProbeAt) {
+			out = append(out, o.probe())
 		}
 	}
 	return out
 }
 
-func (d *doubt) probe() control.Action {
-	d.probing = true
-	return control.ProbeReachability{Owner: d.owner}
+func (o *uncertainOwner) probe() control.Action {
+	o.probing = true
+	return control.ProbeReachability{Owner: o.owner}
 }
 
-func record(id event.ID, d *doubt, detail string, err error) []control.Action {
-	return []control.Action{control.Record{Event: id, Subject: string(d.owner.ID), Detail: detail, Err: err}}
+func record(id event.ID, o *uncertainOwner, detail string, err error) []control.Action {
+	return []control.Action{control.Record{Event: id, Subject: string(o.owner.ID), Detail: detail, Err: err}}
 }
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -15,12 +15,12 @@
 	"gypsumstand/internal/model"
 )
 
-// fakeTable notes who is left out of choices.
+// fakeTable records which owners are excluded from choices.
 type fakeTable struct {
-	out   map[model.InstanceID]bool
-	known map[model.InstanceID]bool
-	heard map[model.InstanceID]bool
-	// silent are the owners of which nothing was heard although they were sent to.
+	excluded map[model.InstanceID]bool
+	known    map[model.InstanceID]bool
+	recent   map[model.InstanceID]bool
+	// silent are the owners without reports despite attempts in flight.
 	silent []model.Instance
 }
 
@@ -28,18 +28,18 @@
 	if !f.known[owner.ID] {
 		return false
 	}
-	f.out[owner.ID] = true
+	f.excluded[owner.ID] = true
 	return true
 }
 
-func (f *fakeTable) MarkReachable(id model.InstanceID) { delete(f.out, id) }
+func (f *fakeTable) MarkReachable(id model.InstanceID) { delete(f.excluded, id) }
 
 func (f *fakeTable) Owner(id model.InstanceID) (model.Instance, bool) { return owner(id), f.known[id] }
 
 func (f *fakeTable) SilentOwners(time.Time, time.Duration) []model.Instance { return f.silent }
 
 func (f *fakeTable) ReportedWithin(_ time.Time, id model.InstanceID, _ time.Duration) bool {
-	return f.heard[id]
+	return f.recent[id]
 }
 
 var epoch = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
@@ -51,15 +51,15 @@
 }
 
 func start(known ...model.InstanceID) (*Controller, *fakeTable) {
-	f := &fakeTable{out: map[model.InstanceID]bool{}, known: map[model.InstanceID]bool{}, heard: map[model.InstanceID]bool{}}
+	f := &fakeTable{excluded: map[model.InstanceID]bool{}, known: map[model.InstanceID]bool{}, recent: map[model.InstanceID]bool{}}
 	for _, id := range known {
 		f.known[id] = true
 	}
 	return New("self", f, &blackboard.Board{}, rand.New(rand.NewPCG(1, 2))), f
 }
 
-// seen splits actions into the owners probed and the events recorded.
-func seen(actions []control.Action) (probed []model.InstanceID, recorded []event.ID) {
+// splitActions returns the owners probed and the events recorded by actions.
+func splitActions(actions []control.Action) (probed []model.InstanceID, recorded []event.ID) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case control.ProbeReachability:
@@ -71,9 +71,9 @@
 	return probed, recorded
 }
 
-func want(t *testing.T, what string, actions []control.Action, probes []model.InstanceID, events []event.ID) {
+func wantActions(t *testing.T, what string, actions []control.Action, probes []model.InstanceID, events []event.ID) {
 	t.Helper()
-	probed, recorded := seen(actions)
+	probed, recorded := splitActions(actions)
 	if diff := cmp.Diff(probes, probed); diff != "" {
 		t.Errorf("%s: probes %s", what, diff)
 	}
@@ -82,106 +82,106 @@
 	}
 }
 
-func TestAnOwnerWithoutAConnectionIsLeftOutUntilAProbeGetsThrough(t *testing.T) {
+func TestUnreachableOwnerIsExcludedUntilProbeSucceeds(t *testing.T) {
 	c, f := start("w")
 	now := epoch
-	want(t, "doubted", c.Handle(now, control.OwnerUnresponsive{Owner: owner("w"), NoConnection: true}),
+	wantActions(t, "unresponsive", c.Handle(now, control.OwnerUnresponsive{Owner: owner("w"), NoConnection: true}),
 		[]model.InstanceID{"w"}, []event.ID{event.OwnerUnreachable})
-	if !f.out["w"] {
-		t.Fatal("still chosen")
+	if !f.excluded["w"] {
+		t.Fatal("an owner that cannot be connected to is not excluded")
 	}
-	want(t, "probe failed", c.Handle(now, control.ReachabilityProbed{Owner: owner("w"), Err: errNoAnswer}), nil, nil)
-	want(t, "too early", c.Handle(now.Add(interval/4), control.Tick{}), nil, nil)
-	now = now.Add(2 * interval)
-	want(t, "due", c.Handle(now, control.Tick{}), []model.InstanceID{"w"}, nil)
-	want(t, "under way", c.Handle(now.Add(2*interval), control.Tick{}), nil, nil)
-	want(t, "through", c.Handle(now, control.ReachabilityProbed{Owner: owner("w")}), nil, []event.ID{event.OwnerReachable})
-	if f.out["w"] {
-		t.Error("still left out")
+	wantActions(t, "probe failed", c.Handle(now, control.ReachabilityProbed{Owner: owner("w"), Err: errNoAnswer}), nil, nil)
+	wantActions(t, "before the next probe is due", c.Handle(now.Add(probeInterval/4), control.Tick{}), nil, nil)
+	now = now.Add(2 * probeInterval)
+	wantActions(t, "next probe due", c.Handle(now, control.Tick{}), []model.InstanceID{"w"}, nil)
+	wantActions(t, "probe in flight", c.Handle(now.Add(2*probeInterval), control.Tick{}), nil, nil)
+	wantActions(t, "probe succeeded", c.Handle(now, control.ReachabilityProbed{Owner: owner("w")}), nil, []event.ID{event.OwnerReachable})
+	if f.excluded["w"] {
+		t.Error("still excluded after a successful probe")
 	}
-	want(t, "over", c.Handle(now.Add(time.Second), control.Tick{}), nil, nil)
+	wantActions(t, "after the probe succeeded", c.Handle(now.Add(time.Second), control.Tick{}), nil, nil)
 }
 
-func TestABrokenWayAloneLeavesNobodyOut(t *testing.T) {
+func TestBrokenConnectionAloneExcludesNoOwner(t *testing.T) {
 	c, f := start("w")
-	broke := control.OwnerUnresponsive{Owner: owner("w")}
-	want(t, "doubted", c.Handle(epoch, broke), []model.InstanceID{"w"}, nil)
-	if f.out["w"] {
-		t.Error("left out before a probe failed")
+	broken := control.OwnerUnresponsive{Owner: owner("w")}
+	wantActions(t, "unresponsive", c.Handle(epoch, broken), []model.InstanceID{"w"}, nil)
+	if f.excluded["w"] {
+		t.Error("excluded before a probe failed")
 	}
-	want(t, "doubted again", c.Handle(epoch, broke), nil, nil)
-	want(t, "through", c.Handle(epoch, control.ReachabilityProbed{Owner: owner("w")}), nil, nil)
-	want(t, "doubted later", c.Handle(epoch, broke), []model.InstanceID{"w"}, nil)
-	want(t, "probe failed", c.Handle(epoch, control.ReachabilityProbed{Owner: owner("w"), Err: errNoAnswer}), nil, []event.ID{event.OwnerUnreachable})
-	if !f.out["w"] {
-		t.Error("still chosen after a failed probe")
+	wantActions(t, "unresponsive again", c.Handle(epoch, broken), nil, nil)
+	wantActions(t, "probe succeeded", c.Handle(epoch, control.ReachabilityProbed{Owner: owner("w")}), nil, nil)
+	wantActions(t, "unresponsive later", c.Handle(epoch, broken), []model.InstanceID{"w"}, nil)
+	wantActions(t, "probe failed", c.Handle(epoch, control.ReachabilityProbed{Owner: owner("w"), Err: errNoAnswer}), nil, []event.ID{event.OwnerUnreachable})
+	if !f.excluded["w"] {
+		t.Error("not excluded after a failed probe")
 	}
 }
 
-func TestAnOwnerThatIsHeardIsNotProbedForASlowWorker(t *testing.T) {
+func TestSlowWorkerDoesNotCauseProbe(t *testing.T) {
 	c, f := start("w")
-	f.heard["w"] = true
-	want(t, "time ran out", c.Handle(epoch, control.OwnerUnresponsive{Owner: owner("w")}), nil, nil)
-	want(t, "no connection", c.Handle(epoch, control.OwnerUnresponsive{Owner: owner("w"), NoConnection: true}),
+	f.recent["w"] = true
+	wantActions(t, "attempt timed out", c.Handle(epoch, control.OwnerUnresponsive{Owner: owner("w")}), nil, nil)
+	wantActions(t, "no connection", c.Handle(epoch, control.OwnerUnresponsive{Owner: owner("w"), NoConnection: true}),
 		[]model.InstanceID{"w"}, []event.ID{event.OwnerUnreachable})
 }
 
-func TestAnOwnerThatTheFleetNoLongerKnowsIsProbedNoMore(t *testing.T) {
+func TestRemovedOwnerIsNotProbed(t *testing.T) {
 	c, f := start("w")
 	c.Handle(epoch, control.OwnerUnresponsive{Owner: owner("w"), NoConnection: true})
 	delete(f.known, "w")
 	c.Handle(epoch, control.ReachabilityProbed{Owner: owner("w"), Err: errNoAnswer})
-	want(t, "later", c.Handle(epoch.Add(time.Second), control.Tick{}), nil, nil)
+	wantActions(t, "later", c.Handle(epoch.Add(time.Second), control.Tick{}), nil, nil)
 }
 
-func TestTheProbesOfALostDataCentreAreBounded(t *testing.T) {
+func TestConcurrentProbesAreBounded(t *testing.T) {
 	var ids []model.InstanceID
-	for i := range 10 * maxDoubted {
+	for i := range 10 * maxProbed {
 		ids = append(ids, model.InstanceID(fmt.Sprintf("w%d", i)))
 	}
 	c, _ := start(ids...)
 	probes := 0
 	for _, id := range ids {
-		probed, _ := seen(c.Handle(epoch, control.OwnerUnresponsive{Owner: owner(id), NoConnection: true}))
+		probed, _ := splitActions(c.Handle(epoch, control.OwnerUnresponsive{Owner: owner(id), NoConnection: true}))
 		probes += len(probed)
 	}
-	if probes != maxDoubted {
-		t.Errorf("%d probes at once, want %d", probes, maxDoubted)
+	if probes != maxProbed {
+		t.Errorf("%d probes at once, want %d", probes, maxProbed)
 	}
 }
 
-func TestWhatWasDoubtedBeforeAPauseIsForgotten(t *testing.T) {
+func TestPauseDropsUncertainOwners(t *testing.T) {
 	c, _ := start("w")
 	c.Handle(epoch, control.OwnerUnresponsive{Owner: owner("w")})
 	c.Handle(epoch, control.Paused{For: 3 * time.Second})
-	want(t, "a probe from before the pause", c.Handle(epoch, control.ReachabilityProbed{Owner: owner("w"), Err: errNoAnswer}), nil, nil)
+	wantActions(t, "a probe from before the pause", c.Handle(epoch, control.ReachabilityProbed{Owner: owner("w"), Err: errNoAnswer}), nil, nil)
 }
 
-func TestAPeersWordMakesANodeProbeAndNothingElse(t *testing.T) {
+func TestPeerReportOnlyCausesProbe(t *testing.T) {
 	c, f := start("w", "heard", "self")
-	f.heard["heard"] = true
-	said := control.OwnersReportedUnreachable{Owners: []model.InstanceID{"w", "heard", "self", "unknown"}}
-	want(t, "said", c.Handle(epoch, said), []model.InstanceID{"w"}, nil)
-	if f.out["w"] {
-		t.Error("left out on a peer's word alone")
+	f.recent["heard"] = true
+	peerReport := control.OwnersReportedUnreachable{Owners: []model.InstanceID{"w", "heard", "self", "unknown"}}
+	wantActions(t, "reported by a peer", c.Handle(epoch, peerReport), []model.InstanceID{"w"}, nil)
+	if f.excluded["w"] {
+		t.Error("excluded because of a peer's report alone")
 	}
-	want(t, "through", c.Handle(epoch, control.ReachabilityProbed{Owner: owner("w")}), nil, nil)
-	want(t, "said again at once", c.Handle(epoch.Add(soundAge/2), said), nil, nil)
-	want(t, "said again later", c.Handle(epoch.Add(soundAge), said), []model.InstanceID{"w"}, nil)
+	wantActions(t, "probe succeeded", c.Handle(epoch, control.ReachabilityProbed{Owner: owner("w")}), nil, nil)
+	wantActions(t, "reported again at once", c.Handle(epoch.Add(reachableAge/2), peerReport), nil, nil)
+	wantActions(t, "reported again later", c.Handle(epoch.Add(reachableAge), peerReport), []model.InstanceID{"w"}, nil)
 }
 
-func TestASilentOwnerIsProbed(t *testing.T) {
+func TestSilentOwnerIsProbed(t *testing.T) {
 	c, f := start("w")
 	f.silent = []model.Instance{owner("w")}
-	want(t, "silent", c.Handle(epoch, control.Tick{}), []model.InstanceID{"w"}, nil)
-	want(t, "through", c.Handle(epoch, control.ReachabilityProbed{Owner: owner("w")}), nil, nil)
-	want(t, "still silent", c.Handle(epoch.Add(soundAge/2), control.Tick{}), nil, nil)
-	want(t, "silent for long", c.Handle(epoch.Add(soundAge), control.Tick{}), []model.InstanceID{"w"}, nil)
+	wantActions(t, "silent", c.Handle(epoch, control.Tick{}), []model.InstanceID{"w"}, nil)
+	wantActions(t, "probe succeeded", c.Handle(epoch, control.ReachabilityProbed{Owner: owner("w")}), nil, nil)
+	wantActions(t, "still silent", c.Handle(epoch.Add(reachableAge/2), control.Tick{}), nil, nil)
+	wantActions(t, "silent after reachableAge", c.Handle(epoch.Add(reachableAge), control.Tick{}), []model.InstanceID{"w"}, nil)
 }
 
-func TestOwnersOutOfReachAreNamedToPeersUntilTheyAreBack(t *testing.T) {
+func TestUnreachableOwnersArePublished(t *testing.T) {
 	c, _ := start("v", "w")
-	named := func() []model.InstanceID {
+	published := func() []model.InstanceID {
 		if lost := c.board.Unreachable.Get(); lost != nil {
 			return *lost
 		}
@@ -189,23 +189,23 @@
 	}
 	c.Handle(epoch, control.OwnerUnresponsive{Owner: owner("w"), NoConnection: true})
 	c.Handle(epoch, control.OwnerUnresponsive{Owner: owner("v")})
-	if diff := cmp.Diff([]model.InstanceID{"w"}, named()); diff != "" {
-		t.Errorf("one is lost, one doubted: %s", diff)
+	if diff := cmp.Diff([]model.InstanceID{"w"}, published()); diff != "" {
+		t.Errorf("one unreachable, one uncertain: %s", diff)
 	}
 	c.Handle(epoch, control.ReachabilityProbed{Owner: owner("v"), Err: errNoAnswer})
-	if diff := cmp.Diff([]model.InstanceID{"v", "w"}, named()); diff != "" {
-		t.Errorf("both are lost: %s", diff)
+	if diff := cmp.Diff([]model.InstanceID{"v", "w"}, published()); diff != "" {
+		t.Errorf("both unreachable: %s", diff)
 	}
 	c.Handle(epoch, control.ReachabilityProbed{Owner: owner("v")})
 	c.Handle(epoch, control.ReachabilityProbed{Owner: owner("w")})
-	if len(named()) != 0 {
-		t.Errorf("none is lost: %v", named())
+	if len(published()) != 0 {
+		t.Errorf("none unreachable: %v", published())
 	}
 }
 
-func TestAttemptsAreToldOnceAProbeHasFailed(t *testing.T) {
+func TestAttemptsAreNotifiedOnceAfterProbeFails(t *testing.T) {
 	c, _ := start("w")
-	told := func(actions []control.Action) int {
+	notified := func(actions []control.Action) int {
 		n := 0
 		for _, a := range actions {
 			if a, ok := a.(control.OwnerUnreachable); ok && a.Owner == "w" {
@@ -215,30 +215,30 @@
 		return n
 	}
 	failed := control.ReachabilityProbed{Owner: owner("w"), Err: errNoAnswer}
-	if n := told(c.Handle(epoch, control.OwnerUnresponsive{Owner: owner("w"), NoConnection: true})); n != 0 {
-		t.Error("told for one request that could not connect")
+	if n := notified(c.Handle(epoch, control.OwnerUnresponsive{Owner: owner("w"), NoConnection: true})); n != 0 {
+		t.Error("attempts notified because of one request that could not connect")
 	}
-	if n := told(c.Handle(epoch, failed)); n != 1 {
-		t.Errorf("told %d times after the probe failed", n)
+	if n := notified(c.Handle(epoch, failed)); n != 1 {
+		t.Errorf("attempts notified %d times after the probe failed, want once", n)
 	}
-	if n := told(c.Handle(epoch, failed)); n != 0 {
-		t.Error("told once more")
+	if n := notified(c.Handle(epoch, failed)); n != 0 {
+		t.Error("attempts notified again")
 	}
 }
 
-func TestAnOwnerThatTakesNothingUpIsLeftOutUnlessItIsHeard(t *testing.T) {
+func TestUnacknowledgedAttemptExcludesSilentOwner(t *testing.T) {
 	c, f := start("w", "heard")
-	f.heard["heard"] = true
+	f.recent["heard"] = true
 	silent := func(id model.InstanceID) control.OwnerUnresponsive {
 		return control.OwnerUnresponsive{Owner: owner(id), NotAcknowledged: true}
 	}
-	want(t, "heard", c.Handle(epoch, silent("heard")), nil, nil)
-	want(t, "silent", c.Handle(epoch, silent("w")), []model.InstanceID{"w"}, []event.ID{event.OwnerUnreachable})
-	if f.out["heard"] || !f.out["w"] {
-		t.Errorf("left out: %v", f.out)
+	wantActions(t, "recent report", c.Handle(epoch, silent("heard")), nil, nil)
+	wantActions(t, "silent", c.Handle(epoch, silent("w")), []model.InstanceID{"w"}, []event.ID{event.OwnerUnreachable})
+	if f.excluded["heard"] || !f.excluded["w"] {
+		t.Errorf("excluded: %v, want the silent owner only", f.excluded)
 	}
-	want(t, "through", c.Handle(epoch, control.ReachabilityProbed{Owner: owner("w")}), nil, []event.ID{event.OwnerReachable})
-	if f.out["w"] {
-		t.Error("left out although it answers")
+	wantActions(t, "probe succeeded", c.Handle(epoch, control.ReachabilityProbed{Owner: owner("w")}), nil, []event.ID{event.OwnerReachable})
+	if f.excluded["w"] {
+		t.Error("excluded although its probe succeeded")
 	}
 }
--- a/internal/suppress/suppress.go
+++ b/internal/suppress/suppress.go
@@ -1,25 +1,24 @@
-// Package suppress decides when a node should read a platform source itself.
-// All nodes want a source read about once a second, and none of them alone is
-// in charge of it: whoever reads tells the others how long ago that was, which
-// silences their timers. The loss of a reader, or a partition, only makes
-// another timer fire. Design: docs/DESIGN.md, "Bundle spread".
+// Package suppress decides when a node should read a platform source itself. All nodes need
+// a source to be read about once a second, and no node is in charge of it: a node that
+// reads reports to the others how long ago that was, which suppresses their timers. If a
+// reader fails or the network is partitioned, another timer fires. Design: docs/DESIGN.md,
+// "Bundle spread".
 //
 // # Ages
 //
-// Nodes have no common clock, so times travel as ages. A node that passes an age
-// on adds the time for which it held it, so an age only grows on its way. What a
-// message waits in a buffer is not in its age; the receiver adds an upper bound
-// of that wait when it has one (as for heartbeats with an echoed clock). Where
-// it has none, an age may be too small by the wait, and a source is then read
-// later by at most that wait. After a pause of d, messages that waited are taken
-// to be older by d (see Paused).
+// Nodes have no common clock, so times are sent as ages. A node that forwards an age adds
+// the time for which it held it, so that an age only grows in transit. The time that a
+// message spends in a buffer is not included; the receiver adds an upper bound of it if it
+// has one (as for heartbeats with an echoed clock). Otherwise an age may be too small by
+// that time, and a source is then read later by at most that time. After a pause of d, the
+// ages in buffered messages are raised by d (see Paused).
 //
 // # Storms
 //
-// With no read heard of for more than the interval, each node fires at random at
-// a rate that falls with the believed size of the fleet, so the fleet's total
-// rate does not depend on its size. The rate doubles with further silence, since
-// silence means that fewer nodes share the view than believed.
+// If no read was reported for more than the interval, each node fires at random at a rate
+// that is inversely proportional to the assumed size of the fleet, so that the total rate
+// doesn't depend on the size. The rate grows exponentially with further silence, as silence
+// means that fewer nodes share the view than assumed.
 package suppress
 
 import (
@@ -30,312 +29,314 @@
 
 // Timing of a Timer.
 const (
-	// ReadInterval is the age of the last attempt up to which nobody reads.
+	// ReadInterval is the age of the last attempt up to which no node reads.
 	ReadInterval = time.Second
-	// MaxFailedInterval bounds the interval while reads fail; it grows with the
-	// time since the last success (doubling by its own effect).
+	// MaxFailedInterval bounds the interval while reads fail; the interval is the time
+	// since the last success and so doubles with every attempt.
 	MaxFailedInterval = 4 * time.Second
-	// MeanFirstDelay is the expected time from the interval's end to the first read
-	// in a fleet whose size is believed rightly.
+	// MeanFirstDelay is the expected time from the end of the interval to the first read,
+	// if the assumed size of the fleet is right.
 	MeanFirstDelay = 50 * time.Millisecond
 	// RateDoubling is the further silence after which the rate has doubled.
 	RateDoubling = 500 * time.Millisecond
-	// A node fires for certain after a silence drawn from ForcedReadMin to ForcedReadMax, or an
-	// earlier one of its Pace, so a lone node reads although it believes in a large fleet.
+	// A node reads for certain after a silence drawn from ForcedReadMin to ForcedReadMax,
+	// or a shorter one by its Schedule, so that an isolated node reads although it assumes
+	// a large fleet.
 	ForcedReadMin = 2 * time.Second
 	ForcedReadMax = 3 * time.Second
-	// MaxWakeDelay bounds the random wait after a start or a pause.
+	// MaxWakeDelay bounds the random delay after a start or a pause.
 	MaxWakeDelay = time.Second
-	// wakeDoubt is how long after a pause heard ages are raised by the pause.
-	wakeDoubt = time.Second
-	// inFlightLimit ends the wait for an own read whose end is never told.
-	inFlightLimit = 10 * time.Second
-	// failureJitter is the share by which an interval is stretched at random
-	// while reads fail.
-	failureJitter = 0.5
-	// maxFailureShift bounds how much own failures lower the own rate (2^-shift),
-	// so that nodes which can reach the source are more likely to read it.
+	// pauseCorrectionTime is how long after a pause received ages are raised by the pause.
+	pauseCorrectionTime = time.Second
+	// maxReadTime is the time after which an own read counts as lost if its end was not
+	// reported.
+	maxReadTime = 10 * time.Second
+	// failedIntervalJitter is the share by which the interval is randomly extended while
+	// reads fail.
+	failedIntervalJitter = 0.5
+	// maxFailureShift bounds how much own failures lower the own rate (by 2^-shift), so that
+	// nodes that can reach the source are more likely to read it.
 	maxFailureShift = 6
 )
 
-// Never is the age of what has not happened.
+// Never is the age of an event that has not happened.
 const Never = time.Duration(math.MaxInt64)
 
 // Timer decides for one source. It is not safe for concurrent use.
 type Timer struct {
-	rng  *rand.Rand
-	pace Schedule
+	rng      *rand.Rand
+	schedule Schedule
 	// started is the time of the first call.
 	started time.Time
-	// attempt and confirmed are the newest known times by anyone; zero for none.
-	attempt   time.Time
-	confirmed time.Time
-	// notBefore holds the timer back after a start or a pause. pausedAt is the pause after
-	// which that was done last.
+	// lastAttempt and lastSuccess are the latest known times of any node; zero for none.
+	lastAttempt time.Time
+	lastSuccess time.Time
+	// notBefore delays the timer after a start or a pause; pausedAt is the last pause that
+	// set it.
 	notBefore time.Time
 	pausedAt  time.Time
-	// checked is the end of the span whose hazard has been drawn.
-	checked time.Time
-	// lone is the drawn silence after which this node fires for certain.
-	lone time.Duration
-	// stretch is the drawn factor of the interval while reads fail.
-	stretch float64
-	// reading is the start of an own read in flight; zero for none.
-	reading  time.Time
-	failures int
-	reads    uint64
-	// Until doubtUntil, heard ages are raised by doubt.
-	doubt      time.Duration
-	doubtUntil time.Time
+	// hazardDrawnUntil is the end of the time span for which firing was already drawn.
+	hazardDrawnUntil time.Time
+	// forcedAfter is the drawn silence after which this node reads for certain.
+	forcedAfter time.Duration
+	// intervalFactor is the drawn factor of the interval while reads fail.
+	intervalFactor float64
+	// readStarted is the start of an own read in flight; zero for none.
+	readStarted time.Time
+	failures    int
+	reads       uint64
+	// Until pauseCorrectionUntil, received ages are raised by pauseCorrection.
+	pauseCorrection      time.Duration
+	pauseCorrectionUntil time.Time
 }
 
 // Schedule is how often a source is read.
 type Schedule struct {
-	// Interval is the age of the last attempt up to which nobody reads, MeanFirstDelay
-	// the expected time from its end to the fleet's first read.
+	// Interval is the age of the last attempt up to which no node reads, MeanFirstDelay the
+	// expected time from its end to the fleet's first read.
 	Interval, MeanFirstDelay time.Duration
 	// MaxFailedInterval bounds the interval while reads fail.
 	MaxFailedInterval time.Duration
-	// ForcedAfter is the silence after which a node that shares the source with nobody fires
-	// for certain; ForcedPerDoubling is added for each doubling of the nodes that share it, up
-	// to ForcedReadMin to ForcedReadMax. Zero means these always.
+	// ForcedAfter is the silence after which a node that shares the source with no other
+	// node reads for certain. ForcedPerDoubling is added for each doubling of the nodes
+	// that share it, up to the silence drawn from ForcedReadMin to ForcedReadMax. A zero
+	// ForcedAfter means that drawn silence always.
 	ForcedAfter, ForcedPerDoubling time.Duration
 }
 
-// New returns a timer of the usual pace that has heard of no attempt. It starts at
-// its first call.
+// New returns a timer of the default schedule that knows of no attempt. It starts at its
+// first call.
 func New(rng *rand.Rand) *Timer {
 	return NewWithSchedule(rng, Schedule{Interval: ReadInterval, MeanFirstDelay: MeanFirstDelay, MaxFailedInterval: MaxFailedInterval})
 }
 
-// NewWithSchedule returns a timer of another pace.
+// NewWithSchedule returns a timer of another schedule.
 func NewWithSchedule(rng *rand.Rand, p Schedule) *Timer {
-	t := &Timer{rng: rng, pace: p}
+	t := &Timer{rng: rng, schedule: p}
 	t.redraw()
 	return t
 }
 
-// ObservePeer takes a peer's ages of the last attempt and the last success, Never for
-// none. They must be upper bounds as far as the caller can tell.
+// ObservePeer takes over a peer's ages of the last attempt and the last success, Never for
+// none. They must be upper bounds as far as the caller can determine.
 func (t *Timer) ObservePeer(now time.Time, attemptAge, confirmedAge time.Duration) {
-	t.start(now)
-	if now.Before(t.doubtUntil) {
-		attemptAge = addAge(attemptAge, t.doubt)
-		confirmedAge = addAge(confirmedAge, t.doubt)
+	t.ensureStarted(now)
+	if now.Before(t.pauseCorrectionUntil) {
+		attemptAge = addAge(attemptAge, t.pauseCorrection)
+		confirmedAge = addAge(confirmedAge, t.pauseCorrection)
 	}
-	t.noteConfirmed(timeOf(now, confirmedAge))
-	t.noteAttempt(timeOf(now, attemptAge))
+	t.setSuccess(timeOf(now, confirmedAge))
+	t.setAttempt(timeOf(now, attemptAge))
 }
 
-// ReadDone takes the end of this node's own read. A success confirms the source as of
-// the read's start; a failure counts as an attempt now, or when it began (ReadFailed).
+// ReadDone reports the end of a read that Due started. A success confirms the source as of
+// the read's start; a failure counts as an attempt now, or when it started (ReadFailed).
 func (t *Timer) ReadDone(now time.Time, ok bool) {
-	t.start(now)
-	begun := t.reading
-	if begun.IsZero() {
-		begun = now
+	t.ensureStarted(now)
+	started := t.readStarted
+	if started.IsZero() {
+		started = now
 	}
 	if ok {
-		t.ReadSucceeded(now, begun)
+		t.ReadSucceeded(now, started)
 		return
 	}
 	t.ReadFailed(now, now)
 }
 
-// ReadFailed takes the end of a read of this node's own that failed and began at a time
-// which the caller knows: one that hung is repeated the sooner.
-func (t *Timer) ReadFailed(now, begun time.Time) {
-	t.start(now)
-	t.reading = time.Time{}
+// ReadFailed reports a failed read of this node that started at a known time; a read that
+// hung is then repeated sooner.
+func (t *Timer) ReadFailed(now, started time.Time) {
+	t.ensureStarted(now)
+	t.readStarted = time.Time{}
 	t.failures++
-	t.noteAttempt(begun)
+	t.setAttempt(started)
 }
 
-// ReadSucceeded takes the end of a read of this node's own that succeeded and began at a
-// time which the caller knows; other reads than those that Due told to begin are taken
-// thus.
-func (t *Timer) ReadSucceeded(now, begun time.Time) {
-	t.start(now)
-	t.reading = time.Time{}
+// ReadSucceeded reports a successful read of this node that started at a known time, also
+// one that Due did not start.
+func (t *Timer) ReadSucceeded(now, started time.Time) {
+	t.ensureStarted(now)
+	t.readStarted = time.Time{}
 	t.failures = 0
-	t.noteConfirmed(begun)
-	t.noteAttempt(begun)
+	t.setSuccess(started)
+	t.setAttempt(started)
 }
 
-// ResetFailures takes that this node's own failed reads were too long ago to tell anything.
+// ResetFailures drops the count of this node's failed reads, which lie too far back to
+// matter.
 func (t *Timer) ResetFailures() { t.failures = 0 }
 
-// Due reports whether this node should read now, and if so counts the read as
-// begun. It is called every tick; fleetSize is the number of nodes that are
-// believed to read the source in turn, this one included.
+// Due reports whether this node should read now, and if so records that the read started.
+// It is called every tick. fleetSize is the number of nodes, this one included, that are
+// assumed to share the reading of the source.
 func (t *Timer) Due(now time.Time, fleetSize int) bool {
-	t.start(now)
-	if !t.reading.IsZero() && now.Sub(t.reading) < inFlightLimit {
+	t.ensureStarted(now)
+	if !t.readStarted.IsZero() && now.Sub(t.readStarted) < maxReadTime {
 		return false
 	}
-	if !t.fires(now, max(fleetSize, 1)) {
+	if !t.drawFiring(now, max(fleetSize, 1)) {
 		return false
 	}
-	t.reading = now
+	t.readStarted = now
 	t.reads++
-	t.noteAttempt(now)
+	t.setAttempt(now)
 	return true
 }
 
-// Paused says that the process stood still for d until now. Nothing is
-// forgotten, but the timer is held back by a random time, once until the next attempt, so
-// that processes that woke together do not read together, and what waited in buffers is taken
-// to be older by d.
+// Paused handles a pause of the process of d until now. It keeps all ages, but delays the
+// timer by a random time, so that processes that resume together do not read together, and
+// has ages from buffered messages raised by d. The delay applies once until the next
+// attempt.
 func (t *Timer) Paused(now time.Time, d time.Duration) {
-	t.start(now)
-	// Standstills in series would hold it back for ever.
-	if t.pausedAt.IsZero() || t.attempt.After(t.pausedAt) {
-		t.holdBack(now)
+	t.ensureStarted(now)
+	// Otherwise repeated pauses would delay the timer for ever.
+	if t.pausedAt.IsZero() || t.lastAttempt.After(t.pausedAt) {
+		t.postponeAfterWake(now)
 		t.pausedAt = now
 	}
-	t.doubt = d
-	t.doubtUntil = now.Add(wakeDoubt)
+	t.pauseCorrection = d
+	t.pauseCorrectionUntil = now.Add(pauseCorrectionTime)
 }
 
-// Suspended says that the machine was suspended for d, which the caller's clock did not
-// count: all that is known is older by d.
+// Suspended handles a suspension of the host for d that the caller's clock did not count:
+// all known times become older by d.
 func (t *Timer) Suspended(d time.Duration) {
-	for _, at := range []*time.Time{&t.attempt, &t.confirmed, &t.checked, &t.pausedAt} {
+	for _, at := range []*time.Time{&t.lastAttempt, &t.lastSuccess, &t.hazardDrawnUntil, &t.pausedAt} {
 		if !at.IsZero() {
 			*at = at.Add(-d)
 		}
 	}
 }
 
-// Ages returns the ages of the last attempt and the last success by anyone, as
-// far as known, for a beacon; Never for none.
+// Ages returns the ages of the last known attempt and success of any node, to be sent in a
+// beacon; Never for none.
 func (t *Timer) Ages(now time.Time) (attempt, confirmed time.Duration) {
-	return ageOf(now, t.attempt), ageOf(now, t.confirmed)
+	return ageOf(now, t.lastAttempt), ageOf(now, t.lastSuccess)
 }
 
-// LastSuccess returns the time of the last known success by anyone; zero for none.
-func (t *Timer) LastSuccess() time.Time { return t.confirmed }
+// LastSuccess returns the time of the last known success of any node; zero for none.
+func (t *Timer) LastSuccess() time.Time { return t.lastSuccess }
 
-// ReadCount counts this node's own reads so far.
+// ReadCount returns the number of reads that this node started.
 func (t *Timer) ReadCount() uint64 { return t.reads }
 
-// Failing reports whether the last known attempt came after the last success
-// by more than the interval.
-func (t *Timer) Failing() bool { return t.failing() > t.pace.Interval }
+// Failing reports whether the last known attempt came after the last success by more than the
+// interval.
+func (t *Timer) Failing() bool { return t.failingTime() > t.schedule.Interval }
 
-func (t *Timer) start(now time.Time) {
+func (t *Timer) ensureStarted(now time.Time) {
 	if !t.started.IsZero() {
 		return
 	}
 	t.started = now
-	t.holdBack(now)
+	t.postponeAfterWake(now)
 }
 
-// Postpone keeps the timer from firing before a random time from least to twice
-// least after now: for a fresh node, which is likely to hear of a read by a peer
-// once its first links are open.
+// Postpone keeps the timer from firing for a random time from least to twice least: a fresh
+// node is likely to receive a peer's ages once its first links are open.
 func (t *Timer) Postpone(now time.Time, least time.Duration) {
-	t.start(now)
+	t.ensureStarted(now)
 	t.notBefore = now.Add(least + time.Duration(t.rng.Int64N(int64(least))))
 }
 
-func (t *Timer) holdBack(now time.Time) {
+func (t *Timer) postponeAfterWake(now time.Time) {
 	t.notBefore = now.Add(time.Duration(t.rng.Int64N(int64(MaxWakeDelay))))
 	t.redraw()
 }
 
-// fires draws whether the hazard since the last draw strikes by now.
-func (t *Timer) fires(now time.Time, fleetSize int) bool {
-	quiet := t.quietUntil()
-	if !now.After(quiet) {
+// drawFiring draws whether the timer fires by now, with the hazard since the last draw.
+func (t *Timer) drawFiring(now time.Time, fleetSize int) bool {
+	silentFrom := t.noReadBefore()
+	if !now.After(silentFrom) {
 		return false
 	}
-	from := quiet
-	if t.checked.After(from) {
-		from = t.checked
+	from := silentFrom
+	if t.hazardDrawnUntil.After(from) {
+		from = t.hazardDrawnUntil
 	}
-	t.checked = now
-	silence := now.Sub(quiet)
-	if silence >= t.certain(fleetSize) {
+	t.hazardDrawnUntil = now
+	silence := now.Sub(silentFrom)
+	if silence >= t.forcedSilence(fleetSize) {
 		return true
 	}
-	hazard := t.hazard(silence, fleetSize) - t.hazard(from.Sub(quiet), fleetSize)
+	hazard := t.hazard(silence, fleetSize) - t.hazard(from.Sub(silentFrom), fleetSize)
 	return t.rng.Float64() < -math.Expm1(-hazard)
 }
 
-// certain is the silence after which this node fires for certain.
-func (t *Timer) certain(fleetSize int) time.Duration {
+// forcedSilence is the silence after which this node reads for certain.
+func (t *Timer) forcedSilence(fleetSize int) time.Duration {
 	switch {
-	case t.pace.ForcedAfter == 0:
-		return t.lone
+	case t.schedule.ForcedAfter == 0:
+		return t.forcedAfter
 	case t.failures > 0:
-		// They share the trying: whoever is served again tells the others.
-		return min(t.lone, time.Duration(fleetSize)*t.pace.ForcedAfter)
+		// The nodes share the attempts: the first that succeeds reports it to the others.
+		return min(t.forcedAfter, time.Duration(fleetSize)*t.schedule.ForcedAfter)
 	}
-	return min(t.lone, t.pace.ForcedAfter+time.Duration(math.Log2(float64(fleetSize))*float64(t.pace.ForcedPerDoubling)))
+	return min(t.forcedAfter, t.schedule.ForcedAfter+time.Duration(math.Log2(float64(fleetSize))*float64(t.schedule.ForcedPerDoubling)))
 }
 
 // hazard is the integral of the firing rate over a silence: a rate of
-// 1/(fleetSize*MeanFirstDelay) that doubles every Doubling.
+// 1/(fleetSize*MeanFirstDelay) that doubles every RateDoubling.
 func (t *Timer) hazard(silence time.Duration, fleetSize int) float64 {
 	growth := math.Ln2 / RateDoubling.Seconds()
-	rate := 1 / (float64(fleetSize) * t.pace.MeanFirstDelay.Seconds())
+	rate := 1 / (float64(fleetSize) * t.schedule.MeanFirstDelay.Seconds())
 	rate /= float64(uint(1) << min(t.failures, maxFailureShift))
 	return rate * math.Expm1(growth*silence.Seconds()) / growth
 }
 
-// quietUntil is the time up to which nobody need read.
-func (t *Timer) quietUntil() time.Time {
-	if t.attempt.IsZero() {
+// noReadBefore is the time up to which no read is needed.
+func (t *Timer) noReadBefore() time.Time {
+	if t.lastAttempt.IsZero() {
 		return t.notBefore
 	}
-	until := t.attempt.Add(t.interval())
+	until := t.lastAttempt.Add(t.interval())
 	if until.Before(t.notBefore) {
 		return t.notBefore
 	}
 	return until
 }
 
-// interval is the time between attempts. While they fail it is as long as they
-// have failed, within bounds: all nodes that share the ages compute it alike.
+// interval is the time between attempts. While reads fail it is as long as they have
+// failed, within bounds; nodes that share the ages compute the same interval, apart from
+// intervalFactor.
 func (t *Timer) interval() time.Duration {
-	failing := t.failing()
-	if failing <= t.pace.Interval {
-		return t.pace.Interval
+	failing := t.failingTime()
+	if failing <= t.schedule.Interval {
+		return t.schedule.Interval
 	}
-	return time.Duration(t.stretch * float64(min(failing, t.pace.MaxFailedInterval)))
+	return time.Duration(t.intervalFactor * float64(min(failing, t.schedule.MaxFailedInterval)))
 }
 
-// failing is the time from the last success, or else the start, to the last
-// attempt.
-func (t *Timer) failing() time.Duration {
-	since := t.confirmed
+// failingTime is the time from the last success, or else the start, to the last attempt.
+func (t *Timer) failingTime() time.Duration {
+	since := t.lastSuccess
 	if since.IsZero() {
 		since = t.started
 	}
-	if t.attempt.IsZero() {
+	if t.lastAttempt.IsZero() {
 		return 0
 	}
-	return t.attempt.Sub(since)
+	return t.lastAttempt.Sub(since)
 }
 
-func (t *Timer) noteAttempt(at time.Time) {
-	if !at.After(t.attempt) {
+func (t *Timer) setAttempt(at time.Time) {
+	if !at.After(t.lastAttempt) {
 		return
 	}
-	t.attempt = at
+	t.lastAttempt = at
 	t.redraw()
 }
 
-func (t *Timer) noteConfirmed(at time.Time) {
-	if at.After(t.confirmed) {
-		t.confirmed = at
+func (t *Timer) setSuccess(at time.Time) {
+	if at.After(t.lastSuccess) {
+		t.lastSuccess = at
 	}
 }
 
 func (t *Timer) redraw() {
-	t.lone = ForcedReadMin + time.Duration(t.rng.Int64N(int64(ForcedReadMax-ForcedReadMin)))
-	t.stretch = 1 + failureJitter*t.rng.Float64()
+	t.forcedAfter = ForcedReadMin + time.Duration(t.rng.Int64N(int64(ForcedReadMax-ForcedReadMin)))
+	t.intervalFactor = 1 + failedIntervalJitter*t.rng.Float64()
 }
 
 // timeOf returns the time that lies age before now; zero for Never.
--- a/internal/suppress/suppress_test.go
+++ b/internal/suppress/suppress_test.go
@@ -14,37 +14,37 @@
 
 func newTimer(seed uint64) *Timer { return New(rand.New(rand.NewPCG(seed, 1))) }
 
-// beacon is one reader's word on its way to one node.
+// beacon is one reader's report in transit to one node.
 type beacon struct {
 	to   int
 	sent time.Time
 	ok   bool
 }
 
-// fleet is n timers on a fake clock; each read's beacon reaches every other
-// timer after a random delay.
+// fleet is a number of timers on a fake clock; the beacon of each read arrives at every
+// other timer after a random delay.
 type fleet struct {
 	timers             []*Timer
-	believed           int
+	fleetSize          int
 	minDelay, maxDelay time.Duration
-	down               func(now time.Time) bool
+	sourceDown         func(now time.Time) bool
 	rng                *rand.Rand
 	now                time.Time
-	waiting            eventqueue.Queue[beacon]
+	inTransit          eventqueue.Queue[beacon]
 }
 
 func newFleet(n int, minDelay, maxDelay time.Duration) *fleet {
-	f := &fleet{believed: n, minDelay: minDelay, maxDelay: maxDelay, now: epoch}
+	f := &fleet{fleetSize: n, minDelay: minDelay, maxDelay: maxDelay, now: epoch}
 	f.rng = rand.New(rand.NewPCG(uint64(n), 2))
-	f.down = func(time.Time) bool { return false }
+	f.sourceDown = func(time.Time) bool { return false }
 	for i := range n {
 		f.timers = append(f.timers, newTimer(uint64(i)))
 	}
 	return f
 }
 
-// run moves the clock by d and returns the reads of the whole fleet. Ticks of
-// different timers fall into different tenths of the tick.
+// run advances the clock by d and returns the number of reads of all timers. The timers'
+// ticks are spread over ten phases of the tick.
 func (f *fleet) run(d time.Duration) (reads int) {
 	const phases = 10
 	for end := f.now.Add(d); f.now.Before(end); {
@@ -52,7 +52,7 @@
 			f.now = f.now.Add(tick / phases)
 			f.deliver()
 			for i := phase; i < len(f.timers); i += phases {
-				if f.timers[i].Due(f.now, f.believed) {
+				if f.timers[i].Due(f.now, f.fleetSize) {
 					reads++
 					f.read(i)
 				}
@@ -63,16 +63,16 @@
 }
 
 func (f *fleet) read(i int) {
-	ok := !f.down(f.now)
+	ok := !f.sourceDown(f.now)
 	f.timers[i].ReadDone(f.now, ok)
 	for to := range f.timers {
 		delay := f.minDelay + time.Duration(f.rng.Int64N(int64(f.maxDelay-f.minDelay)))
-		f.waiting.Add(f.now.Add(delay), beacon{to: to, sent: f.now, ok: ok})
+		f.inTransit.Add(f.now.Add(delay), beacon{to: to, sent: f.now, ok: ok})
 	}
 }
 
 func (f *fleet) deliver() {
-	for _, b := range f.waiting.Until(f.now) {
+	for _, b := range f.inTransit.Until(f.now) {
 		confirmed := Never
 		if b.ok {
 			confirmed = f.now.Sub(b.sent)
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestReadsOfTheFleetStayFarUnderThePlatformsRate(t *testing.T) {
+func TestFleetReadRateIsBounded(t *testing.T) {
 	const seconds = 20
 	perSecond := map[int]float64{}
 	for _, n := range []int{10, 100, 1000} {
@@ -90,23 +90,23 @@
 		perSecond[n] = float64(f.run(seconds*time.Second)) / seconds
 		t.Logf("n=%d reads/s=%.1f", n, perSecond[n])
 		if perSecond[n] < 0.3 {
-			t.Errorf("n=%d: %.2f reads/s, so the source is read too seldom", n, perSecond[n])
+			t.Errorf("n=%d: %.2f reads/s, want 0.3 at least", n, perSecond[n])
 		}
 	}
 	if perSecond[1000] > 100 {
-		t.Errorf("1000 nodes: %.1f reads/s", perSecond[1000])
+		t.Errorf("1000 nodes: %.1f reads/s, want 100 at most", perSecond[1000])
 	}
 	if perSecond[1000] > 3*perSecond[100] {
 		t.Errorf("ten times the fleet reads %.1f times as often", perSecond[1000]/perSecond[100])
 	}
 }
 
-func TestOutageLowersTheRateOfReads(t *testing.T) {
+func TestOutageLowersReadRate(t *testing.T) {
 	f := newFleet(300, 500*time.Millisecond, time.Second)
 	f.run(5 * time.Second)
 	const span = 60 * time.Second
 	healthy := f.run(span)
-	f.down = func(time.Time) bool { return true }
+	f.sourceDown = func(time.Time) bool { return true }
 	f.run(20 * time.Second)
 	failing := f.run(span)
 	t.Logf("reads in %s: healthy %d, failing %d", span, healthy, failing)
@@ -114,16 +114,16 @@
 		t.Errorf("%d reads in an outage, %d before", failing, healthy)
 	}
 	if failing == 0 {
-		t.Error("no read in an outage, so its end is never seen")
+		t.Error("no read in an outage, so that its end goes unnoticed")
 	}
-	f.down = func(time.Time) bool { return false }
+	f.sourceDown = func(time.Time) bool { return false }
 	f.run(15 * time.Second)
 	if f.timers[0].Failing() {
 		t.Error("still failing 15 s after the outage")
 	}
 }
 
-func TestLoneNodeThatBelievesInALargeFleetReadsSoon(t *testing.T) {
+func TestIsolatedNodeReadsDespiteLargeFleetSize(t *testing.T) {
 	for seed := range uint64(50) {
 		timer := newTimer(seed)
 		timer.ObservePeer(epoch, 0, 0)
@@ -134,40 +134,40 @@
 	}
 }
 
-func TestFreshAttemptSilences(t *testing.T) {
+func TestRecentAttemptSuppressesRead(t *testing.T) {
 	timer := newTimer(1)
 	for now := epoch; now.Before(epoch.Add(time.Minute)); now = now.Add(tick) {
 		timer.ObservePeer(now, 900*time.Millisecond, 900*time.Millisecond)
 		if timer.Due(now, 1) {
-			t.Fatalf("due %s after the start although an attempt is young", now.Sub(epoch))
+			t.Fatalf("due %s after the start although an attempt is recent", now.Sub(epoch))
 		}
 	}
 }
 
-func TestReadInFlightIsNotRepeatedUntilItsLimit(t *testing.T) {
+func TestReadInFlightIsNotRepeatedBeforeTimeout(t *testing.T) {
 	timer := newTimer(1)
 	first := firstDue(timer, epoch, 1)
 	second := firstDue(timer, first.Add(tick), 1)
-	if gap := second.Sub(first); gap < inFlightLimit {
-		t.Errorf("second read %s after one whose end was not told", gap)
+	if gap := second.Sub(first); gap < maxReadTime {
+		t.Errorf("second read %s after one whose end was not reported", gap)
 	}
 }
 
 func TestSuccessConfirmsAsOfTheReadsStart(t *testing.T) {
 	timer := newTimer(1)
-	begun := firstDue(timer, epoch, 1)
-	timer.ReadDone(begun.Add(3*time.Second), true)
-	if !timer.LastSuccess().Equal(begun) {
-		t.Errorf("confirmed at %s, read began at %s", timer.LastSuccess(), begun)
+	started := firstDue(timer, epoch, 1)
+	timer.ReadDone(started.Add(3*time.Second), true)
+	if !timer.LastSuccess().Equal(started) {
+		t.Errorf("confirmed at %s, read began at %s", timer.LastSuccess(), started)
 	}
 }
 
-func TestTimersThatWakeTogetherDoNotReadTogether(t *testing.T) {
+func TestTimersAreSpreadAfterCommonPause(t *testing.T) {
 	const n, asleep = 500, time.Minute
 	f := newFleet(n, 500*time.Millisecond, time.Second)
 	f.run(5 * time.Second)
 	f.now = f.now.Add(asleep)
-	f.waiting.Clear()
+	f.inTransit.Clear()
 	for _, timer := range f.timers {
 		timer.Paused(f.now, asleep)
 	}
@@ -179,7 +179,7 @@
 	}
 }
 
-func TestAgesThatWaitedOutAPauseAreRaisedByIt(t *testing.T) {
+func TestPauseRaisesBufferedAges(t *testing.T) {
 	timer := newTimer(1)
 	timer.ObservePeer(epoch, time.Second, Never)
 	wake := epoch.Add(time.Minute)
@@ -191,7 +191,7 @@
 	}
 }
 
-func TestAgesOnlyGrowUntilNewerNews(t *testing.T) {
+func TestAgesIgnoreOlderReports(t *testing.T) {
 	timer := newTimer(1)
 	timer.ObservePeer(epoch, time.Second, 2*time.Second)
 	timer.ObservePeer(epoch.Add(time.Second), 10*time.Second, Never)
@@ -201,8 +201,7 @@
 	}
 }
 
-// BenchmarkFleetReads reports the reads a second of whole fleets whose beacons
-// take 0.5 to 1 s.
+// BenchmarkFleetReads reports the reads per second of fleets whose beacons take 0.5 to 1 s.
 func BenchmarkFleetReads(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10_000} {
 		b.Run(sizeName(n), func(b *testing.B) {
@@ -231,7 +230,7 @@
 	return now
 }
 
-func TestAReadThatTheTimerDidNotBeginCountsFromItsStart(t *testing.T) {
+func TestExternalReadCountsFromItsStart(t *testing.T) {
 	timer := New(rand.New(rand.NewPCG(1, 2)))
 	now := time.Unix(1_700_000_000, 0)
 	timer.ReadSucceeded(now, now.Add(-700*time.Millisecond))
@@ -240,8 +239,8 @@
 	}
 }
 
-func TestANodeThatSharesWithFewFiresForCertainEarlier(t *testing.T) {
-	pace := Schedule{Interval: time.Second, MeanFirstDelay: time.Hour, MaxFailedInterval: time.Second, ForcedAfter: 400 * time.Millisecond, ForcedPerDoubling: 100 * time.Millisecond}
+func TestForcedSilenceDependsOnNodesAndFailures(t *testing.T) {
+	schedule := Schedule{Interval: time.Second, MeanFirstDelay: time.Hour, MaxFailedInterval: time.Second, ForcedAfter: 400 * time.Millisecond, ForcedPerDoubling: 100 * time.Millisecond}
 	for _, tt := range []struct {
 		nodes, failures int
 		want            time.Duration
@@ -256,15 +255,15 @@
 		{10, 2, ForcedReadMin},
 		{1 << 30, 0, ForcedReadMin},
 	} {
-		timer := NewWithSchedule(rand.New(rand.NewPCG(1, 2)), pace)
+		timer := NewWithSchedule(rand.New(rand.NewPCG(1, 2)), schedule)
 		timer.failures = tt.failures
-		if got := timer.certain(tt.nodes); got != tt.want && (tt.want != ForcedReadMin || got < ForcedReadMin || got > ForcedReadMax) {
+		if got := timer.forcedSilence(tt.nodes); got != tt.want && (tt.want != ForcedReadMin || got < ForcedReadMin || got > ForcedReadMax) {
 			t.Errorf("%d nodes, %d failures: %s, want %s", tt.nodes, tt.failures, got, tt.want)
 		}
 	}
 }
 
-func TestStandstillsInSeriesKeepNoNodeFromReading(t *testing.T) {
+func TestRepeatedPausesDoNotPreventReads(t *testing.T) {
 	const stop, run = 1200 * time.Millisecond, 250 * time.Millisecond
 	for seed := range uint64(100) {
 		timer := newTimer(seed)
@@ -272,7 +271,7 @@
 		due := timer.Due(now, 1)
 		for cycle := 0; !due; cycle++ {
 			if cycle == 3 {
-				t.Fatalf("seed %d: no reading in %d standstills", seed, cycle)
+				t.Fatalf("seed %d: no read in %d pauses", seed, cycle)
 			}
 			now = now.Add(stop)
 			timer.Paused(now, stop)
