--- a/internal/entry/acknowledge.go
+++ b/internal/entry/acknowledge.go
@@ -7,8 +7,8 @@
 // doesn't have the body, the attempt can be withdrawn and the request sent elsewhere,
 // proved not to have run.
 const (
-	// maxAcknowledgeTime bounds the time that an owner has: several times the longest round
-	// trip between two regions, 70 ms.
+	// maxAcknowledgeTime bounds the time that an owner has: several times the longest network
+	// path between two regions, which takes 70 ms each way.
 	maxAcknowledgeTime = 250 * time.Millisecond
 	// minAcknowledgeTime is the least time that an owner has: an instance with a CPU quota
 	// may be stopped for most of 100 ms.
--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -192,8 +192,7 @@
 }
 
 // choose picks an owner that this call has not tried in this round. A request that needs
-// its home node goes there until the home delegates it; a deferred one goes to its only
-// owner.
+// its home node goes there until that node delegates it, a deferred one to its only owner.
 func (c *Call) choose(now time.Time) (route.Choice, bool) {
 	if c.sends == maxSends {
 		return route.Choice{}, false
@@ -276,14 +275,14 @@
 }
 
 // objectiveLeft returns the time left to the class's objective, counted from the caller's
-// first submission: zero when the class has no objective, negative when it has passed. As
-// zero is taken, an objective that passes just now is returned as -1 ns.
+// first submission: zero when the class has no objective, negative when it has passed. So
+// an objective that passes at this moment yields -1 ns.
 func (c *Call) objectiveLeft(now time.Time) time.Duration {
 	if c.req.Target.Class.ObjectiveMs <= 0 {
 		return 0
 	}
-	began := c.deadline.Add(-c.req.Timeout - c.waitedBefore)
-	left := began.Add(c.req.Target.Class.Objective()).Sub(now)
+	submitted := c.deadline.Add(-c.req.Timeout - c.waitedBefore)
+	left := submitted.Add(c.req.Target.Class.Objective()).Sub(now)
 	if left == 0 {
 		return -1
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -40,7 +40,7 @@
 // chooser is the part of route.Table that an engine uses.
 type chooser interface {
 	Pick(now time.Time, q *route.Query) (route.Choice, bool)
-	NextHome(now time.Time, q *route.Query, id model.RequestID, passed []model.InstanceID) (route.Choice, bool)
+	NextHome(now time.Time, q *route.Query, id model.RequestID, skipped []model.InstanceID) (route.Choice, bool)
 	PickInstance(now time.Time, q *route.Query, id model.InstanceID) (route.Choice, bool)
 	Sent(now time.Time, id model.InstanceID)
 	Done(now time.Time, id model.InstanceID, r route.Result)
@@ -112,7 +112,8 @@
 	Regions model.Regions
 }
 
-// Begin starts a call at time now.
+// Begin starts a call at time now. It also adds a first attempt to the service's retry
+// budgets.
 func (e *Engine) Begin(now time.Time, r Request) *Call {
 	c := &Call{engine: e, req: r, deadline: now.Add(r.Timeout)}
 	c.bucket = e.budgets.get(r.Target.Service.Name, func() *bucket { return newBucket(now) })
--- a/internal/entry/helpers_test.go
+++ b/internal/entry/helpers_test.go
@@ -56,10 +56,10 @@
 	return route.Choice{}, false
 }
 
-func (t *fakeTable) NextHome(_ time.Time, _ *route.Query, _ model.RequestID, passed []model.InstanceID) (route.Choice, bool) {
+func (t *fakeTable) NextHome(_ time.Time, _ *route.Query, _ model.RequestID, skipped []model.InstanceID) (route.Choice, bool) {
 	for i := range t.owners {
 		home := t.owners[(t.home+i)%len(t.owners)]
-		if !slices.Contains(passed, home.ID) {
+		if !slices.Contains(skipped, home.ID) {
 			return route.Choice{Instance: home, OwnerClock: time.Second}, true
 		}
 	}
--- a/internal/entry/home.go
+++ b/internal/entry/home.go
@@ -42,10 +42,10 @@
 	if r != model.ReasonLeaving && r != model.ReasonOwnerAbsent {
 		return false
 	}
-	passed := c.home.skipped
-	c.home.skipped = append(passed, c.to.ID)
+	skipped := c.home.skipped
+	c.home.skipped = append(skipped, c.to.ID)
 	if _, ok := c.chooseHome(now); !ok {
-		c.home.skipped = passed
+		c.home.skipped = skipped
 		return false
 	}
 	c.home.provesNotRun = false
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -40,8 +40,8 @@
 	c.attemptDone(now, route.Result{Failed: failed})
 	c.countWorkerAttempt(model.Refusal{})
 	if c.latency != nil && !failed {
-		began := c.deadline.Add(-c.req.Timeout)
-		c.latency.record(now.Sub(began), c.req.Target.Bundle.Retry.HedgeAfterQuantile)
+		started := c.deadline.Add(-c.req.Timeout)
+		c.latency.record(now.Sub(started), c.req.Target.Bundle.Retry.HedgeAfterQuantile)
 	}
 	if failed && c.req.Idempotent && c.retry(now) {
 		return
@@ -151,9 +151,9 @@
 // afterMaybeRun continues after an attempt that may have run: an idempotent request is
 // retried, any other has its outcome resolved first. A broken or crashed worker has
 // received the request, so that resolving the outcome could not prove "not run".
-func (c *Call) afterMaybeRun(now time.Time, why model.Reason) {
-	c.reason = why
-	if why == model.ReasonWorkerCrashed {
+func (c *Call) afterMaybeRun(now time.Time, reason model.Reason) {
+	c.reason = reason
+	if reason == model.ReasonWorkerCrashed {
 		c.crashes++
 		c.onlyOwner.crashedAt = c.to.ID
 	}
@@ -163,10 +163,10 @@
 			c.startRound()
 		}
 		if !c.retry(now) {
-			c.giveUp(why)
+			c.giveUp(reason)
 		}
-	case why == model.ReasonWorkerBroken, why == model.ReasonWorkerCrashed:
-		c.giveUp(why)
+	case reason == model.ReasonWorkerBroken, reason == model.ReasonWorkerCrashed:
+		c.giveUp(reason)
 	default:
 		c.phase = phaseResolve
 	}
--- a/internal/entry/world_test.go
+++ b/internal/entry/world_test.go
@@ -85,8 +85,8 @@
 	return route.Choice{}, false
 }
 
-func (w *world) NextHome(_ time.Time, _ *route.Query, id model.RequestID, passed []model.InstanceID) (route.Choice, bool) {
-	if slices.Contains(passed, w.home(id).instance.ID) {
+func (w *world) NextHome(_ time.Time, _ *route.Query, id model.RequestID, skipped []model.InstanceID) (route.Choice, bool) {
+	if slices.Contains(skipped, w.home(id).instance.ID) {
 		return route.Choice{}, false
 	}
 	return w.choice(w.home(id)), true
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -158,9 +158,9 @@
 }
 
 func TestPeerReportOnlyCausesProbe(t *testing.T) {
-	c, f := start("w", "heard", "self")
-	f.recent["heard"] = true
-	peerReport := control.OwnersReportedUnreachable{Owners: []model.InstanceID{"w", "heard", "self", "unknown"}}
+	c, f := start("w", "recent", "self")
+	f.recent["recent"] = true
+	peerReport := control.OwnersReportedUnreachable{Owners: []model.InstanceID{"w", "recent", "self", "unknown"}}
 	wantActions(t, "reported by a peer", c.Handle(epoch, peerReport), []model.InstanceID{"w"}, nil)
 	if f.excluded["w"] {
 		t.Error("excluded because of a peer's report alone")
@@ -182,8 +182,8 @@
 func TestUnreachableOwnersArePublished(t *testing.T) {
 	c, _ := start("v", "w")
 	published := func() []model.InstanceID {
-		if lost := c.board.Unreachable.Get(); lost != nil {
-			return *lost
+		if unreachable := c.board.Unreachable.Get(); unreachable != nil {
+			return *unreachable
 		}
 		return nil
 	}
@@ -227,14 +227,14 @@
 }
 
 func TestUnacknowledgedAttemptExcludesSilentOwner(t *testing.T) {
-	c, f := start("w", "heard")
-	f.recent["heard"] = true
+	c, f := start("w", "recent")
+	f.recent["recent"] = true
 	silent := func(id model.InstanceID) control.OwnerUnresponsive {
 		return control.OwnerUnresponsive{Owner: owner(id), NotAcknowledged: true}
 	}
-	wantActions(t, "recent report", c.Handle(epoch, silent("heard")), nil, nil)
+	wantActions(t, "recent report", c.Handle(epoch, silent("recent")), nil, nil)
 	wantActions(t, "silent", c.Handle(epoch, silent("w")), []model.InstanceID{"w"}, []event.ID{event.OwnerUnreachable})
-	if f.excluded["heard"] || !f.excluded["w"] {
+	if f.excluded["recent"] || !f.excluded["w"] {
 		t.Errorf("excluded: %v, want the silent owner only", f.excluded)
 	}
 	wantActions(t, "probe succeeded", c.Handle(epoch, control.ReachabilityProbed{Owner: owner("w")}), nil, []event.ID{event.OwnerReachable})
--- a/internal/route/state_test.go
+++ b/internal/route/state_test.go
@@ -167,7 +167,7 @@
 	for _, c := range []struct {
 		name        string
 		incarnation model.Incarnation
-		heard       bool
+		reported    bool
 	}{
 		{"same incarnation", 1, true},
 		{"fleet behind", 0, true},
@@ -183,8 +183,8 @@
 				if e.Instance.ID != "s-00000" {
 					continue
 				}
-				if e.Reported != c.heard || (e.FailureRate > 0) != c.heard {
-					t.Errorf("reported %v, failure rate %v; want kept: %v", e.Reported, e.FailureRate, c.heard)
+				if e.Reported != c.reported || (e.FailureRate > 0) != c.reported {
+					t.Errorf("reported %v, failure rate %v; want kept: %v", e.Reported, e.FailureRate, c.reported)
 				}
 			}
 		})
