--- a/internal/entry/home.go
+++ b/internal/entry/home.go
@@ -8,8 +8,8 @@
 	"gypsumstand/internal/wire"
 )
 
-// homeState is what a call knows from the home node of its request's id; see docs/DESIGN.md,
-// "At most once".
+// homeState is what a call knows from the home node of its request's id; see
+// docs/DESIGN.md, "At most once".
 type homeState struct {
 	// provesNotRun reports that the home node's latest reply proves that it looked the id up,
 	// found no earlier submission of it, and does not run it now.
--- a/internal/suppress/suppress.go
+++ b/internal/suppress/suppress.go
@@ -1,8 +1,8 @@
 // Package suppress decides when a node should read a platform source itself. All nodes need
 // a source to be read about once a second, and no node is in charge of it: a node that
 // reads reports to the others how long ago that was, which suppresses their timers. If a
-// reader fails or the network is partitioned, another timer fires. Design: docs/DESIGN.md,
-// "Bundle spread".
+// reader fails or the network is partitioned, another timer fires.
+// Design: docs/DESIGN.md, "Bundle spread".
 //
 // # Ages
 //
@@ -111,8 +111,8 @@
 }
 
 // NewWithSchedule returns a timer of another schedule.
-func NewWithSchedule(rng *rand.Rand, p Schedule) *Timer {
-	t := &Timer{rng: rng, schedule: p}
+func NewWithSchedule(rng *rand.Rand, schedule Schedule) *Timer {
+	t := &Timer{rng: rng, schedule: schedule}
 	t.redraw()
 	return t
 }
