--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -135,7 +135,7 @@
 	case control.PeerDirectoryFailed:
 		c.asks.end(e.From)
 	case control.Paused:
-		c.timer.Paused(now, e.For)
+		c.timer.ProcessPaused(now, e.For)
 	case control.Suspended:
 		c.suspended(now, e.For)
 	case control.Tick:
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -168,7 +168,7 @@
 // about peers, and this node's view may be outdated.
 func (c *Controller) paused(now time.Time, d time.Duration) {
 	c.unreliableUntil = now.Add(pauseGrace)
-	c.list.timer.Paused(now, d)
+	c.list.timer.ProcessPaused(now, d)
 	c.links.resetSilence(now)
 	c.dropChecks()
 	c.peers.dials = nil
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -157,7 +157,7 @@
 // during the pause confirm nothing. A link's ages count again once its peer has replied
 // to a comparison sent after the pause.
 func (c *Controller) paused(d time.Duration) {
-	c.timer.Paused(c.now, d)
+	c.timer.ProcessPaused(c.now, d)
 	c.confirmation.reset(c.now)
 	c.configReads.onPause()
 	for _, f := range c.fetches.list {
--- a/internal/suppress/suppress.go
+++ b/internal/suppress/suppress.go
@@ -184,11 +184,11 @@
 	return true
 }
 
-// Paused handles a pause of the process of d until now. It keeps all ages, but delays the
+// ProcessPaused handles a pause of the process of d until now. It keeps all ages, but delays the
 // timer by a random time, so that processes that resume together do not read together, and
 // has ages from buffered messages raised by d. The delay applies once until the next
 // attempt.
-func (t *Timer) Paused(now time.Time, d time.Duration) {
+func (t *Timer) ProcessPaused(now time.Time, d time.Duration) {
 	t.ensureStarted(now)
 	// Otherwise repeated pauses would delay the timer for ever.
 	if t.pausedAt.IsZero() || t.lastAttempt.After(t.pausedAt) {
@@ -199,9 +199,9 @@
 	t.pauseCorrectionUntil = now.Add(pauseCorrectionTime)
 }
 
-// Suspended handles a suspension of the host for d that the caller's clock did not count:
+// HostSuspended handles a suspension of the host for d that the caller's clock did not count:
 // all known times become older by d.
-func (t *Timer) Suspended(d time.Duration) {
+func (t *Timer) HostSuspended(d time.Duration) {
 	for _, at := range []*time.Time{&t.lastAttempt, &t.lastSuccess, &t.hazardDrawnUntil, &t.pausedAt} {
 		if !at.IsZero() {
 			*at = at.Add(-d)
--- a/internal/suppress/suppress_test.go
+++ b/internal/suppress/suppress_test.go
@@ -169,7 +169,7 @@
 	f.now = f.now.Add(asleep)
 	f.inTransit.Clear()
 	for _, timer := range f.timers {
-		timer.Paused(f.now, asleep)
+		timer.ProcessPaused(f.now, asleep)
 	}
 	if reads := f.run(2 * tick); reads > n/10 {
 		t.Errorf("%d of %d timers read at once after a pause", reads, n)
@@ -183,7 +183,7 @@
 	timer := newTimer(1)
 	timer.ObservePeer(epoch, time.Second, Never)
 	wake := epoch.Add(time.Minute)
-	timer.Paused(wake, time.Minute)
+	timer.ProcessPaused(wake, time.Minute)
 	timer.ObservePeer(wake, 0, 0)
 	attempt, confirmed := timer.Ages(wake)
 	if attempt < time.Minute || confirmed < time.Minute {
@@ -274,7 +274,7 @@
 				t.Fatalf("seed %d: no read in %d pauses", seed, cycle)
 			}
 			now = now.Add(stop)
-			timer.Paused(now, stop)
+			timer.ProcessPaused(now, stop)
 			for end := now.Add(run); now.Before(end); now = now.Add(tick) {
 				due = due || timer.Due(now, 1)
 			}
