--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -7,24 +7,25 @@
 	"gypsumstand/internal/model"
 )
 
-// full is a quarantine with as many records as there may be, each with three ends.
-func full() *Quarantine {
+// fullQuarantine returns a quarantine that holds maxRecords records with three crashes
+// each.
+func fullQuarantine() *Quarantine {
 	q := New(Config{Self: model.Instance{ID: "n0", Service: "s"}, Started: epoch, Fleet: func() *model.Fleet { return &model.Fleet{} }})
 	for i := range maxRecords {
 		for k := range 3 {
-			q.table.ended(at(i), content(i), end{id: CrashID(3*i + k + 1), owner: "n00001", at: at(i), doubted: true})
+			q.table.addCrash(at(i), content(i), crash{id: CrashID(3*i + k + 1), owner: "n00001", at: at(i), alreadySuspect: true})
 		}
 	}
-	q.judge(at(maxRecords), "")
+	q.classify(at(maxRecords), "")
 	return q
 }
 
-// BenchmarkMemory is what a full table holds.
+// BenchmarkMemory measures the heap of a full table per record.
 func BenchmarkMemory(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	q := full()
+	q := fullQuarantine()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	for b.Loop() {
@@ -33,10 +34,10 @@
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/maxRecords, "B/record")
 }
 
-// BenchmarkJudge is the question of one attempt beside a full table, and beside none.
-func BenchmarkJudge(b *testing.B) {
+// BenchmarkEvaluate measures one decision with a full and with an empty table.
+func BenchmarkEvaluate(b *testing.B) {
 	for name, q := range map[string]*Quarantine{
-		"full":  full(),
+		"full":  fullQuarantine(),
 		"empty": New(Config{Fleet: func() *model.Fleet { return nil }}),
 	} {
 		b.Run(name, func(b *testing.B) {
@@ -48,9 +49,9 @@
 	}
 }
 
-// BenchmarkEnd is a worker's end with 18 requests in hand beside a full table.
-func BenchmarkEnd(b *testing.B) {
-	q := full()
+// BenchmarkWorkerCrashed measures a crash with 18 requests in flight and a full table.
+func BenchmarkWorkerCrashed(b *testing.B) {
+	q := fullQuarantine()
 	next := 100_000
 	for b.Loop() {
 		for range 18 {
@@ -61,9 +62,9 @@
 	}
 }
 
-// BenchmarkCompleted is what each whole answer costs while nothing is suspect, but for its
-// fingerprint.
-func BenchmarkCompleted(b *testing.B) {
+// BenchmarkRunCompleted measures the cost of each complete response while no request is
+// suspect, without the cost of its fingerprint.
+func BenchmarkRunCompleted(b *testing.B) {
 	q := New(Config{Fleet: func() *model.Fleet { return nil }})
 	for i := 0; b.Loop(); i++ {
 		q.RunCompleted(epoch, content(i))
--- a/internal/quarantine/contacts.go
+++ b/internal/quarantine/contacts.go
@@ -9,195 +9,198 @@
 	"gypsumstand/internal/model"
 )
 
-// Paces of finding peers that answer. Who is listed may be gone: a node whose neighbours are
-// all silent goes on round the ring.
+// Limits of the search for peers that reply. Instances in the fleet's view may be down; a
+// node whose neighbours all fail to reply goes on with the next ones on the ring.
 const (
-	// searchFanOut is how many others are asked for each that did not answer, so that a node
-	// gets past hundreds within some time-outs.
+	// searchFanOut is the number of other peers contacted for each one that did not reply.
+	// At this rate a search passes hundreds of dead peers within a few timeouts.
 	searchFanOut = 3
-	// searchAgain is how long one that was told anything is passed over by a search.
-	searchAgain = 2 * time.Second
-	// searchDepth and searchRate bound a search: a whole fleet of some hundreds at once, then
-	// as many a second as answers cost less than the 7 KB that a node may send for control.
-	searchDepth = 256
+	// searchCooldown is how long a search skips a peer after any message to it.
+	searchCooldown = 2 * time.Second
+	// searchBurst and searchRate limit the messages of searches: enough to reach a fleet of
+	// some hundreds at once, then as many a second as keep the replies below the 7 KB/s
+	// that a node may send for control.
+	searchBurst = 256
 	searchRate  = 16
-	// silentFor is how long after a peer did not answer others are told in its place.
-	silentFor = 10 * time.Second
-	// maxLatest bounds the peers that were heard of late.
-	maxLatest = 8
+	// unresponsivePeriod is how long after a peer failed to reply recently seen peers are
+	// contacted as well.
+	unresponsivePeriod = 10 * time.Second
+	// maxRecentPeers bounds the list of recently seen peers.
+	maxRecentPeers = 8
 )
 
-// contact is a peer with the kind of records it is told of.
+// contact identifies a peer and the kind of records that are exchanged with it.
 type contact struct {
-	peer model.InstanceID
-	wide bool
+	peer      model.InstanceID
+	fleetWide bool
 }
 
-// contacts knows which peers answer. The zero value is ready.
+// contacts tracks which peers reply. The zero value is ready.
 type contacts struct {
-	// sent is when each was last told anything.
-	sent map[contact]time.Time
-	// unanswered are those in whose place others are still to be asked.
-	unanswered []contact
-	// silentAt is when a peer last did not answer.
-	silentAt time.Time
-	// latest are the peers that were heard of last, the newest first.
-	latest []model.InstanceID
-	// budget is that of searches, in messages.
-	budget allowance
-}
-
-// SendFailed takes that a peer did not answer what it was told.
+	// lastSent is the time of the last message to each contact.
+	lastSent map[contact]time.Time
+	// failed lists contacts that did not reply and for which no substitutes have been
+	// contacted yet.
+	failed []contact
+	// lastFailure is when a peer last failed to reply.
+	lastFailure time.Time
+	// recent lists the most recently seen peers, newest first.
+	recent []model.InstanceID
+	// budget limits the messages of searches.
+	budget tokenBucket
+}
+
+// SendFailed records that a peer did not reply to an update.
 func (q *Quarantine) SendFailed(now time.Time, a control.SendSuspectUpdate) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	c := &q.rounds.contacts
-	c.silentAt = now
-	if len(c.unanswered) < searchDepth {
-		c.unanswered = append(c.unanswered, contact{a.To.ID, a.Update.Service == ""})
+	c := &q.gossip.contacts
+	c.lastFailure = now
+	if len(c.failed) < searchBurst {
+		c.failed = append(c.failed, contact{a.To.ID, a.Update.Service == ""})
 	}
-	if i := slices.Index(c.latest, a.To.ID); i >= 0 {
-		c.latest = slices.Delete(c.latest, i, i+1)
+	if i := slices.Index(c.recent, a.To.ID); i >= 0 {
+		c.recent = slices.Delete(c.recent, i, i+1)
 	}
 	q.wake()
 }
 
-// PeerSeen takes that a peer is in touch, as calls show. It takes no lock while nothing is
-// suspect.
+// PeerSeen records that calls are exchanged with a peer. It takes no lock while no request
+// is suspect.
 func (q *Quarantine) PeerSeen(peer model.InstanceID) {
 	if q.Empty() {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.heard(peer)
+	q.seen(peer)
 }
 
-func (q *Quarantine) heard(peer model.InstanceID) {
-	c := &q.rounds.contacts
-	switch i := slices.Index(c.latest, peer); {
+func (q *Quarantine) seen(peer model.InstanceID) {
+	c := &q.gossip.contacts
+	switch i := slices.Index(c.recent, peer); {
 	case i == 0 || peer == q.self.ID:
 		return
 	case i > 0:
-		c.latest = slices.Delete(c.latest, i, i+1)
-	case len(c.latest) == maxLatest:
-		c.latest = c.latest[:maxLatest-1]
+		c.recent = slices.Delete(c.recent, i, i+1)
+	case len(c.recent) == maxRecentPeers:
+		c.recent = c.recent[:maxRecentPeers-1]
 	}
-	c.latest = slices.Insert(c.latest, 0, peer)
+	c.recent = slices.Insert(c.recent, 0, peer)
 }
 
-// missing tells whether a peer that should have answered lately did not.
-func (c *contacts) missing(now time.Time) bool {
-	return !c.silentAt.IsZero() && now.Sub(c.silentAt) < silentFor
+// peerMissing reports whether a peer failed to reply within unresponsivePeriod.
+func (c *contacts) peerMissing(now time.Time) bool {
+	return !c.lastFailure.IsZero() && now.Sub(c.lastFailure) < unresponsivePeriod
 }
 
-// note notes that a peer is told something now.
-func (c *contacts) note(now time.Time, to contact) {
-	if c.sent == nil {
-		c.sent = map[contact]time.Time{}
+// sentTo records a message to a peer.
+func (c *contacts) sentTo(now time.Time, to contact) {
+	if c.lastSent == nil {
+		c.lastSent = map[contact]time.Time{}
 	}
-	c.sent[to] = now
+	c.lastSent[to] = now
 }
 
-// toldLately tells whether a search passes a peer over.
-func (c *contacts) toldLately(now time.Time, to contact) bool {
-	at, known := c.sent[to]
-	return known && now.Sub(at) < searchAgain
+// contactedRecently reports whether a search skips a peer.
+func (c *contacts) contactedRecently(now time.Time, to contact) bool {
+	at, known := c.lastSent[to]
+	return known && now.Sub(at) < searchCooldown
 }
 
-// forget drops what no search asks for any more.
-func (c *contacts) forget(now time.Time) {
-	for to, at := range c.sent {
-		if now.Sub(at) >= searchAgain {
-			delete(c.sent, to)
+// expire drops entries that are older than searchCooldown.
+func (c *contacts) expire(now time.Time) {
+	for to, at := range c.lastSent {
+		if now.Sub(at) >= searchCooldown {
+			delete(c.lastSent, to)
 		}
 	}
 }
 
-// allow takes one more message of a search out of the budget.
+// allow takes one message out of the search budget and reports whether there was one left.
 func (c *contacts) allow(now time.Time) bool {
-	if c.budget.at(now, searchRate, searchDepth) < 1 {
+	if c.budget.available(now, searchRate, searchBurst) < 1 {
 		return false
 	}
 	c.budget.take(1)
 	return true
 }
 
-// send tells a peer something.
+// send appends a message to a peer to out.
 func (q *Quarantine) send(now time.Time, out []control.Action, a control.SendSuspectUpdate) []control.Action {
-	q.rounds.contacts.note(now, contact{a.To.ID, a.Update.Service == ""})
+	q.gossip.contacts.sentTo(now, contact{a.To.ID, a.Update.Service == ""})
 	return append(out, a)
 }
 
-// search compares with others in place of peers that did not answer: those that come after
-// them on the ring and were told nothing lately.
+// search sends comparisons to substitutes for peers that did not reply: the next ones on
+// the ring that were not contacted recently.
 func (q *Quarantine) search(now time.Time, out []control.Action) []control.Action {
-	c := &q.rounds.contacts
+	c := &q.gossip.contacts
 	fleet := q.fleet()
-	lost := c.unanswered
-	c.unanswered = nil
-	for _, gone := range lost {
-		if fleet == nil || !q.table.holds(gone.wide) {
+	failed := c.failed
+	c.failed = nil
+	for _, peer := range failed {
+		if fleet == nil || !q.table.hasRecords(peer.fleetWide) {
 			continue
 		}
-		for _, in := range q.after(now, fleet, gone) {
+		for _, in := range q.successors(now, fleet, peer) {
 			if !c.allow(now) {
 				return out
 			}
-			out = q.send(now, out, control.SendSuspectUpdate{To: in, Update: q.comparison(gone.wide)})
+			out = q.send(now, out, control.SendSuspectUpdate{To: in, Update: q.comparison(peer.fleetWide)})
 		}
 	}
 	return out
 }
 
-// after returns the next peers on the ring after one, searchFanOut at most.
-func (q *Quarantine) after(now time.Time, fleet *model.Fleet, gone contact) []model.Instance {
-	at, _ := slices.BinarySearchFunc(fleet.Instances, gone.peer, func(in model.Instance, id model.InstanceID) int {
+// successors returns the next eligible peers on the ring after one, at most searchFanOut.
+func (q *Quarantine) successors(now time.Time, fleet *model.Fleet, peer contact) []model.Instance {
+	at, _ := slices.BinarySearchFunc(fleet.Instances, peer.peer, func(in model.Instance, id model.InstanceID) int {
 		return cmp.Compare(in.ID, id)
 	})
 	var out []model.Instance
 	for i := 1; i <= len(fleet.Instances) && len(out) < searchFanOut; i++ {
 		in := &fleet.Instances[(at+i)%len(fleet.Instances)]
-		if q.peer(in, gone.wide) && !q.rounds.contacts.toldLately(now, contact{in.ID, gone.wide}) {
+		if q.eligible(in, peer.fleetWide) && !q.gossip.contacts.contactedRecently(now, contact{in.ID, peer.fleetWide}) {
 			out = append(out, *in)
 		}
 	}
 	return out
 }
 
-// peer tells whether an instance may be told of records of a kind.
-func (q *Quarantine) peer(in *model.Instance, wide bool) bool {
+// eligible reports whether an instance may be sent records of a kind.
+func (q *Quarantine) eligible(in *model.Instance, fleetWide bool) bool {
 	reachable := in.State != model.StateGone && in.PeerAddress != "" && in.ID != q.self.ID
-	return reachable && (wide || in.Service == q.self.Service)
+	return reachable && (fleetWide || in.Service == q.self.Service)
 }
 
-// compareLatest compares the records of one kind with some of the peers that were heard of last.
-func (q *Quarantine) compareLatest(now time.Time, out []control.Action, wide bool) []control.Action {
-	left := perRound
-	for _, to := range q.latest(wide) {
-		if left == 0 {
+// compareWithRecent compares the records of one kind with some recently seen peers.
+func (q *Quarantine) compareWithRecent(now time.Time, out []control.Action, fleetWide bool) []control.Action {
+	remaining := peersPerRound
+	for _, to := range q.recentPeers(fleetWide) {
+		if remaining == 0 {
 			break
 		}
-		if q.rounds.contacts.toldLately(now, contact{to.ID, wide}) {
+		if q.gossip.contacts.contactedRecently(now, contact{to.ID, fleetWide}) {
 			continue
 		}
-		left--
-		out = q.send(now, out, control.SendSuspectUpdate{To: to, Update: q.comparison(wide)})
+		remaining--
+		out = q.send(now, out, control.SendSuspectUpdate{To: to, Update: q.comparison(fleetWide)})
 	}
 	return out
 }
 
-// withLatest adds to a node's neighbours the peers that were heard of last, where one of the
-// neighbours may be gone.
-func (q *Quarantine) withLatest(now time.Time, to []model.Instance, wide bool) []model.Instance {
-	c := &q.rounds.contacts
-	if !c.missing(now) {
+// withRecentPeers adds the recently seen peers to a node's neighbours if one of the
+// neighbours may be down.
+func (q *Quarantine) withRecentPeers(now time.Time, to []model.Instance, fleetWide bool) []model.Instance {
+	c := &q.gossip.contacts
+	if !c.peerMissing(now) {
 		return to
 	}
-	return union(to, q.latest(wide))
+	return union(to, q.recentPeers(fleetWide))
 }
 
-// union returns the instances of both lists, each once.
+// union returns the instances of both lists without duplicates.
 func union(a, b []model.Instance) []model.Instance {
 	out := slices.Clip(a)
 	for _, in := range b {
@@ -208,15 +211,15 @@
 	return out
 }
 
-// latest returns the peers that were heard of last and may be told of records of a kind.
-func (q *Quarantine) latest(wide bool) []model.Instance {
+// recentPeers returns the recently seen peers that may be sent records of a kind.
+func (q *Quarantine) recentPeers(fleetWide bool) []model.Instance {
 	fleet := q.fleet()
 	if fleet == nil {
 		return nil
 	}
 	var out []model.Instance
-	for _, id := range q.rounds.contacts.latest {
-		if in, known := fleet.Instance(id); known && q.peer(&in, wide) {
+	for _, id := range q.gossip.contacts.recent {
+		if in, known := fleet.Instance(id); known && q.eligible(&in, fleetWide) {
 			out = append(out, in)
 		}
 	}
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,11 +1,14 @@
-// Package quarantine finds requests under which workers end, and keeps them from workers.
-// It decides and does no I/O: it is told which runs broke and when the own worker ended,
-// asked before a run starts, and fed with the clock and with what peers tell.
-// Design: docs/DESIGN.md, "Requests that end their workers".
+// Package quarantine detects requests that crash workers (also known as queries of death or
+// poison requests) and keeps them away from workers. It makes decisions and does no I/O:
+// callers report failed runs and crashes of this node's worker and ask for a decision
+// before a run starts, and the node feeds it the clock and its peers' updates. Design:
+// docs/DESIGN.md, "Requests that end their workers".
 //
-// evidence.go finds what was in hand when the own worker ended, record.go and table.go hold
-// what is known of each request and judge it, news.go joins it with what peers know, and
-// rounds.go says whom to tell and when.
+// correlator.go finds the runs that were in flight at a crash. record.go and table.go hold
+// the record of each suspect request and classify it, secondcrash.go decides on requests
+// with two crashes, and coordinator.go where a suspect request may run. merge.go merges the
+// records of peers, and gossip.go and contacts.go decide which peers to send them to, and
+// when.
 package quarantine
 
 import (
@@ -22,126 +25,131 @@
 	"gypsumstand/internal/model"
 )
 
-// Config is a quarantine's fixed setting.
+// Config holds the fixed settings of a quarantine.
 type Config struct {
 	Self    model.Instance
 	Started time.Time
-	// Fleet returns the fleet's present view; it does not block.
+	// Fleet returns the current view of the fleet; it must not block.
 	Fleet func() *model.Fleet
-	// SlotUse returns the part of the own worker's slots that is in use, and false while none
-	// can be used. It does not block. Nil stands for a worker that is always in full use.
+	// SlotUse returns the part of this node's worker slots that is in use, and false while
+	// none can be used. It must not block. Nil means that all slots are always in use.
 	SlotUse func(now time.Time) (part float64, known bool)
 }
 
-// Quarantine is one node's part. Its methods are safe for concurrent use.
+// Quarantine is one node's set of suspect requests. Its methods are safe for concurrent
+// use.
 type Quarantine struct {
-	self     model.Instance
-	started  time.Time
-	life     uint64
-	fleet    func() *model.Fleet
-	usage    func(now time.Time) (part float64, known bool)
-	evidence CrashCorrelator
-	whole    wholeRuns
-	// size is the number of records: with none, nobody need ask for a fingerprint.
+	self        model.Instance
+	started     time.Time
+	incarnation uint64
+	fleet       func() *model.Fleet
+	slotUse     func(now time.Time) (part float64, known bool)
+	correlator  CrashCorrelator
+	completed   recentRuns
+	// size is the number of records: while it is zero no fingerprint needs to be computed.
 	size    atomic.Int64
 	changed chan struct{}
 
 	mu    sync.Mutex
 	table table
-	// named counts the names given to ends of the own worker, noticed those that were ends
-	// with requests in hand.
-	named, noticed uint64
-	rounds         rounds
-	returns        returns
-	// use is the part of the own worker's slots that is in use, averaged.
-	use float64
-	// shown is where the last part of the records that some returned began.
-	shown int
-	// notes are log lines that Handle has not taken.
-	notes []control.Record
+	// crashesNamed counts the IDs allocated for crashes of this node's worker,
+	// crashesAttributed those crashes that had requests in flight.
+	crashesNamed, crashesAttributed uint64
+	gossip                          gossip
+	recovery                        recovery
+	// averageUse is the average part of this node's worker slots in use.
+	averageUse float64
+	// rotation is the offset at which selectRecords last started among the less severe
+	// records.
+	rotation int
+	// pendingLog holds log lines that Handle has not returned yet.
+	pendingLog []control.Record
 }
 
-// New returns a quarantine that knows of nothing.
+// New returns a quarantine without records.
 func New(cfg Config) *Quarantine {
 	if cfg.SlotUse == nil {
 		cfg.SlotUse = func(time.Time) (float64, bool) { return 1, true }
 	}
 	return &Quarantine{
-		self: cfg.Self, started: cfg.Started, life: uint64(cfg.Started.UnixNano()), fleet: cfg.Fleet, usage: cfg.SlotUse, use: 1,
-		changed: make(chan struct{}, 1), table: newTable(), rounds: rounds{fresh: freshRounds},
+		self: cfg.Self, started: cfg.Started, incarnation: uint64(cfg.Started.UnixNano()), fleet: cfg.Fleet, slotUse: cfg.SlotUse, averageUse: 1,
+		changed: make(chan struct{}, 1), table: newTable(), gossip: gossip{queryRounds: initialQueryRounds},
 	}
 }
 
-// Changed has an element when there is something to tell peers: the node then hands
-// control.SuspectsChanged to the core.
+// Changed returns a channel that has an element when there are updates for peers: the node
+// then passes control.SuspectsChanged to the core.
 func (q *Quarantine) Changed() <-chan struct{} { return q.changed }
 
 func (q *Quarantine) wake() {
 	select {
 	case q.changed <- struct{}{}:
 	default:
-		// The node has not taken the last one yet.
+		// The node has not received the previous signal yet.
 	}
 }
 
 // count publishes the number of records.
 func (q *Quarantine) count() { q.size.Store(int64(len(q.table.records))) }
 
-// Empty tells whether no request is suspect. It takes no lock.
+// Empty reports whether no request is suspect. It takes no lock.
 func (q *Quarantine) Empty() bool { return q.size.Load() == 0 }
 
-// Decision says how a request is to be treated.
+// Decision states how an owner treats a request.
 type Decision struct {
-	// Crashes counts the ends of workers under the request that nothing has explained or
-	// cleared.
+	// Crashes counts the crashes under the request that no other request explains and no
+	// completed run has cleared.
 	Crashes int
-	// Quarantined: the request does not reach a worker. RetryAfter is when it may.
+	// Quarantined requests do not reach a worker; RetryAfter is when the request may.
 	Quarantined bool
 	RetryAfter  time.Duration
-	// Trial: it is put aside, and this once it may run, alone.
+	// Trial reports whether the quarantined request may run this once, exclusively.
 	Trial bool
-	// Home, when set, is the only owner at which it may run, as a worker may end under it
-	// again; RetryAfter then is when a worker that ended is expected back. Held: this node is
-	// not that owner, or nobody knows which one is.
+	// OnlyOwner, if set, is the only owner at which the request may run, as a worker may
+	// crash under it again; RetryAfter is then when a crashed worker is expected to
+	// recover. Deferred reports that this node is not that owner, or that the owner is
+	// unknown.
 	OnlyOwner model.InstanceID
 	Deferred  bool
-	// Lent: this node is the one that says where it may run, and leaves it to Home.
+	// Granted reports that this node coordinates the request and grants OnlyOwner the right
+	// to run it.
 	Granted bool
 }
 
-// Submission is what an attempt says of its sending.
+// Submission is what an attempt reports of its submission.
 type Submission struct {
-	// Crashes counts the workers that ended under earlier attempts.
+	// Crashes counts the workers that crashed under earlier attempts.
 	Crashes int
-	// Lent: the owner whose worker ended last under the request leaves it to this one.
+	// Granted reports that the coordinating owner has granted this one the right to run the
+	// request.
 	Granted bool
 }
 
-// Refusal returns what refuses the request, ReasonNone where it may run here.
-func (v Decision) Refusal() model.Refusal {
+// Refusal returns the reason for refusing the request, ReasonNone if it may run here.
+func (d Decision) Refusal() model.Refusal {
 	switch {
-	case v.Quarantined:
-		return model.Refusal{Reason: model.ReasonQuarantined, NotRun: true, RetryAfter: v.RetryAfter}
-	case v.Deferred:
-		return model.Refusal{Reason: model.ReasonDeferred, NotRun: true, RetryAfter: v.RetryAfter, OnlyOwner: v.OnlyOwner, Granted: v.Granted}
+	case d.Quarantined:
+		return model.Refusal{Reason: model.ReasonQuarantined, NotRun: true, RetryAfter: d.RetryAfter}
+	case d.Deferred:
+		return model.Refusal{Reason: model.ReasonDeferred, NotRun: true, RetryAfter: d.RetryAfter, OnlyOwner: d.OnlyOwner, Granted: d.Granted}
 	}
 	return model.Refusal{}
 }
 
-// Exclusive tells whether the request is to run where no other one as suspect runs, so that
-// the next end tells which of them it was.
-func (v Decision) Exclusive() bool {
-	return v.Trial || v.OnlyOwner != "" || v.Crashes >= endsToRunAlone
+// Exclusive reports whether the request must not run together with other such suspects, so
+// that the next crash shows which of them caused it.
+func (d Decision) Exclusive() bool {
+	return d.Trial || d.OnlyOwner != "" || d.Crashes >= exclusiveThreshold
 }
 
-// Bounds of the advice to come back.
+// Limits of Retry-After.
 const (
 	minRetry = time.Second
 	maxRetry = time.Hour
 )
 
-// Evaluate says how an owner treats a request that is offered to it. label is what the request
-// asks for.
+// Evaluate decides how an owner treats a request that is offered to it. label describes the
+// request.
 func (q *Quarantine) Evaluate(now time.Time, content model.Fingerprint, s Submission, label string) Decision {
 	if q.Empty() && s.Crashes == 0 {
 		return Decision{}
@@ -155,31 +163,31 @@
 	case s.Crashes == 0:
 		return Decision{}
 	default:
-		r = unheard(now, content, s.Crashes)
+		r = provisionalRecord(now, content, s.Crashes)
 	}
-	v := Decision{Crashes: r.left}
-	if !r.aside {
-		q.hold(now, r, s, &v)
-		return v
+	d := Decision{Crashes: r.unexplained}
+	if !r.quarantined {
+		q.restrict(now, r, s, &d)
+		return d
 	}
-	if r.trialDue(now) && trialHome(content, q.findNeighbours().admitting) == q.self.ID {
-		r.trialAt = now
-		v.Trial = true
-		q.note(event.QuarantineTrial, content, r.label)
-		return v
+	if r.trialDue(now) && rendezvousOwner(content, q.findNeighbours().admitting) == q.self.ID {
+		r.lastTrial = now
+		d.Trial = true
+		q.logRequest(event.QuarantineTrial, content, r.label)
+		return d
 	}
-	v.Quarantined = true
-	v.RetryAfter = r.retryAfter(now)
-	return v
+	d.Quarantined = true
+	d.RetryAfter = r.retryAfter(now)
+	return d
 }
 
-// Blocked tells whether an entry need not offer a request to any owner: it is put aside, and
-// no trial is due.
-func (q *Quarantine) Blocked(now time.Time, content model.Fingerprint) (retryAfter time.Duration, barred bool) {
+// Blocked reports whether an entry need not offer a request to any owner: it is quarantined
+// and no trial is due.
+func (q *Quarantine) Blocked(now time.Time, content model.Fingerprint) (retryAfter time.Duration, blocked bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	r := q.table.records[content]
-	if r == nil || !r.aside || r.trialDue(now) {
+	if r == nil || !r.quarantined || r.trialDue(now) {
 		return 0, false
 	}
 	return r.retryAfter(now), true
@@ -193,78 +201,79 @@
 	return min(max(at.Sub(now), minRetry), maxRetry)
 }
 
-// RunFailed takes a run that broke at the own worker; known tells that the worker is known to
-// have ended under it. Otherwise Ended may say so later.
+// RunFailed records a failed run at this node's worker. known reports whether the worker is
+// known to have crashed under it; if not, a later WorkerCrashed may still attribute the run
+// to a crash.
 func (q *Quarantine) RunFailed(now time.Time, r Run) (known bool) {
-	id := q.evidence.RunFailed(now, r)
+	id := q.correlator.RunFailed(now, r)
 	if id == 0 {
 		return false
 	}
-	q.inHand(now, id, []Run{r})
+	q.recordCrash(now, id, []Run{r})
 	return true
 }
 
-// RunAbandoned takes a run at the own worker that was given up before its end: the worker may still
-// have been at work when it ended.
-func (q *Quarantine) RunAbandoned(now time.Time, r Run) { q.evidence.RunAbandoned(now, r) }
+// RunAbandoned records a run at this node's worker that was abandoned before it completed:
+// the worker may still have been processing it when it crashed.
+func (q *Quarantine) RunAbandoned(now time.Time, r Run) { q.correlator.RunAbandoned(now, r) }
 
-// FailedTogether tells whether at least two runs broke about that time, as when the worker has
-// ended and nobody has found its port closed yet.
-func (q *Quarantine) FailedTogether(at time.Time) bool { return q.evidence.together(at) }
+// FailedTogether reports whether at least two runs failed at about that time, which is the
+// case when the worker has crashed and its port has not been found closed yet.
+func (q *Quarantine) FailedTogether(at time.Time) bool { return q.correlator.failedTogether(at) }
 
-// WorkerCrashed takes the word that the own worker's life has ended, not as planned. It may come
-// more than once for one end.
+// WorkerCrashed records that this node's worker stopped unexpectedly. It may be called
+// several times for one crash.
 func (q *Quarantine) WorkerCrashed(now time.Time) {
 	q.mu.Lock()
-	next := q.nextEnd()
-	q.returns.end(now)
+	next := q.nextCrashID()
+	q.recovery.crashed(now)
 	q.mu.Unlock()
-	if runs := q.evidence.WorkerCrashed(now, next); len(runs) > 0 {
+	if runs := q.correlator.WorkerCrashed(now, next); len(runs) > 0 {
 		q.mu.Lock()
-		q.noticed++
+		q.crashesAttributed++
 		q.mu.Unlock()
-		q.inHand(now, next, runs)
+		q.recordCrash(now, next, runs)
 	}
 }
 
-// nextEnd names the next end of the own worker; no other node's has the same name.
-func (q *Quarantine) nextEnd() CrashID {
-	q.named++
-	return CrashID(max(xxhash.Sum64String(fmt.Sprintf("%s/%d/%d", q.self.ID, q.life, q.named)), 1))
+// nextCrashID returns an ID for the next crash of this node's worker, unique in the fleet.
+func (q *Quarantine) nextCrashID() CrashID {
+	q.crashesNamed++
+	return CrashID(max(xxhash.Sum64String(fmt.Sprintf("%s/%d/%d", q.self.ID, q.incarnation, q.crashesNamed)), 1))
 }
 
-// inHand takes the runs under which the worker ended.
-func (q *Quarantine) inHand(now time.Time, id CrashID, runs []Run) {
+// recordCrash records the runs under which the worker crashed.
+func (q *Quarantine) recordCrash(now time.Time, id CrashID, runs []Run) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.noteEnd(id, runs)
+	q.logCrash(id, runs)
 	for _, run := range runs {
 		if run.Content.IsZero() {
 			continue
 		}
-		q.table.ended(now, run.Content, end{id, q.self.ID, now, run.AlreadySuspect, run.Trial})
+		q.table.addCrash(now, run.Content, crash{id, q.self.ID, now, run.AlreadySuspect, run.Trial})
 		q.table.records[run.Content].label = run.Label
 	}
-	q.convict(now, id, runs)
-	for _, r := range q.judge(now, "ended here") {
-		r.asideHere = true
+	q.quarantineAtSecondCrash(now, id, runs)
+	for _, r := range q.classify(now, "worker crashed here") {
+		r.quarantinedHere = true
 	}
 	q.wake()
 }
 
-// RunCompleted takes a whole answer of the own worker to a request.
+// RunCompleted records a complete response of this node's worker to a request.
 func (q *Quarantine) RunCompleted(now time.Time, content model.Fingerprint) {
 	if content.IsZero() {
 		return
 	}
-	q.whole.add(content)
+	q.completed.add(content)
 	if q.Empty() {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.table.completed(now, content) {
-		q.judge(now, "ran to its end here")
+	if q.table.clear(now, content) {
+		q.classify(now, "completed here")
 		q.wake()
 	}
 }
@@ -272,46 +281,47 @@
 // maxNamed bounds the runs that one log line names.
 const maxNamed = 32
 
-func (q *Quarantine) noteEnd(id CrashID, runs []Run) {
+func (q *Quarantine) logCrash(id CrashID, runs []Run) {
 	var names []string
 	for _, r := range runs[:min(len(runs), maxNamed)] {
 		names = append(names, r.Content.String()+" "+r.Label)
 	}
-	q.record(event.WorkerCrashed, fmt.Sprintf("%016x", uint64(id)), fmt.Sprintf("%d in hand: %s", len(runs), strings.Join(names, ", ")))
+	q.log(event.WorkerCrashed, fmt.Sprintf("%016x", uint64(id)), fmt.Sprintf("%d in flight: %s", len(runs), strings.Join(names, ", ")))
 }
 
-// judge finds who is to be put aside now and returns them; how tells what changed.
-func (q *Quarantine) judge(now time.Time, how string) (aside []*record) {
-	for _, j := range q.table.judge(now) {
-		if j.aside {
-			aside = append(aside, j.record)
-			q.note(event.RequestQuarantined, j.record.content, fmt.Sprintf("%s; ends of %s; %s", how, owners(j.record), j.record.label))
+// classify reclassifies the records and returns those that are quarantined from now on;
+// cause is logged.
+func (q *Quarantine) classify(now time.Time, cause string) (quarantined []*record) {
+	for _, t := range q.table.classify(now) {
+		if t.quarantined {
+			quarantined = append(quarantined, t.record)
+			q.logRequest(event.RequestQuarantined, t.record.content, fmt.Sprintf("%s; crashes at %s; %s", cause, crashOwners(t.record), t.record.label))
 			continue
 		}
-		q.note(event.QuarantineReleased, j.record.content, how)
+		q.logRequest(event.QuarantineReleased, t.record.content, cause)
 	}
 	q.count()
-	return aside
+	return quarantined
 }
 
-// owners names the instances whose workers ended under a request.
-func owners(r *record) string {
-	names := make([]string, len(r.ends))
-	for i, e := range r.ends {
-		names[i] = string(e.owner)
+// crashOwners names the instances whose workers crashed under a request.
+func crashOwners(r *record) string {
+	names := make([]string, len(r.crashes))
+	for i, c := range r.crashes {
+		names[i] = string(c.owner)
 	}
 	return strings.Join(names, ", ")
 }
 
-func (q *Quarantine) note(id event.ID, content model.Fingerprint, detail string) {
-	q.record(id, content.String(), detail)
+func (q *Quarantine) logRequest(id event.ID, content model.Fingerprint, detail string) {
+	q.log(id, content.String(), detail)
 }
 
-// maxNotes bounds the log lines that wait.
-const maxNotes = 64
+// maxPendingLog bounds the log lines in pendingLog.
+const maxPendingLog = 64
 
-func (q *Quarantine) record(id event.ID, subject, detail string) {
-	if len(q.notes) < maxNotes {
-		q.notes = append(q.notes, control.Record{Event: id, Subject: subject, Detail: detail})
+func (q *Quarantine) log(id event.ID, subject, detail string) {
+	if len(q.pendingLog) < maxPendingLog {
+		q.pendingLog = append(q.pendingLog, control.Record{Event: id, Subject: subject, Detail: detail})
 	}
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -11,170 +11,178 @@
 	"gypsumstand/internal/model"
 )
 
-// What makes a request suspect.
+// Thresholds for the number of crashes.
 const (
-	// endsToPutAside is the number of ends after which a request is put aside. With two,
-	// a request that happens to be in hand when two workers end by themselves would be.
-	endsToPutAside = 3
-	// endsToRunAlone is the number of ends from which a request runs at a worker where no
-	// other one as suspect runs, so that the next end tells which of them it was.
-	endsToRunAlone = 2
-	// maxEnds bounds the ends that are kept of one request; more prove nothing more.
-	maxEnds = 8
+	// quarantineThreshold is the number of crashes after which a request is quarantined.
+	// Two would include requests that happen to be in flight when two workers crash by
+	// chance.
+	quarantineThreshold = 3
+	// exclusiveThreshold is the number of crashes from which a request runs without other
+	// such suspects at the same worker, so that the next crash shows which of them caused
+	// it.
+	exclusiveThreshold = 2
+	// maxCrashes bounds the crashes kept of one request; more add no evidence.
+	maxCrashes = 8
 )
 
-// end is one end of a worker's life with a request in hand.
-type end struct {
+// crash is one worker crash with a request in flight.
+type crash struct {
 	id    CrashID
 	owner model.InstanceID
 	at    time.Time
-	// doubted: the run began after another end under the same request was known.
-	doubted bool
-	// trial: the run was a trial of a request that was put aside.
+	// alreadySuspect reports whether the run started after another crash under the same
+	// request was known.
+	alreadySuspect bool
+	// trial reports whether the run was a trial of a quarantined request.
 	trial bool
 }
 
-// weight orders the ends of one request by how much they prove.
-func (e *end) weight() int {
+// weight orders the crashes of one request by the strength of their evidence.
+func (c *crash) weight() int {
 	switch {
-	case e.trial:
+	case c.trial:
 		return 2
-	case e.doubted:
+	case c.alreadySuspect:
 		return 1
 	}
 	return 0
 }
 
-// record is what is known of one request.
+// record holds what is known of one request.
 type record struct {
 	content model.Fingerprint
-	// cleared counts the whole runs that cleared the request of the ends before them.
+	// cleared counts the completed runs that cleared the request of all earlier crashes.
 	cleared uint32
-	// ends since the last clearing, in the order of their ids.
-	ends []end
-	// barred: it has been put aside since the last clearing, and stays so until the next:
-	// the ends that another request explains later may have been its own too.
-	barred bool
-	// wide: it has been put aside at some time, so that every node of the fleet knows it;
-	// others are known to the nodes of their service.
-	wide bool
-	// changed is when the record last changed anywhere.
-	changed time.Time
-	// label is what the request asked for; empty where it was never seen here.
+	// crashes holds the crashes since the last clearing, sorted by ID.
+	crashes []crash
+	// latched reports that the request has been quarantined since the last clearing. It
+	// stays quarantined until the next one, since it may have caused even the crashes that
+	// another request explains later.
+	latched bool
+	// fleetWide reports that the request has been quarantined at some time, so that all
+	// nodes of the fleet keep its record. Other records are kept by the nodes of their
+	// service.
+	fleetWide bool
+	// changedAt is when the record last changed on any node.
+	changedAt time.Time
+	// label describes the request; empty if this node has never received it.
 	label string
-	// aside: the request is put aside, here since that time. left counts its ends that
-	// nothing else explains. All three are judged anew with each change.
-	aside bool
-	since time.Time
-	left  int
-	// trialAt is when a trial was last let through here.
-	trialAt time.Time
-	// untold: there is something that peers have not been told. asideHere: it is that an end
-	// of the own worker put the request aside.
-	untold, asideHere bool
+	// quarantined reports whether the request is quarantined, on this node since that time.
+	// unexplained counts its crashes that no other request explains. All three are
+	// recomputed after each change.
+	quarantined bool
+	since       time.Time
+	unexplained int
+	// lastTrial is when this node last admitted a trial.
+	lastTrial time.Time
+	// unsent reports changes that peers have not received; quarantinedHere that a crash of
+	// this node's worker quarantined the request.
+	unsent, quarantinedHere bool
 }
 
-// judge judges the request by its ends that nothing else explains. It is put aside for enough
-// of them, of which one came after another: a rack that is lost ends many workers at once
-// under a request that many ask for, and only one whose next run ends its worker again is
-// told apart from that.
-func (r *record) judge(explained map[CrashID]bool) {
-	left, doubted := r.unexplained(explained)
-	r.left = left
-	r.barred = r.barred || left >= endsToPutAside && doubted
-	r.aside = r.barred && len(r.ends) > 0
+// classify recomputes whether the request is quarantined, from its crashes that no other
+// request explains. It takes quarantineThreshold of them, at least one of which followed
+// another: the loss of a rack crashes many workers at once under a popular request, and
+// only a request whose next run crashes its worker again differs from that.
+func (r *record) classify(explained map[CrashID]bool) {
+	count, alreadySuspect := r.countUnexplained(explained)
+	r.unexplained = count
+	r.latched = r.latched || count >= quarantineThreshold && alreadySuspect
+	r.quarantined = r.latched && len(r.crashes) > 0
 }
 
-// innocent tells whether a request that is put aside may have been in hand by chance: others
-// explain all its ends, and no trial has shown anything yet.
-func (r *record) innocent() bool { return r.aside && r.left == 0 && r.trials() == 0 }
-
-// unexplained counts the ends that are not explained, and tells whether one of them is of a
-// run that was doubted.
-func (r *record) unexplained(explained map[CrashID]bool) (left int, doubted bool) {
-	for i := range r.ends {
-		if e := &r.ends[i]; !explained[e.id] {
-			left++
-			doubted = doubted || e.doubted
+// fullyExplained reports whether a quarantined request may have been in flight by chance:
+// other requests explain all its crashes, and no trial has failed.
+func (r *record) fullyExplained() bool {
+	return r.quarantined && r.unexplained == 0 && r.failedTrials() == 0
+}
+
+// countUnexplained counts the unexplained crashes and reports whether the request was
+// already suspect when one of their runs started.
+func (r *record) countUnexplained(explained map[CrashID]bool) (count int, alreadySuspect bool) {
+	for i := range r.crashes {
+		if e := &r.crashes[i]; !explained[e.id] {
+			count++
+			alreadySuspect = alreadySuspect || e.alreadySuspect
 		}
 	}
-	return left, doubted
+	return count, alreadySuspect
 }
 
-// last returns the last end under the request.
-func (r *record) last() end {
-	var last end
-	for _, e := range r.ends {
-		if e.at.After(last.at) {
-			last = e
+// lastCrash returns the latest crash under the request.
+func (r *record) lastCrash() crash {
+	var last crash
+	for _, c := range r.crashes {
+		if c.at.After(last.at) {
+			last = c
 		}
 	}
 	return last
 }
 
-// lastEnd returns when a worker last ended under the request.
-func (r *record) lastEnd() time.Time { return r.last().at }
+// lastCrashTime returns when a worker last crashed under the request.
+func (r *record) lastCrashTime() time.Time { return r.lastCrash().at }
 
-// unheard stands for a request of which an entry says that workers ended, and nobody else
-// yet.
-func unheard(now time.Time, content model.Fingerprint, ends int) *record {
-	return &record{content: content, ends: []end{{at: now}}, left: ends}
+// provisionalRecord returns a record for a request whose crashes only an entry has reported
+// so far.
+func provisionalRecord(now time.Time, content model.Fingerprint, crashes int) *record {
+	return &record{content: content, crashes: []crash{{at: now}}, unexplained: crashes}
 }
 
-// add adds an end and reports whether it is new. Of more than maxEnds those are kept that
-// prove most, the same ones on every node.
-func (r *record) add(e end) bool {
-	at, known := slices.BinarySearchFunc(r.ends, e.id, func(x end, id CrashID) int { return cmp.Compare(x.id, id) })
+// add adds a crash and reports whether it is new. Beyond maxCrashes it keeps those with the
+// strongest evidence, the same ones on every node.
+func (r *record) add(c crash) bool {
+	at, known := slices.BinarySearchFunc(r.crashes, c.id, func(x crash, id CrashID) int { return cmp.Compare(x.id, id) })
 	if known {
 		return false
 	}
-	r.ends = slices.Insert(r.ends, at, e)
-	if len(r.ends) <= maxEnds {
+	r.crashes = slices.Insert(r.crashes, at, c)
+	if len(r.crashes) <= maxCrashes {
 		return true
 	}
 	drop := 0
-	for i := range r.ends {
-		if r.ends[i].weight() <= r.ends[drop].weight() {
+	for i := range r.crashes {
+		if r.crashes[i].weight() <= r.crashes[drop].weight() {
 			drop = i
 		}
 	}
-	dropped := r.ends[drop].id
-	r.ends = slices.Delete(r.ends, drop, drop+1)
-	return dropped != e.id
+	dropped := r.crashes[drop].id
+	r.crashes = slices.Delete(r.crashes, drop, drop+1)
+	return dropped != c.id
 }
 
-// trials counts the trials that ended workers.
-func (r *record) trials() int {
+// failedTrials counts the trials that crashed workers.
+func (r *record) failedTrials() int {
 	n := 0
-	for _, e := range r.ends {
-		if e.trial {
+	for _, c := range r.crashes {
+		if c.trial {
 			n++
 		}
 	}
 	return n
 }
 
-// severity orders records: the greater is told first and forgotten last.
+// severity orders records: those with greater severity are sent first and evicted last.
 func (r *record) severity() int {
 	switch {
-	case r.aside:
-		return 2 * maxEnds
-	case r.wide:
-		return maxEnds
+	case r.quarantined:
+		return 2 * maxCrashes
+	case r.fleetWide:
+		return maxCrashes
 	}
-	return r.left
+	return r.unexplained
 }
 
-// digest returns a hash of what peers are to agree on.
+// digest returns a hash of the state that peers agree on.
 func (r *record) digest() uint64 {
-	b := make([]byte, 0, len(r.content)+4+8*len(r.ends))
+	b := make([]byte, 0, len(r.content)+4+8*len(r.crashes))
 	b = append(b, r.content[:]...)
 	b = binary.BigEndian.AppendUint32(b, r.cleared)
-	if r.barred {
+	if r.latched {
 		b = append(b, 1)
 	}
-	for _, e := range r.ends {
-		b = binary.BigEndian.AppendUint64(b, uint64(e.id))
+	for _, c := range r.crashes {
+		b = binary.BigEndian.AppendUint64(b, uint64(c.id))
 	}
 	return xxhash.Sum64(b)
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -12,51 +12,50 @@
 	"gypsumstand/internal/model"
 )
 
-// Bounds of what is remembered. Callers can make up requests that end workers without end,
-// and each end names all that was in hand.
+// Limits of the table. Callers can send new crashing requests without limit, and each crash
+// adds all requests that were in flight.
 const (
-	// maxRecords bounds the records; about 460 bytes each.
+	// maxRecords bounds the records, of about 460 bytes each.
 	maxRecords = 1024
-	// suspectMemory is how long a request that is not put aside is suspect after its last
-	// change. A day has eleven ends by themselves on ten thousand workers, so that the same
-	// innocent request is hardly in hand at three within an hour.
-	suspectMemory = time.Hour
-	// asideMemory is how long one that is put aside is remembered after its last change,
-	// beyond its last trial.
-	asideMemory = 7 * 24 * time.Hour
+	// suspectRetention is how long a request that is not quarantined stays suspect after
+	// its last change. Ten thousand workers have eleven chance crashes a day, so the same
+	// harmless request is hardly in flight at three within an hour.
+	suspectRetention = time.Hour
+	// quarantineRetention is how long a quarantined request is kept after its last change;
+	// it exceeds the time of the last trial.
+	quarantineRetention = 7 * 24 * time.Hour
 )
 
-// trialPauses are the times from the last end to each trial of a request that is put
-// aside. The first is for the sake of a request that workers which ended by themselves had
-// in hand; three is all that a request gets, since each may end a worker, and hardly one
-// that is put aside is innocent.
-var trialPauses = [...]time.Duration{2 * time.Minute, 30 * time.Minute, 24 * time.Hour}
+// trialDelays are the times from the last crash to each trial of a quarantined request. The
+// first trial serves requests that were in flight at chance crashes. A request gets no more
+// than three, since each may crash a worker and few quarantined requests are harmless.
+var trialDelays = [...]time.Duration{2 * time.Minute, 30 * time.Minute, 24 * time.Hour}
 
 // table holds the records of one node. It is not safe for concurrent use.
 type table struct {
 	records map[model.Fingerprint]*record
-	// lastEnds is when each owner's worker last ended under a request.
-	lastEnds map[model.InstanceID]time.Time
-	// changed: the records have changed since they were judged.
-	changed bool
+	// lastCrashes is when each owner's worker last crashed under a request.
+	lastCrashes map[model.InstanceID]time.Time
+	// dirty reports that records have changed since they were classified.
+	dirty bool
 }
 
 func newTable() table {
-	return table{records: map[model.Fingerprint]*record{}, lastEnds: map[model.InstanceID]time.Time{}}
+	return table{records: map[model.Fingerprint]*record{}, lastCrashes: map[model.InstanceID]time.Time{}}
 }
 
-// get returns the record of a request, a new one when there is none.
+// get returns the record of a request and creates it if necessary.
 func (t *table) get(now time.Time, content model.Fingerprint) *record {
 	r := t.records[content]
 	if r == nil {
 		t.makeRoom()
-		r = &record{content: content, changed: now}
+		r = &record{content: content, changedAt: now}
 		t.records[content] = r
 	}
 	return r
 }
 
-// makeRoom forgets the least severe record when there are too many, the oldest of these.
+// makeRoom evicts the least severe record when the table is full, the oldest one of these.
 func (t *table) makeRoom() {
 	if len(t.records) < maxRecords {
 		return
@@ -64,7 +63,7 @@
 	var least *record
 	for _, r := range t.records {
 		if least == nil || r.severity() < least.severity() ||
-			r.severity() == least.severity() && r.changed.Before(least.changed) {
+			r.severity() == least.severity() && r.changedAt.Before(least.changedAt) {
 			least = r
 		}
 	}
@@ -73,153 +72,156 @@
 
 func (t *table) forget(r *record) {
 	delete(t.records, r.content)
-	t.changed = true
+	t.dirty = true
 }
 
-// ended adds an end under a request.
-func (t *table) ended(now time.Time, content model.Fingerprint, e end) {
+// addCrash adds a crash under a request.
+func (t *table) addCrash(now time.Time, content model.Fingerprint, c crash) {
 	r := t.get(now, content)
-	if t.add(r, e) {
-		t.touch(r, e.at)
+	if t.addTo(r, c) {
+		t.touch(r, c.at)
 	}
 }
 
-// add adds an end to a record and reports whether it is new.
-func (t *table) add(r *record, e end) bool {
-	if !r.add(e) {
+// addTo adds a crash to a record and reports whether it is new.
+func (t *table) addTo(r *record, c crash) bool {
+	if !r.add(c) {
 		return false
 	}
-	if e.at.After(t.lastEnds[e.owner]) {
-		t.lastEnds[e.owner] = e.at
+	if c.at.After(t.lastCrashes[c.owner]) {
+		t.lastCrashes[c.owner] = c.at
 	}
 	return true
 }
 
-// touch notes that a record changed at that time, and that peers have not been told. Until it
-// is judged it counts as suspect, or the next one of the same end would take its place in a
+// touch marks a record as changed at a time and unsent. Until the record is classified it
+// counts as suspect; otherwise the next request of the same crash would evict it from a
 // full table.
 func (t *table) touch(r *record, at time.Time) {
-	r.left = max(r.left, min(len(r.ends), 1))
-	if at.After(r.changed) {
-		r.changed = at
+	r.unexplained = max(r.unexplained, min(len(r.crashes), 1))
+	if at.After(r.changedAt) {
+		r.changedAt = at
 	}
-	r.untold = true
-	t.changed = true
+	r.unsent = true
+	t.dirty = true
 }
 
-// judged is a request that is put aside from now on, or no longer.
-type judged struct {
-	record *record
-	aside  bool
+// transition is a request that is quarantined from now on, or released.
+type transition struct {
+	record      *record
+	quarantined bool
 }
 
-// judge finds who is to be put aside and returns what has changed. The request with the most
-// ends explains those ends: whoever else was in hand then is not suspect for them. One that
-// was put aside before stays so, or several that end workers would release each other by
-// turns; it may be tried at once. The verdict follows from the records alone, so that nodes
-// with the same ones agree.
-func (t *table) judge(now time.Time) []judged {
-	if !t.changed {
+// classify recomputes which requests are quarantined and returns the changes. The request
+// with the most crashes explains those crashes: other requests that were in flight are not
+// suspect because of them. A request that is already quarantined stays so, since several
+// crashing requests would otherwise release each other in turn; instead a trial of it may
+// start at once. The result depends on the records alone, so nodes with equal records
+// agree.
+func (t *table) classify(now time.Time) []transition {
+	if !t.dirty {
 		return nil
 	}
-	t.changed = false
+	t.dirty = false
 	explained := map[CrashID]bool{}
-	var out []judged
-	for _, r := range t.byEnds() {
-		was := r.aside
-		r.judge(explained)
-		if r.aside {
-			for _, e := range r.ends {
-				explained[e.id] = true
+	var out []transition
+	for _, r := range t.byCrashCount() {
+		was := r.quarantined
+		r.classify(explained)
+		if r.quarantined {
+			for _, c := range r.crashes {
+				explained[c.id] = true
 			}
 		}
-		if r.aside == was {
+		if r.quarantined == was {
 			continue
 		}
 		r.since = time.Time{}
-		if r.aside {
+		if r.quarantined {
 			r.since = now
-			r.untold = r.untold || !r.wide
-			r.wide = true
+			r.unsent = r.unsent || !r.fleetWide
+			r.fleetWide = true
 		}
-		out = append(out, judged{r, r.aside})
+		out = append(out, transition{r, r.quarantined})
 	}
 	return out
 }
 
-// byEnds returns the records, those with the most ends first.
-func (t *table) byEnds() []*record {
+// byCrashCount returns the records sorted by their number of crashes, highest first.
+func (t *table) byCrashCount() []*record {
 	out := slices.Collect(maps.Values(t.records))
 	slices.SortFunc(out, func(a, b *record) int {
-		return cmp.Or(cmp.Compare(len(b.ends), len(a.ends)), bytes.Compare(a.content[:], b.content[:]))
+		return cmp.Or(cmp.Compare(len(b.crashes), len(a.crashes)), bytes.Compare(a.content[:], b.content[:]))
 	})
 	return out
 }
 
-// completed takes that a run of a request came to its end: it ends no workers. It reports
-// whether there was anything to clear.
-func (t *table) completed(now time.Time, content model.Fingerprint) (cleared bool) {
+// clear removes the crashes of a request that has completed a run, as it does not crash
+// workers. It reports whether there were any.
+func (t *table) clear(now time.Time, content model.Fingerprint) (cleared bool) {
 	r := t.records[content]
-	if r == nil || len(r.ends) == 0 {
+	if r == nil || len(r.crashes) == 0 {
 		return false
 	}
 	r.cleared++
-	r.ends, r.barred = nil, false
+	r.crashes, r.latched = nil, false
 	t.touch(r, now)
 	return true
 }
 
-// memory returns how long a record is kept. Of one that was released only that is left.
-func memory(wide bool, ends int) time.Duration {
-	if wide && ends > 0 {
-		return asideMemory
+// retention returns how long a record is kept. A released record holds nothing but its
+// clearing count, so suspectRetention is enough for it.
+func retention(fleetWide bool, crashes int) time.Duration {
+	if fleetWide && crashes > 0 {
+		return quarantineRetention
 	}
-	return suspectMemory
+	return suspectRetention
 }
 
-// expire forgets what is too old.
+// expire removes expired records.
 func (t *table) expire(now time.Time) {
 	for _, r := range t.records {
-		if now.Sub(r.changed) > memory(r.wide, len(r.ends)) {
+		if now.Sub(r.changedAt) > retention(r.fleetWide, len(r.crashes)) {
 			t.forget(r)
 		}
 	}
-	for owner, at := range t.lastEnds {
-		if now.Sub(at) > suspectMemory {
-			delete(t.lastEnds, owner)
+	for owner, at := range t.lastCrashes {
+		if now.Sub(at) > suspectRetention {
+			delete(t.lastCrashes, owner)
 		}
 	}
 }
 
-// nextTrial returns when a request that is put aside may be tried again; ok is false when
-// it has had all its trials.
+// nextTrial returns when the next trial of a quarantined request is due; ok is false if it
+// has had all its trials.
 func (r *record) nextTrial() (at time.Time, ok bool) {
-	if r.innocent() {
-		return r.lastEnd(), true
+	if r.fullyExplained() {
+		return r.lastCrashTime(), true
 	}
-	failed := r.trials()
-	if failed >= len(trialPauses) {
+	failed := r.failedTrials()
+	if failed >= len(trialDelays) {
 		return time.Time{}, false
 	}
-	return r.lastEnd().Add(trialPauses[failed]), true
+	return r.lastCrashTime().Add(trialDelays[failed]), true
 }
 
-// trialDue tells whether a trial may begin now. One that was let through and of which
-// nothing is known counts for the first pause.
+// trialDue reports whether a trial may start now. After a trial that was admitted and whose
+// outcome is unknown, the next one waits for the first delay.
 func (r *record) trialDue(now time.Time) bool {
 	at, ok := r.nextTrial()
-	return ok && !now.Before(at) && now.Sub(r.trialAt) >= trialPauses[0]
+	return ok && !now.Before(at) && now.Sub(r.lastTrial) >= trialDelays[0]
 }
 
-// trialHome returns the instance that tries a request: the same one in all views that are
-// equal, so that one trial is made and not one by each owner.
-func trialHome(content model.Fingerprint, owners []model.InstanceID) model.InstanceID {
-	var home model.InstanceID
-	var most uint64
+// rendezvousOwner selects one owner for a request by rendezvous hashing. Nodes with equal
+// views select the same one, so that for example one trial is made and not one by each
+// owner.
+func rendezvousOwner(content model.Fingerprint, owners []model.InstanceID) model.InstanceID {
+	var owner model.InstanceID
+	var highest uint64
 	for _, id := range owners {
-		if rank := xxhash.Sum64String(string(content[:]) + string(id)); home == "" || rank > most {
-			home, most = id, rank
+		if rank := xxhash.Sum64String(string(content[:]) + string(id)); owner == "" || rank > highest {
+			owner, highest = id, rank
 		}
 	}
-	return home
+	return owner
 }
--- a/internal/quarantine/view.go
+++ b/internal/quarantine/view.go
@@ -6,39 +6,39 @@
 	"gypsumstand/internal/model"
 )
 
-// SuspectRequest is a request under which workers ended, as operators are shown it.
+// SuspectRequest is a request under which workers crashed, as shown to operators.
 type SuspectRequest struct {
 	Content model.Fingerprint
-	// Label is what it asked for; empty where this node has never seen it.
+	// Label describes the request; empty if this node has never received it.
 	Label string
-	// Quarantined tells whether it is kept from workers, for how long at this node, and when
-	// it may be tried; NextTrial is zero when it is not any more.
+	// Quarantined reports whether the request is kept from workers, on this node since
+	// Since. NextTrial is when it may be tried; zero if it has no trials left.
 	Quarantined bool
 	Since       time.Time
 	NextTrial   time.Time
 	Crashes     []Crash
 }
 
-// WorkerCrashed is one end of a worker's life under a request.
+// Crash is one worker crash under a request.
 type Crash struct {
 	Owner model.InstanceID
 	At    time.Time
 }
 
-// Counts are numbers for metrics.
+// Counts holds the values of the quarantine metrics.
 type Counts struct {
-	// Suspects are all requests that are suspect, Quarantined those of them that are kept
-	// from workers.
+	// Suspects counts all suspect requests, Quarantined those of them that are kept from
+	// workers.
 	Suspects, Quarantined int
-	// Crashes counts the own worker's ends with requests in hand.
+	// Crashes counts this node's worker crashes with requests in flight.
 	Crashes uint64
 }
 
-// Suspects returns the requests that are suspect, those that are put aside first.
+// Suspects returns the suspect requests, quarantined ones first.
 func (q *Quarantine) Suspects() []SuspectRequest {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	records := q.table.where(func(r *record) bool { return r.left > 0 })
+	records := q.table.matching(func(r *record) bool { return r.unexplained > 0 })
 	out := make([]SuspectRequest, len(records))
 	for i, r := range records {
 		out[i] = r.view()
@@ -47,26 +47,26 @@
 }
 
 func (r *record) view() SuspectRequest {
-	s := SuspectRequest{Content: r.content, Label: r.label, Quarantined: r.aside, Since: r.since}
+	s := SuspectRequest{Content: r.content, Label: r.label, Quarantined: r.quarantined, Since: r.since}
 	if s.Quarantined {
 		s.NextTrial, _ = r.nextTrial()
 	}
-	for _, e := range r.ends {
-		s.Crashes = append(s.Crashes, Crash{e.owner, e.at})
+	for _, c := range r.crashes {
+		s.Crashes = append(s.Crashes, Crash{c.owner, c.at})
 	}
 	return s
 }
 
-// Counts returns the numbers.
+// Counts returns the current counts.
 func (q *Quarantine) Counts() Counts {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	c := Counts{Crashes: q.noticed}
+	c := Counts{Crashes: q.crashesAttributed}
 	for _, r := range q.table.records {
-		if r.left > 0 {
+		if r.unexplained > 0 {
 			c.Suspects++
 		}
-		if r.aside {
+		if r.quarantined {
 			c.Quarantined++
 		}
 	}
