--- a/internal/blackboard/blackboard.go
+++ b/internal/blackboard/blackboard.go
@@ -1,7 +1,7 @@
-// Package blackboard is the node's shared state: typed sections, each written
-// by one controller and read by any as an immutable snapshot. Reading never
-// blocks and takes no lock, so the data path does not wait for control.
-// Design: docs/DESIGN.md, "Blackboard".
+// Package blackboard holds a node's shared state in typed sections. Each section is written
+// by one controller and read by any goroutine as an immutable snapshot. Reads take no lock
+// and never block, so the data path does not wait for the controllers. Design:
+// docs/DESIGN.md, "Blackboard".
 package blackboard
 
 import (
@@ -12,53 +12,52 @@
 	"gypsumstand/internal/model"
 )
 
-// Section holds one immutable snapshot. Put is called by the section's one
-// writing controller; Get by anyone, at any time.
+// Section holds one immutable snapshot. Put must be called only by the controller that
+// writes the section; Get is safe for concurrent use.
 type Section[T any] struct {
 	value   atomic.Pointer[T]
 	changes atomic.Uint64
 }
 
-// Get returns the newest snapshot; nil before the first Put. Readers must not
-// change it.
+// Get returns the latest snapshot, nil before the first Put. Callers must not modify it.
 func (s *Section[T]) Get() *T { return s.value.Load() }
 
-// Put publishes a snapshot, which must not be changed afterwards.
+// Put publishes a snapshot, which must not be modified afterwards.
 func (s *Section[T]) Put(v *T) {
 	s.value.Store(v)
 	s.changes.Add(1)
 }
 
-// Changes counts the Puts so far, so that a reader can tell cheaply whether to
-// rebuild what it derived.
+// Changes returns the number of Puts so far, which lets a reader check cheaply whether to
+// rebuild derived state.
 func (s *Section[T]) Changes() uint64 { return s.changes.Load() }
 
-// Board has one section per subject. The writer of each is named beside it.
+// Board has one section per subject, with its writer named beside it.
 type Board struct {
-	// Bundles in force. Writer: spread.
+	// Bundles holds the bundles in force. Writer: spread.
 	Bundles Section[bundle.Set]
-	// Fleet as known. Writer: member.
+	// Fleet is the current view of the fleet. Writer: member.
 	Fleet Section[model.Fleet]
-	// Self is this node's own life stage. Writer: node lifecycle.
+	// Self is this node's identity and lifecycle state. Writer: node lifecycle.
 	Self Section[Self]
-	// Sources tells how old what was read from the platform is. Writer: spread
-	// for Config, member for List, through control.
+	// Sources holds the age of the data read from the platform. Writer: spread for Config,
+	// member for List, through control.
 	Sources Section[Sources]
-	// Directory is what is known of the directory, for peers. Writer: directory.
+	// Directory is the known content of the directory, for peers. Writer: directory.
 	Directory Section[Directory]
-	// Unreachable names owners that this node cannot connect to. Writer: reach.
+	// Unreachable lists owners that this node cannot connect to. Writer: reach.
 	Unreachable Section[[]model.InstanceID]
-	// Readiness tells whether the node serves. Writer: control.
+	// Readiness reports whether the node is ready to serve. Writer: control.
 	Readiness Section[Readiness]
 }
 
-// Self is this node's own identity and life stage.
+// Self is this node's identity and lifecycle state.
 type Self struct {
 	Instance model.Instance
 }
 
-// Sources tells when each source last confirmed what this node holds, by its
-// own reading or by a peer's.
+// Sources holds when each source last confirmed this node's data, through its own read or a
+// peer's.
 type Sources struct {
 	ConfigConfirmed time.Time
 	ListConfirmed   time.Time
@@ -67,36 +66,37 @@
 	ListReads   uint64
 }
 
-// Directory is what a node knows of the directory that it follows.
+// Directory is a node's knowledge of the directory that it follows.
 type Directory struct {
-	// Revision is the directory's up to which every change is known, and Confirmed
-	// when that was known to be the newest, by this node's reading or a peer's.
+	// Revision is the directory revision up to which every change is known, and Confirmed
+	// when it was last known to be the latest, through this node's read or a peer's.
 	Revision  uint64
 	Confirmed time.Time
-	// Listed holds the workers that the directory names, Gone those that it removed
-	// after Floor.
+	// Listed holds the workers in the directory, Unlisted those removed after
+	// CompactedRevision.
 	Listed            []model.Listing
 	Unlisted          []model.Unlisted
 	CompactedRevision uint64
-	// Evacuations are those in force, and the ends after Floor of others.
+	// Evacuations holds those in force, and the ends of others after CompactedRevision.
 	Evacuations []model.Evacuation
 	Config      *model.RawConfig
-	// Refused is a configuration after Config that this node cannot decode.
+	// Refused is a newer configuration than Config that this node cannot decode.
 	Refused *model.RawConfig
-	// FailedAt is when this node's own last reading failed; zero when it succeeded.
+	// FailedAt is when this node's last read failed; zero if it succeeded.
 	FailedAt time.Time
 }
 
-// ReadFailureMemory is how long after a failed reading a node is taken to be unable to read the
-// directory: while peers keep it fresh it hardly tries again.
+// ReadFailureMemory is how long after a failed read a node is taken to be unable to read
+// the directory. A node that peers keep fresh hardly reads, so it may not notice sooner
+// that reads succeed again.
 const ReadFailureMemory = 10 * time.Second
 
-// Failing tells whether this node's own readings fail.
+// Failing reports whether this node's own reads fail.
 func (d *Directory) Failing(now time.Time) bool {
 	return !d.FailedAt.IsZero() && now.Sub(d.FailedAt) < ReadFailureMemory
 }
 
-// Freshness returns what rides on messages at time now.
+// Freshness returns the freshness at time now, which is sent with messages.
 func (d *Directory) Freshness(now time.Time) model.DirectoryFreshness {
 	if d == nil || d.Revision == 0 {
 		return model.DirectoryFreshness{}
@@ -104,7 +104,7 @@
 	return model.DirectoryFreshness{Revision: d.Revision}.Aged(now.Sub(d.Confirmed))
 }
 
-// Readiness tells whether callers may be served, and what is still missing.
+// Readiness reports whether callers may be served, and what is still missing.
 type Readiness struct {
 	Ready   bool
 	Missing []string
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,8 +1,8 @@
-// Package control holds the events that go into a node's controllers and the
-// actions that come out of them. Controllers do no I/O: adapters turn sockets
-// and timers into events and carry actions out. One goroutine feeds all
-// controllers of a node, so they need no locks; whatever the data path reads,
-// they publish on the blackboard. Design: docs/DESIGN.md, "Core without I/O".
+// Package control defines the events that go into a node's controllers and the actions that
+// come out of them. Controllers do no I/O: adapters turn sockets and timers into events and
+// carry out actions. One goroutine feeds all controllers of a node, so they need no locks;
+// they publish state for the data path on the blackboard. Design: docs/DESIGN.md, "Core
+// without I/O".
 package control
 
 import (
@@ -17,162 +17,165 @@
 // TickInterval is the time between two Tick events.
 const TickInterval = 100 * time.Millisecond
 
-// PauseThreshold is how late a Tick must be for a Paused event to come before it.
+// PauseThreshold is how late a Tick must be for a Paused event to precede it.
 const PauseThreshold = time.Second
 
-// Event is something that happened; adapters make them.
+// Event is an input to the controllers, created by adapters.
 type Event interface{ isEvent() }
 
-// Tick comes every TickInterval.
+// Tick occurs every TickInterval.
 type Tick struct{}
 
-// Paused comes before anything else that waited when a tick was late by more
-// than PauseThreshold: the process had been stopped or starved For that long.
+// Paused precedes all events that were waiting when a tick was late by more than
+// PauseThreshold: the process had been stopped or starved of CPU For that long.
 type Paused struct{ For time.Duration }
 
-// Suspended comes before anything else that waited when the machine was suspended For that
-// long, which the clock of the events does not count.
+// Suspended precedes all events that were waiting when the machine had been suspended For
+// that long. The clock of the events does not count that time.
 type Suspended struct{ For time.Duration }
 
-// LinkUp says that a control link to or from a peer is open.
+// LinkUp reports that a control link to or from a peer is open.
 type LinkUp struct {
 	Peer model.Instance
-	// Outgoing tells whether this node opened it.
+	// Outgoing reports whether this node opened the link.
 	Outgoing bool
 }
 
-// LinkDown says that a link closed or could not be opened.
+// LinkDown reports that a link was closed or could not be opened.
 type LinkDown struct {
 	Peer model.InstanceID
-	// Failed tells an unexpected end or a failed opening from a planned close.
+	// Failed distinguishes a broken link or a failed attempt to open it from a planned
+	// close.
 	Failed bool
 }
 
-// Received is a message from a peer's link.
+// Received is a message from a peer over a link.
 type Received struct {
 	From    model.InstanceID
 	Message wire.Message
 }
 
-// ListRead is an answered read of the platform's list of instances.
+// ListRead is the result of reading the platform's list of instances.
 type ListRead struct {
-	// Revision orders lists of the platform; a smaller one is stale.
+	// Revision orders versions of the list; a smaller one is stale.
 	Revision uint64
-	// Full says that Instances is the whole list; otherwise it holds what
-	// changed since the revision asked for.
+	// Full reports that Instances is the complete list; otherwise it holds the changes
+	// since the requested revision.
 	Full      bool
 	Instances []model.Instance
 }
 
-// ListReadFailed says that reading the list failed.
+// ListReadFailed reports that the list could not be read.
 type ListReadFailed struct{ Err error }
 
-// IndexRead is an answered read of the configuration service's index.
+// IndexRead is the result of reading the configuration service's index.
 type IndexRead struct {
 	Revision uint64
 	Versions []model.BundleVersion
 }
 
-// IndexReadFailed says that reading the index failed.
+// IndexReadFailed reports that the index could not be read.
 type IndexReadFailed struct{ Err error }
 
-// ValueRead is one signed bundle as the configuration service holds it.
+// ValueRead is one signed bundle as stored in the configuration service.
 type ValueRead struct {
 	Name model.BundleName
 	Data []byte
 }
 
-// ValueReadFailed says that reading a value failed.
+// ValueReadFailed reports that a bundle could not be read.
 type ValueReadFailed struct {
 	Name model.BundleName
 	Err  error
 }
 
-// DirectoryRead is what a directory told: a source that holds the workers and the
-// configuration, both already checked by whoever writes them.
+// DirectoryRead is the result of reading a directory, a source of workers and configuration
+// that were checked when they were written.
 type DirectoryRead struct {
-	// Revision is the directory's up to which this tells every change.
+	// Revision is the directory's revision; all changes up to it are included.
 	Revision uint64
-	// Full says that Listed holds every worker; otherwise Listed holds those that
-	// changed and Gone those that were removed.
+	// Full reports that Listed holds every worker; otherwise Listed holds the changed
+	// workers and Unlisted the removed ones.
 	Full     bool
 	Listed   []model.Listing
 	Unlisted []model.Unlisted
-	// Evacuations holds those in force where Whole, otherwise those that changed.
+	// Evacuations holds those in force if Full, and the changed ones otherwise.
 	Evacuations []model.Evacuation
-	// Config is the configuration and Bundle what it means; nil when it has not
-	// changed.
+	// Config is the configuration as stored and Bundle its decoded form; both are nil if it
+	// has not changed.
 	Config *model.RawConfig
 	Bundle *bundle.Bundle
-	// Refused is the newest configuration where that cannot be decoded, for the reason
-	// RefusedErr; Config is then an older one, or nil.
+	// Refused is the newest configuration if it cannot be decoded, and RefusedErr the
+	// reason. Config is then an older configuration or nil.
 	Refused    *model.RawConfig
 	RefusedErr error
-	// ReadDuration is how long the reading took: it tells what held at its start, not what
-	// has changed since.
+	// ReadDuration is how long the read took. The result reflects the state at its start;
+	// later changes may be missing.
 	ReadDuration time.Duration
 }
 
-// DirectoryFailed says that the directory could not be read.
+// DirectoryFailed reports that the directory could not be read.
 type DirectoryFailed struct{ Err error }
 
-// PeerFreshnessReceived is a peer's mark: of a report, with an age that is an upper bound, or
-// the bare revision of an attempt, with AgeUnknown.
+// PeerFreshnessReceived is a peer's directory freshness: from a report its age is an upper
+// bound; from an attempt it is only a revision, with AgeUnknown.
 type PeerFreshnessReceived struct {
 	From      model.InstanceID
 	Freshness model.DirectoryFreshness
 }
 
-// PeerDirectoryReceived is a peer's answer to RequestPeerDirectory, Age how old it was when the peer
-// sent it.
+// PeerDirectoryReceived is a peer's reply to RequestPeerDirectory. Age is an upper bound of
+// the age of its content.
 type PeerDirectoryReceived struct {
 	From model.InstanceID
 	DirectoryRead
 	Age time.Duration
-	// Failing: the peer's own readings of the directory fail.
+	// ReadsFailing reports that the peer's own reads of the directory fail.
 	ReadsFailing bool
 }
 
-// PeerDirectoryFailed says that a peer did not answer RequestPeerDirectory.
+// PeerDirectoryFailed reports that a peer did not reply to RequestPeerDirectory.
 type PeerDirectoryFailed struct {
 	From model.InstanceID
 	Err  error
 }
 
-// VersionSeen is a bundle version that rode on a call or an answer. Adapters
-// send it only when it is newer than the one in force, at most once a tick.
+// VersionSeen is a bundle version received with a call or a response. Adapters send it only
+// if it is newer than the one in force, at most once a tick.
 type VersionSeen struct {
 	From    model.InstanceID
 	Version model.BundleVersion
 }
 
-// SelfStateChanged says that this node's own life stage changed.
+// SelfStateChanged reports that this node's own lifecycle state has changed.
 type SelfStateChanged struct{ State model.UpstreamState }
 
-// WorkerIdentified says which worker this node's own one says it is, when that has changed.
+// WorkerIdentified reports the ID that this node's worker gives for itself, when that has
+// changed.
 type WorkerIdentified struct{ Worker model.WorkerID }
 
-// OwnerUnresponsive says that an attempt got no answer of its owner, for a reason that may
-// lie with the way there. Adapters send it at most once an owner and tick.
+// OwnerUnresponsive reports that an attempt got no response from its owner, possibly
+// because of the network path. Adapters send it at most once per owner and tick.
 type OwnerUnresponsive struct {
 	Owner model.Instance
-	// NoConnection: no connection could be had.
+	// NoConnection reports that no connection could be opened.
 	NoConnection bool
-	// NotAcknowledged: the owner did not begin to answer in time.
+	// NotAcknowledged reports that the owner did not acknowledge the attempt in time.
 	NotAcknowledged bool
 }
 
-// OwnersReportedUnreachable names owners that a peer cannot connect to. Adapters send each at
-// most once a tick.
+// OwnersReportedUnreachable lists owners that a peer cannot connect to. Adapters send each
+// owner at most once a tick.
 type OwnersReportedUnreachable struct{ Owners []model.InstanceID }
 
-// ReachabilityProbed is the end of a ProbeReachability: Err is nil when the owner's node answered.
+// ReachabilityProbed is the result of ProbeReachability: Err is nil if the owner's node
+// responded.
 type ReachabilityProbed struct {
 	Owner model.Instance
 	Err   error
 }
 
-// SuspectsChanged says that quarantine.Quarantine has something to tell peers.
+// SuspectsChanged reports that quarantine.Quarantine has updates for peers.
 type SuspectsChanged struct{}
 
 func (SuspectsChanged) isEvent() {}
@@ -202,16 +205,16 @@
 func (OwnersReportedUnreachable) isEvent() {}
 func (ReachabilityProbed) isEvent()        {}
 
-// Action is something an adapter must do.
+// Action is an output that an adapter carries out.
 type Action interface{ isAction() }
 
-// Send sends a message on an open link; it is dropped when there is none.
+// Send sends a message on an open link; the message is dropped if there is none.
 type Send struct {
 	To      model.InstanceID
 	Message wire.Message
 }
 
-// SendDirect sends a message to an instance, over an open link or a brief one.
+// SendDirect sends a message to an instance, over an open link or a short-lived one.
 type SendDirect struct {
 	To      model.Instance
 	Message wire.Message
@@ -226,7 +229,7 @@
 // CloseLink closes a link that this node opened.
 type CloseLink struct{ Peer model.InstanceID }
 
-// ReadList reads the platform's list; Since zero asks for the whole.
+// ReadList reads the platform's list; Since zero requests the complete list.
 type ReadList struct{ Since uint64 }
 
 // ReadIndex reads the configuration service's index.
@@ -235,29 +238,30 @@
 // ReadValue reads one signed bundle from the configuration service.
 type ReadValue struct{ Name model.BundleName }
 
-// ReadDirectory reads what changed in the directory after a revision; zero asks for
-// the whole.
+// ReadDirectory reads the directory's changes after a revision; zero requests its complete
+// content.
 type ReadDirectory struct{ After uint64 }
 
-// RequestPeerDirectory asks a peer what changed in the directory after a revision.
+// RequestPeerDirectory requests the directory's changes after a revision from a peer.
 type RequestPeerDirectory struct {
 	Peer  model.Instance
 	After uint64
 }
 
-// ProbeReachability opens a connection to an owner's node and asks for any answer;
+// ProbeReachability opens a connection to an owner's node and waits for any response;
 // ReachabilityProbed follows.
 type ProbeReachability struct{ Owner model.Instance }
 
-// OwnerUnreachable tells the attempts at an owner that it is out of reach: those whose
+// OwnerUnreachable notifies the attempts at an owner that it is unreachable: those whose
 // requests may be repeated are also made elsewhere.
 type OwnerUnreachable struct{ Owner model.InstanceID }
 
-// OutcomeResolved hands an owner's settlement to the call that asked for it.
+// OutcomeResolved passes an owner's outcome resolution to the call that requested it.
 type OutcomeResolved struct{ Reply wire.ResolveReply }
 
-// SendSuspectUpdate tells a peer of requests under which workers end. Its answer goes to
-// quarantine.Quarantine.Told, and what that returns to the same peer.
+// SendSuspectUpdate sends a peer an update on requests that crash workers. The adapter
+// passes the reply to quarantine.Quarantine.HandleReply, and that method's result to the
+// same peer.
 type SendSuspectUpdate struct {
 	To     model.Instance
 	Update wire.SuspectUpdate
@@ -266,15 +270,15 @@
 // Record logs a numbered event.
 type Record struct {
 	Event event.ID
-	// Subject names what it is about (an instance, a bundle version).
+	// Subject names the object of the event (an instance, a bundle version).
 	Subject string
 	Detail  string
 	Err     error
 }
 
-// AdoptIncarnation says that this node must take a greater incarnation, since
-// peers remember one as great or have declared its present one gone. The owner
-// must bind new attempts to it from now on.
+// AdoptIncarnation reports that this node must adopt a greater incarnation, because peers
+// remember one as great or have declared the current one gone. The owner must bind new
+// attempts to it from now on.
 type AdoptIncarnation struct{ Incarnation model.Incarnation }
 
 func (Send) isAction()                 {}
@@ -293,9 +297,9 @@
 func (OwnerUnreachable) isAction()     {}
 func (SendSuspectUpdate) isAction()    {}
 
-// Controller is one writer of blackboard sections.
+// Controller writes sections of the blackboard.
 type Controller interface {
-	// Handle takes one event at time now and returns what to do. It is called
-	// from one goroutine, must not block and may not keep ev.
+	// Handle processes one event at time now and returns the actions to carry out. It is
+	// called from one goroutine, must not block and must not retain ev.
 	Handle(now time.Time, ev Event) []Action
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,8 +1,7 @@
-// Package core puts the decision parts of one node together: the blackboard,
-// the controllers that write it, the routing table, the owner of the worker and
-// the engine of calls. It does no I/O; the program, the tests on a fake clock
-// and an outside bench drive the same code. Design: docs/DESIGN.md, "Core
-// without I/O".
+// Package core assembles the decision-making parts of one node: the blackboard, the
+// controllers that write it, the routing table, the owner of the worker and the engine of
+// calls. It does no I/O; the program, the tests on a fake clock and external simulators
+// drive the same code. Design: docs/DESIGN.md, "Core without I/O".
 package core
 
 import (
@@ -26,70 +25,73 @@
 	"gypsumstand/internal/wire"
 )
 
-// Config is a node's fixed setting.
+// Config holds the fixed settings of a node.
 type Config struct {
-	// Self is this node; its Incarnation must be set and its State is StateCold.
+	// Self is this node; its Incarnation must be set and its State must be StateCold.
 	Self model.Instance
-	// Regions names the region of each data centre.
+	// Regions maps each data centre to its region.
 	Regions model.DataCentreRegions
 	Trusted []bundle.Signer
-	// Seeds are peer addresses ("ip:port") to ask besides the platform's list.
+	// Seeds are peer addresses ("ip:port") to contact in addition to the platform's list.
 	Seeds []string
-	// LocalDelay and RemoteDelay are first guesses of one-way link time.
+	// LocalDelay and RemoteDelay are initial estimates of the one-way network delay.
 	LocalDelay  time.Duration
 	RemoteDelay time.Duration
-	// Policy of routing; others than the zero value are baselines.
+	// Policy is the routing policy; values other than zero are baselines for comparison.
 	Policy route.Policy
-	// ProbeAge is the age of a report beyond which its owner is probed; zero
-	// means the default of 2 s.
+	// ProbeAge is the age of a load report beyond which its owner is probed; zero means the
+	// default of 2 s.
 	ProbeAge time.Duration
-	// FollowsDirectory: instances and configuration come from a directory
-	// (control.DirectoryRead), in place of the platform's list, signed bundles and
+	// FollowsDirectory selects a directory (control.DirectoryRead) as the source of
+	// instances and configuration, in place of the platform's list, signed bundles and
 	// links between nodes.
 	FollowsDirectory bool
-	// OnBreakerChange is told when the own worker begins to break every attempt (true), and
-	// when that ends. It must not block.
+	// OnBreakerChange is called with true when this node's worker begins to break every
+	// attempt, and with false when that ends. It must not block.
 	OnBreakerChange func(open bool)
-	// Started is the process's start.
+	// Started is the start time of the process.
 	Started time.Time
-	// Seed makes the controllers' choices repeatable.
+	// Seed makes the random choices of the controllers reproducible.
 	Seed uint64
-	// Random serves the data path; nil means math/rand/v2's global source.
+	// Random is the random source of the data path; nil means the global source of
+	// math/rand/v2.
 	Random func() uint64
 }
 
-// Node is one node without I/O. Handle is for one goroutine; Owner, Table and
-// Engine are for any.
+// Node is one node without I/O. Handle must be called from one goroutine; Owner, Table and
+// Engine are safe for concurrent use.
 type Node struct {
 	Board  *blackboard.Board
 	Table  *route.Table
 	Owner  *owner.Owner
 	Engine *entry.Engine
-	// Stats shows what the controllers count; published at each tick.
+	// Stats holds the controllers' counters, published at each tick.
 	Stats blackboard.Section[Stats]
-	// OwnerLimiter admits what measures this node's own worker.
+	// OwnerLimiter limits the measuring traffic to this node's worker.
 	OwnerLimiter *measure.OwnerLimiter
-	// EntryLimiter bounds the probes that this node sends.
+	// EntryLimiter limits the probes that this node sends.
 	EntryLimiter *measure.EntryLimiter
-	// Quarantine finds requests under which workers end.
+	// Quarantine detects requests that crash workers.
 	Quarantine *quarantine.Quarantine
 
 	cfg    Config
 	reach  *reach.Controller
 	member membership
 	spread bundles
-	// directory is set where the node follows one; it is then member and spread.
+	// directory is nil unless the node follows one; member and spread are then the same
+	// controller.
 	directory *directory.Controller
 	derived   derived
-	// life is the own worker's life that the fleet's view named last; zero before.
-	life model.WorkerIncarnation
-	// said is the worker that the own one last said it is.
-	said model.WorkerID
-	// derivedAt is when the derived state was last made.
+	// incarnation is the worker incarnation that the fleet's view last listed for this
+	// node; zero before the first.
+	incarnation model.WorkerIncarnation
+	// reportedWorker is the ID that this node's worker last gave for itself.
+	reportedWorker model.WorkerID
+	// derivedAt is when the derived state was last rebuilt.
 	derivedAt time.Time
 }
 
-// membership is the controller that knows the instances.
+// membership is the controller of the fleet's instances.
 type membership interface {
 	control.Controller
 	FleetSize() int
@@ -98,7 +100,7 @@
 	ListReads() uint64
 }
 
-// bundles is the controller that knows what is in force.
+// bundles is the controller of the bundles in force.
 type bundles interface {
 	control.Controller
 	Missing() []string
@@ -107,28 +109,28 @@
 	Counters() spread.Counters
 }
 
-// Stats are the controllers' counts, for metrics and status.
+// Stats holds the controllers' counters for metrics and status.
 type Stats struct {
 	Links  []member.Link
 	Spread spread.Counters
-	// Directory is nil where the node follows none.
+	// Directory is nil if the node does not follow one.
 	Directory *directory.View
 }
 
-// derived remembers which snapshots the derived state was made from.
+// derived identifies the snapshots that the derived state was built from.
 type derived struct {
 	fleet   uint64
 	bundles uint64
 }
 
-// Output is what one event led to.
+// Output is the result of one event.
 type Output struct {
 	Actions []control.Action
-	// Decisions end the waiting of queued attempts.
+	// Decisions are for queued attempts that stop waiting.
 	Decisions []owner.Decision
 }
 
-// New returns a node that knows itself only.
+// New returns a node that knows of no other instance.
 func New(cfg Config) *Node {
 	rng := rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Self.Incarnation)))
 	board := &blackboard.Board{}
@@ -144,7 +146,7 @@
 		Policy:      cfg.Policy,
 	}
 	if cfg.FollowsDirectory {
-		routing.LeavingTTL = leavingMemory
+		routing.LeavingTTL = leavingTTL
 		routing.RemoteCost = remoteCost
 	}
 	table := route.NewTable(routing)
@@ -171,18 +173,19 @@
 	return n
 }
 
-// remoteCost is what an attempt to another data centre costs where traffic between
-// them is paid for: a quarter of the shortest run that callers wait for. Below it a
-// small difference in load sends two thirds of the traffic away. 50 ms in place of 15
-// gained 0.006 to 0.008 of the mean worth on both of the smaller deployments.
+// remoteCost is the cost of an attempt to another data centre where traffic between data
+// centres is charged: a quarter of the shortest run that callers wait for. With a lower
+// cost, such as 15 ms, small differences in load send two thirds of the traffic away and
+// the mean worth drops by 0.006 to 0.008 on the smaller deployments.
 const remoteCost = 50 * time.Millisecond
 
-// leavingMemory is how long an owner's word that it leaves keeps attempts away
-// where no membership tells of its next life. A stop lasts up to 6 s; a try too
-// early costs one round trip, since the owner refuses it or its port is closed.
-const leavingMemory = 2 * time.Second
+// leavingTTL is how long an owner's announcement that it is leaving keeps attempts away if
+// membership does not announce its next incarnation. A stop lasts up to 6 s; an attempt
+// that comes too early costs one round trip, since the owner refuses it or its port is
+// closed.
+const leavingTTL = 2 * time.Second
 
-// Handle takes one event. It is called from one goroutine and does not block.
+// Handle processes one event. It must be called from one goroutine and does not block.
 func (n *Node) Handle(now time.Time, ev control.Event) Output {
 	var out Output
 	switch e := ev.(type) {
@@ -193,31 +196,31 @@
 	case control.SelfStateChanged:
 		if e.State == model.StateLeaving && n.Board.Self.Get().Instance.State < model.StateLeaving {
 			out.Decisions = append(out.Decisions, n.Owner.SetState(now, e.State)...)
-			out.Actions = append(out.Actions, n.handOver(now)...)
+			out.Actions = append(out.Actions, n.handOverKeys(now)...)
 		}
-		out.Decisions = append(out.Decisions, n.changeSelf(now, e.State)...)
+		out.Decisions = append(out.Decisions, n.setState(now, e.State)...)
 	case control.WorkerIdentified:
-		n.otherWorker(now, n.said != "" && n.said != e.Worker)
-		n.said = e.Worker
-		out.Actions = append(out.Actions, n.followSaid(now)...)
+		n.noteWorkerChange(now, n.reportedWorker != "" && n.reportedWorker != e.Worker)
+		n.reportedWorker = e.Worker
+		out.Actions = append(out.Actions, n.applyReportedWorker(now)...)
 	case control.Paused:
 		out.Decisions = append(out.Decisions, n.Owner.ProcessPaused(now, e.For)...)
 	}
-	n.control(now, n.reach, ev, &out)
-	n.control(now, n.member, ev, &out)
+	n.dispatch(now, n.reach, ev, &out)
+	n.dispatch(now, n.member, ev, &out)
 	if n.directory == nil {
-		n.control(now, n.spread, ev, &out)
+		n.dispatch(now, n.spread, ev, &out)
 	}
 	n.probe(now, ev, &out)
-	n.control(now, n.Quarantine, ev, &out)
+	n.dispatch(now, n.Quarantine, ev, &out)
 	out.Decisions = append(out.Decisions, n.derive(now)...)
-	n.show(now, ev)
+	n.publishStats(now, ev)
 	return out
 }
 
-// control feeds one controller and keeps for itself the actions that concern the
-// core.
-func (n *Node) control(now time.Time, c control.Controller, ev control.Event, out *Output) {
+// dispatch passes an event to one controller and keeps the actions that concern the core
+// itself.
+func (n *Node) dispatch(now time.Time, c control.Controller, ev control.Event, out *Output) {
 	for _, a := range c.Handle(now, ev) {
 		if adopt, ok := a.(control.AdoptIncarnation); ok {
 			n.adopt(adopt.Incarnation)
@@ -227,7 +230,7 @@
 	}
 }
 
-// adopt takes a greater incarnation of this node.
+// adopt sets a greater incarnation of this node.
 func (n *Node) adopt(inc model.Incarnation) {
 	self := n.Board.Self.Get().Instance
 	self.Incarnation = inc
@@ -236,8 +239,8 @@
 	n.Engine.SetOwnIncarnation(inc)
 }
 
-// handleMessage takes the messages between entry and owner; done is false for
-// those of the controllers.
+// handleMessage handles the messages between entry and owner; done is false for messages to
+// the controllers.
 func (n *Node) handleMessage(now time.Time, e control.Received, out *Output) (done bool) {
 	switch m := e.Message.(type) {
 	case wire.Resolve:
@@ -264,7 +267,7 @@
 	return true
 }
 
-func (n *Node) changeSelf(now time.Time, s model.UpstreamState) []owner.Decision {
+func (n *Node) setState(now time.Time, s model.UpstreamState) []owner.Decision {
 	self := n.Board.Self.Get().Instance
 	if self.State >= model.StateLeaving && s < self.State {
 		return nil
@@ -277,35 +280,35 @@
 	return n.Owner.SetState(now, s)
 }
 
-// gapPerInstance is the least time between two rebuilds of derived state, per known
-// instance: a rebuild takes about 0.7 us an instance (docs/CAPACITY.md), so storms
-// of changes, as when a data centre starts, cost 1.4% of a core at the most. At
-// 10,000 instances the news waits for half a second, at 11 for nothing.
-const gapPerInstance = 50 * time.Microsecond
+// deriveGapPerInstance is the shortest time between two rebuilds of derived state, per
+// known instance. A rebuild takes about 0.7 us an instance (docs/CAPACITY.md), so bursts of
+// changes, such as the start of a data centre, use 1.4% of a core at most. Changes are
+// delayed by up to half a second at 10,000 instances and not noticeably at 11.
+const deriveGapPerInstance = 50 * time.Microsecond
 
-func deriveGap(fleet *model.Fleet) time.Duration {
-	return time.Duration(len(fleet.Instances)) * gapPerInstance
+func minDeriveInterval(fleet *model.Fleet) time.Duration {
+	return time.Duration(len(fleet.Instances)) * deriveGapPerInstance
 }
 
-// derive rebuilds what depends on changed sections, now or at a later event.
+// derive rebuilds the state that depends on changed sections, now or at a later event.
 func (n *Node) derive(now time.Time) []owner.Decision {
 	seen := derived{fleet: n.Board.Fleet.Changes(), bundles: n.Board.Bundles.Changes()}
 	if seen == n.derived {
 		return nil
 	}
 	fleet, set := n.Board.Fleet.Get(), n.Board.Bundles.Get()
-	if now.Before(n.derivedAt.Add(deriveGap(fleet))) {
+	if now.Before(n.derivedAt.Add(minDeriveInterval(fleet))) {
 		return nil
 	}
 	n.derived = seen
 	n.derivedAt = now
 	n.Table.Update(now, fleet, set)
 	self, _ := fleet.Instance(n.cfg.Self.ID)
-	ds := n.followLife(now, self.WorkerIncarnation())
+	ds := n.applyIncarnation(now, self.WorkerIncarnation())
 	n.Owner.SetWithdrawn(now, self.State == model.StateLeaving)
 	n.Owner.SetEvacuated(now, fleet.IsEvacuated(n.cfg.Self.DataCentre))
 	if n.directory != nil {
-		n.Owner.SetUnlisted(now, n.unlisted())
+		n.Owner.SetUnlisted(now, n.workerUnlisted())
 	}
 	n.Engine.SetEntryNodes(n.member.FleetSize())
 	svc, b := set.Service(n.cfg.Self.Service)
@@ -316,66 +319,66 @@
 	return append(ds, n.Owner.Configure(now, b, withSlots(svc, self.Slots), liveUpstreams(fleet, n.cfg.Self.Service))...)
 }
 
-// unlisted tells whether the directory names no worker that this node may use: none
-// beside this node, or one that is not there any more. While the directory is away the
-// one that is there may be of another service, so that nothing is sent to it.
-func (n *Node) unlisted() bool {
+// workerUnlisted reports whether the directory lists no worker that this node may use: none
+// on this node, or one that is no longer there. While the directory is unavailable the
+// present worker may belong to another service, so nothing is sent to it.
+func (n *Node) workerUnlisted() bool {
 	listed, known := n.directory.Listed()
 	if !known {
 		return false
 	}
-	return !listed || n.replaced()
+	return !listed || n.workerReplaced()
 }
 
-// replaced tells whether the own worker says that it is another than the listed one.
-func (n *Node) replaced() bool {
+// workerReplaced reports whether this node's worker gives another ID than the listed one.
+func (n *Node) workerReplaced() bool {
 	listed := n.Worker()
-	return listed != "" && n.said != "" && n.said != listed
+	return listed != "" && n.reportedWorker != "" && n.reportedWorker != listed
 }
 
-// followSaid takes what the own worker says of itself to the owner: before the directory
-// tells of a new worker, attempts that name the old one would only be refused.
-func (n *Node) followSaid(now time.Time) []control.Action {
+// applyReportedWorker updates the owner with the ID that its worker gives for itself: until
+// the directory lists a new worker, attempts that name the old one would only be refused.
+func (n *Node) applyReportedWorker(now time.Time) []control.Action {
 	if n.directory == nil {
 		return nil
 	}
-	n.Owner.SetUnlisted(now, n.unlisted())
-	if !n.replaced() {
+	n.Owner.SetUnlisted(now, n.workerUnlisted())
+	if !n.workerReplaced() {
 		return nil
 	}
 	return []control.Action{control.Record{
-		Event: event.WorkerReplaced, Subject: string(n.said), Detail: "listed: " + string(n.Worker()),
+		Event: event.WorkerReplaced, Subject: string(n.reportedWorker), Detail: "listed: " + string(n.Worker()),
 	}}
 }
 
-// followLife tells the owner when another life of its worker is listed. A worker that is
-// not listed for a while may come back as the same life.
-func (n *Node) followLife(now time.Time, life model.WorkerIncarnation) []owner.Decision {
-	before := n.life
-	if life == (model.WorkerIncarnation{}) || life == before {
+// applyIncarnation notifies the owner when another incarnation of its worker is listed. A
+// worker that is unlisted for a while may come back as the same incarnation.
+func (n *Node) applyIncarnation(now time.Time, incarnation model.WorkerIncarnation) []owner.Decision {
+	before := n.incarnation
+	if incarnation == (model.WorkerIncarnation{}) || incarnation == before {
 		return nil
 	}
-	n.life = life
-	// Its word was the one before's, or agrees.
-	n.said = ""
+	n.incarnation = incarnation
+	// The reported ID belongs to the previous incarnation or equals the listed one.
+	n.reportedWorker = ""
 	if before == (model.WorkerIncarnation{}) {
 		return nil
 	}
-	n.otherWorker(now, true)
+	n.noteWorkerChange(now, true)
 	return n.Owner.WorkerRestarted(now)
 }
 
-// otherWorker takes the word whether the own worker is another than before. One that left
-// as planned did not end under its requests.
-func (n *Node) otherWorker(now time.Time, other bool) {
-	if other && !n.Owner.Draining() {
+// noteWorkerChange records a crash if this node's worker has changed. A worker that left as
+// planned did not crash under its requests.
+func (n *Node) noteWorkerChange(now time.Time, changed bool) {
+	if changed && !n.Owner.Draining() {
 		n.Quarantine.WorkerCrashed(now)
 	}
 }
 
-// show publishes what the controllers tell about themselves: at each tick, as
-// readers need it no fresher.
-func (n *Node) show(now time.Time, ev control.Event) {
+// publishStats publishes the controllers' state at each tick; readers need no fresher
+// values.
+func (n *Node) publishStats(now time.Time, ev control.Event) {
 	if _, tick := ev.(control.Tick); !tick {
 		return
 	}
@@ -402,7 +405,7 @@
 	return &blackboard.Readiness{Ready: len(missing) == 0, Missing: missing}
 }
 
-// withSlots returns svc with the slots that a worker itself names.
+// withSlots returns svc with the number of slots that a worker announces for itself.
 func withSlots(svc *bundle.Service, slots int) *bundle.Service {
 	if slots <= 0 {
 		return svc
@@ -412,8 +415,7 @@
 	return &own
 }
 
-// Worker returns the present life of this node's own worker as the fleet's view
-// has it; empty when it names none.
+// Worker returns the ID of this node's worker in the fleet's view; empty if it has none.
 func (n *Node) Worker() model.WorkerID {
 	self, _ := n.Board.Fleet.Get().Instance(n.cfg.Self.ID)
 	return self.Worker
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -43,7 +43,7 @@
 class = "view"
 `
 
-// instances returns n live instances of a service, as the platform lists them.
+// instances returns n live instances of a service as in the platform's list.
 func instances(service model.ServiceName, n int) []model.Instance {
 	out := make([]model.Instance, n)
 	for i := range out {
@@ -55,20 +55,20 @@
 	return out
 }
 
-// rig is one node, ledger-00000, on a fake clock.
-type rig struct {
+// testNode is the node ledger-00000 on a fake clock.
+type testNode struct {
 	*Node
 	now time.Time
 }
 
-// newRig returns a live node that has read the test bundle and the list.
-func newRig(t *testing.T, list ...model.Instance) *rig {
+// newTestNode returns a live node that has read the test bundle and the list.
+func newTestNode(t *testing.T, list ...model.Instance) *testNode {
 	t.Helper()
 	self := instances("ledger", 1)[0]
 	self.State = model.StateCold
 	self.Incarnation = 1
 	random := uint64(0)
-	r := &rig{now: epoch, Node: New(Config{Self: self, Started: epoch, Random: func() uint64 { random += 1 << 57; return random }})}
+	r := &testNode{now: epoch, Node: New(Config{Self: self, Started: epoch, Random: func() uint64 { random += 1 << 57; return random }})}
 	b, err := bundle.Parse("test.toml", []byte(testBundle))
 	if err != nil {
 		t.Fatal(err)
@@ -76,12 +76,12 @@
 	r.Board.Bundles.Put(bundle.NewSet([]*bundle.Bundle{b}))
 	r.Handle(r.now, control.SelfStateChanged{State: model.StateLive})
 	r.Handle(r.now, control.ListRead{Revision: 1, Full: true, Instances: append(instances("ledger", 1), list...)})
-	r.ticks(2 * time.Second)
+	r.advance(2 * time.Second)
 	return r
 }
 
-// ticks lets d pass and returns the actions of its last tick.
-func (r *rig) ticks(d time.Duration) []control.Action {
+// advance moves the clock by d and returns the actions of the last tick.
+func (r *testNode) advance(d time.Duration) []control.Action {
 	var last []control.Action
 	for end := r.now.Add(d); r.now.Before(end); {
 		r.now = r.now.Add(control.TickInterval)
@@ -90,42 +90,42 @@
 	return last
 }
 
-func TestNewsOfALargeFleetWaitsForTheGap(t *testing.T) {
+func TestLargeFleetDelaysRebuild(t *testing.T) {
 	for _, tt := range []struct {
 		known int
 		wait  time.Duration
 	}{{10, 0}, {10_000, 500 * time.Millisecond}} {
 		t.Run(fmt.Sprint(tt.known), func(t *testing.T) {
-			r := newRig(t, instances("vouchers", tt.known-1)...)
+			r := newTestNode(t, instances("vouchers", tt.known-1)...)
 			first, late := instances("first", 1)[0], instances("late", 1)[0]
-			shown := func(in model.Instance, revision uint64) time.Time {
+			routedAt := func(in model.Instance, revision uint64) time.Time {
 				r.Handle(r.now, control.ListRead{Revision: revision, Instances: []model.Instance{in}})
-				for end := r.now.Add(time.Minute); r.now.Before(end); r.ticks(control.TickInterval) {
+				for end := r.now.Add(time.Minute); r.now.Before(end); r.advance(control.TickInterval) {
 					if _, ok := r.Table.Pick(r.now, &route.Query{Service: in.Service}); ok {
 						return r.now
 					}
 				}
-				t.Fatalf("%s is not routed to after a minute", in.ID)
+				t.Fatalf("no request is routed to %s after a minute", in.ID)
 				return time.Time{}
 			}
-			before := shown(first, 2)
-			gap := shown(late, 3).Sub(before)
+			before := routedAt(first, 2)
+			gap := routedAt(late, 3).Sub(before)
 			if gap < tt.wait || gap > tt.wait+2*control.TickInterval {
-				t.Errorf("the next news took %s, want %s and two ticks at the most", gap, tt.wait)
+				t.Errorf("the next rebuild took %s, want %s plus at most two ticks", gap, tt.wait)
 			}
 		})
 	}
 }
 
-func TestAGreaterIncarnationIsAdoptedByAllParts(t *testing.T) {
-	r := newRig(t, instances("vouchers", 1)...)
+func TestGreaterIncarnationIsAdopted(t *testing.T) {
+	r := newTestNode(t, instances("vouchers", 1)...)
 	peer := r.Board.Fleet.Get().Instances[1]
 	r.Handle(r.now, control.LinkUp{Peer: peer, Outgoing: true})
-	ghost := wire.MemberRecord{ID: "ledger-00000", Service: "ledger", DataCentre: "dc", PeerAddress: "10.0.0.0:7000", Incarnation: 7, State: model.StateGone, Counter: 3}
-	out := r.Handle(r.now, control.Received{From: peer.ID, Message: wire.Rumours{Records: []wire.MemberRecord{ghost}}})
+	stale := wire.MemberRecord{ID: "ledger-00000", Service: "ledger", DataCentre: "dc", PeerAddress: "10.0.0.0:7000", Incarnation: 7, State: model.StateGone, Counter: 3}
+	out := r.Handle(r.now, control.Received{From: peer.ID, Message: wire.Rumours{Records: []wire.MemberRecord{stale}}})
 	for _, a := range out.Actions {
 		if adopt, ok := a.(control.AdoptIncarnation); ok {
-			t.Errorf("%+v leaves the core", adopt)
+			t.Errorf("the core returned %+v as an action", adopt)
 		}
 	}
 	self := r.Board.Self.Get().Instance
@@ -133,19 +133,19 @@
 	call := r.Engine.Begin(r.now, entry.Request{ID: "r1", Target: target, Timeout: time.Second})
 	got := []model.Incarnation{self.Incarnation, r.Owner.Report(r.now).Incarnation, call.Next(r.now).Attempt.OwnerIncarnation}
 	if diff := cmp.Diff([]model.Incarnation{8, 8, 8}, got); diff != "" {
-		t.Errorf("incarnations that board, owner and an attempt at the owner name (-want +got):\n%s", diff)
+		t.Errorf("incarnations in the board, the owner's report and an attempt (-want +got):\n%s", diff)
 	}
 	if self.State != model.StateLive {
-		t.Errorf("state %s", self.State)
+		t.Errorf("state %s, want live", self.State)
 	}
 }
 
-func TestProbesGoToOthersOfCalledServicesOnly(t *testing.T) {
-	r := newRig(t, append(instances("ledger", 5)[1:], instances("vouchers", 40)...)...)
+func TestProbesGoToCalledServicesOnly(t *testing.T) {
+	r := newTestNode(t, append(instances("ledger", 5)[1:], instances("vouchers", 40)...)...)
 	probed := map[model.InstanceID]bool{}
 	for range 200 {
 		r.Table.Sent(r.now, "ledger-00001")
-		for _, a := range r.ticks(control.TickInterval) {
+		for _, a := range r.advance(control.TickInterval) {
 			direct, ok := a.(control.SendDirect)
 			if !ok {
 				continue
@@ -161,9 +161,9 @@
 	}
 }
 
-func TestALeavingHomeHandsItsKeysOverInBoundedBatches(t *testing.T) {
+func TestLeavingHomeNodeHandsOverKeys(t *testing.T) {
 	const keys = 1200
-	r := newRig(t, instances("ledger", 3)[1:]...)
+	r := newTestNode(t, instances("ledger", 3)[1:]...)
 	for i := range keys {
 		a := model.Attempt{
 			ID: model.AttemptID{Entry: "vouchers-00000", Incarnation: 1, Sequence: uint64(i)}, Request: model.RequestID(fmt.Sprintf("payout-%04d", i)),
@@ -175,7 +175,7 @@
 		r.Owner.Finish(r.now, a.ID, owner.Completion{Status: 200, ServiceTime: time.Millisecond})
 	}
 	out := r.Handle(r.now, control.SelfStateChanged{State: model.StateLeaving})
-	handed := map[model.RequestID]bool{}
+	handedOver := map[model.RequestID]bool{}
 	for _, a := range out.Actions {
 		direct, ok := a.(control.SendDirect)
 		if !ok {
@@ -190,26 +190,26 @@
 		}
 		for _, k := range batch.Keys {
 			home, _ := r.Table.NextHome(r.now, &route.Query{Service: "ledger"}, k.Request, []model.InstanceID{"ledger-00000"})
-			if direct.To.ID != home.Instance.ID || handed[k.Request] {
-				t.Fatalf("%s to %s, home %s, again %v", k.Request, direct.To.ID, home.Instance.ID, handed[k.Request])
+			if direct.To.ID != home.Instance.ID || handedOver[k.Request] {
+				t.Fatalf("key %s sent to %s, home node %s, sent before: %v", k.Request, direct.To.ID, home.Instance.ID, handedOver[k.Request])
 			}
-			handed[k.Request] = true
+			handedOver[k.Request] = true
 		}
 	}
-	if len(handed) != keys {
-		t.Errorf("%d keys handed over, want %d", len(handed), keys)
+	if len(handedOver) != keys {
+		t.Errorf("%d keys handed over, want %d", len(handedOver), keys)
 	}
 }
 
-// listedLife is a directory's word of the test node's own worker.
-func listedLife(id model.WorkerID, born int64, created, revision uint64) control.DirectoryRead {
+// listedIncarnation returns a directory read that lists the test node's worker.
+func listedIncarnation(id model.WorkerID, started int64, created, revision uint64) control.DirectoryRead {
 	in := instances("ledger", 1)[0]
 	in.Worker = id
-	in.WorkerStarted = born
+	in.WorkerStarted = started
 	return control.DirectoryRead{Revision: revision, Listed: []model.Listing{{Created: created, Revision: revision, Instance: in}}}
 }
 
-func TestAnotherLifeOfTheOwnWorkerStartsSlowly(t *testing.T) {
+func TestNewWorkerIncarnationWarmsUp(t *testing.T) {
 	self := instances("ledger", 1)[0]
 	self.State, self.Incarnation = model.StateCold, 1
 	n := New(Config{Self: self, Started: epoch, FollowsDirectory: true})
@@ -220,22 +220,22 @@
 	handle(control.DirectoryRead{Revision: 1, Bundle: b})
 	limits := []uint16{}
 	for i, read := range []control.DirectoryRead{
-		listedLife("w1", 0, 2, 2),
-		listedLife("w1", 0, 2, 3),
-		listedLife("w1", 17, 2, 4),
-		listedLife("w2", 17, 5, 5),
-		listedLife("w2", 17, 5, 6),
+		listedIncarnation("w1", 0, 2, 2),
+		listedIncarnation("w1", 0, 2, 3),
+		listedIncarnation("w1", 17, 2, 4),
+		listedIncarnation("w2", 17, 5, 5),
+		listedIncarnation("w2", 17, 5, 6),
 	} {
 		now = epoch.Add(time.Duration(i+1) * 10 * time.Second)
 		handle(read)
 		limits = append(limits, n.Owner.Report(now).Limit)
 	}
 	if diff := cmp.Diff([]uint16{20, 20, 2, 2, 20}, limits); diff != "" {
-		t.Errorf("limits after each word (-want +got):\n%s", diff)
+		t.Errorf("limits after each directory read (-want +got):\n%s", diff)
 	}
 }
 
-func TestAWorkerThatSaysItIsAnotherGetsNothingUntilItIsListed(t *testing.T) {
+func TestUnlistedReplacementWorkerGetsNothing(t *testing.T) {
 	self := instances("ledger", 1)[0]
 	self.State, self.Incarnation = model.StateCold, 1
 	n := New(Config{Self: self, Started: epoch, FollowsDirectory: true})
@@ -249,13 +249,14 @@
 	state(control.SelfStateChanged{State: model.StateLive})
 	state(control.DirectoryRead{Revision: 1, Bundle: b})
 	got := []model.UpstreamState{
-		state(listedLife("w1", 0, 2, 2)),
+		state(listedIncarnation("w1", 0, 2, 2)),
 		state(control.WorkerIdentified{Worker: "w1"}),
 		state(control.WorkerIdentified{Worker: "w2"}),
 		state(control.Tick{}),
-		state(listedLife("w2", 0, 3, 3)),
-		// What it said before the directory's last word no longer counts.
-		state(listedLife("w3", 0, 4, 4)),
+		state(listedIncarnation("w2", 0, 3, 3)),
+		// The ID that the worker reported before the directory's latest change no longer
+		// counts.
+		state(listedIncarnation("w3", 0, 4, 4)),
 	}
 	live, cold := model.StateLive, model.StateCold
 	if diff := cmp.Diff([]model.UpstreamState{live, live, cold, cold, live, live}, got); diff != "" {
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -9,10 +9,10 @@
 	"gypsumstand/internal/wire"
 )
 
-// handOver gives the memory of callers' request ids to their next homes when this
-// node begins to leave, so that a planned stop forgets none. It comes before
-// membership spreads the word of leaving.
-func (n *Node) handOver(now time.Time) []control.Action {
+// handOverKeys sends the records of callers' request ids to their next home nodes when this
+// node begins to leave, so that a planned stop loses none. It runs before membership
+// announces that the node is leaving.
+func (n *Node) handOverKeys(now time.Time) []control.Action {
 	var batches []*handoverBatch
 	byHome := map[model.InstanceID]*handoverBatch{}
 	for _, rec := range n.Owner.ExportKeys(now) {
@@ -41,14 +41,14 @@
 	keys []wire.KeyRecord
 }
 
-// nextHome returns the home of a request id once this node has left.
+// nextHome returns the home node of a request id once this node has left.
 func (n *Node) nextHome(now time.Time, id model.RequestID, regions model.Regions) (model.Instance, bool) {
 	self := []model.InstanceID{n.cfg.Self.ID}
 	home, ok := n.Table.NextHome(now, &route.Query{Service: n.cfg.Self.Service, Regions: regions}, id, self)
 	return home.Instance, ok
 }
 
-// forwardResult passes a KeyResult that came to a leaving home on to the next.
+// forwardResult forwards a KeyResult received by a leaving home node to the next one.
 func (n *Node) forwardResult(now time.Time, r wire.KeyResult) []control.Action {
 	if n.Board.Self.Get().Instance.State != model.StateLeaving {
 		return nil
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -7,17 +7,17 @@
 	"gypsumstand/internal/wire"
 )
 
-// Probes go where traffic left an estimate too old.
+// Owners are probed when traffic has left their estimate too old.
 const (
-	// defaultProbeAge is the age of a report beyond which its owner is probed.
+	// defaultProbeAge is the age of a load report beyond which its owner is probed.
 	defaultProbeAge = 2 * time.Second
-	// probesPerTick bounds the probes of one tick.
+	// probesPerTick bounds the probes sent in one tick.
 	probesPerTick = 16
 )
 
-// probe asks the owners of which this node has heard nothing for long, of
-// services that it calls, within the measuring budget of their bundles. Services
-// that it does not call are not worth a message: their first call learns.
+// probe probes owners without a recent report, limited by the measuring budget of their
+// bundles. Services that this node does not call are not probed, since the response to the
+// first call carries a report.
 func (n *Node) probe(now time.Time, ev control.Event, out *Output) {
 	if _, tick := ev.(control.Tick); !tick {
 		return
