--- a/internal/quarantine/chance_test.go
+++ b/internal/quarantine/chance_test.go
@@ -89,8 +89,8 @@
 }
 
 func (s *service) classify() {
-	for _, j := range s.table.classify(s.now) {
-		if j.quarantined {
+	for _, t := range s.table.classify(s.now) {
+		if t.quarantined {
 			s.quarantined++
 		}
 	}
--- a/internal/quarantine/coordinator_test.go
+++ b/internal/quarantine/coordinator_test.go
@@ -191,10 +191,10 @@
 	served, down := u.runs, 0
 	for range 20 {
 		for _, nd := range u.owners {
-			switch v := nd.q.Evaluate(u.now, popular, Submission{}, ""); {
+			switch d := nd.q.Evaluate(u.now, popular, Submission{}, ""); {
 			case u.down[nd]:
 				down++
-			case v.Deferred:
+			case d.Deferred:
 				t.Fatalf("%s defers a popular request after a single crash", nd.instance.ID)
 			}
 		}
@@ -254,11 +254,11 @@
 // An entry may report a crash to an owner before the owner of the crashed worker does.
 func TestOwnerDefersCrashReportedByEntry(t *testing.T) {
 	u := newUpstreams(3, 0.9)
-	if v := u.owners[1].q.Evaluate(u.now, content(5), Submission{Crashes: 1}, ""); !v.Deferred || v.OnlyOwner != "" || v.RetryAfter != initialRecovery {
-		t.Errorf("decision %+v; want it deferred for %s", v, initialRecovery)
+	if d := u.owners[1].q.Evaluate(u.now, content(5), Submission{Crashes: 1}, ""); !d.Deferred || d.OnlyOwner != "" || d.RetryAfter != initialRecovery {
+		t.Errorf("decision %+v; want it deferred for %s", d, initialRecovery)
 	}
-	if v := u.owners[1].q.Evaluate(u.now, content(5), Submission{}, ""); v != (Decision{}) {
-		t.Errorf("the next submission: %+v; want the zero decision, as this node has no record of it", v)
+	if d := u.owners[1].q.Evaluate(u.now, content(5), Submission{}, ""); d != (Decision{}) {
+		t.Errorf("the next submission: %+v; want the zero decision, as this node has no record of it", d)
 	}
 }
 
@@ -318,8 +318,8 @@
 	at := u.owners[0]
 	at.q.RunFailed(u.now, Run{Content: content(5), Started: u.now})
 	at.q.WorkerCrashed(u.now)
-	if v := at.q.Evaluate(u.now, content(5), Submission{}, ""); !v.Granted {
-		t.Errorf("decision %+v; want it granted", v)
+	if d := at.q.Evaluate(u.now, content(5), Submission{}, ""); !d.Granted {
+		t.Errorf("decision %+v; want it granted", d)
 	}
 }
 
