--- a/cmd/gypsumfake/worker.go
+++ b/cmd/gypsumfake/worker.go
@@ -32,7 +32,7 @@
 	size         int
 	node         string
 	seed         uint64
-	cold         worker.Cold
+	cold         worker.ColdMode
 }
 
 func (f *workerFlags) define(fs *flag.FlagSet) {
--- a/cmd/gypsumproof/main.go
+++ b/cmd/gypsumproof/main.go
@@ -93,7 +93,7 @@
 			return broken, fmt.Errorf("stopped after %d plans: %w", i, err)
 		}
 		r := proof.Run(p)
-		for _, breach := range r.Breaches {
+		for _, breach := range r.Violations {
 			broken = true
 			fmt.Fprintf(out, "seed %d: %s\n", p.Seed, breach)
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -103,7 +103,7 @@
 		}
 		cfg.Callers, cfg.Workers, cfg.Directory = adaptation.Callers, adaptation.Workers, adaptation.Directory
 	}
-	cfg.Requests = logger.Requests
+	cfg.RequestLog = logger.Requests
 	limitMemory(s.MemoryLimit())
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -138,7 +138,7 @@
 	case control.PeerDirectoryFailed:
 		c.peers.finish(e.From)
 	case control.Paused:
-		c.timer.Paused(now, e.For)
+		c.timer.ProcessPaused(now, e.For)
 	case control.Suspended:
 		c.handleSuspension(now, e.For)
 	case control.Tick:
--- a/internal/directory/suspension.go
+++ b/internal/directory/suspension.go
@@ -10,7 +10,7 @@
 // clock does not count.
 func (c *Controller) handleSuspension(now time.Time, d time.Duration) {
 	c.suspendedFor, c.suspensionGraceUntil = d, now.Add(suspensionGrace)
-	c.timer.Suspended(d)
+	c.timer.HostSuspended(d)
 	c.peers.shift(d)
 	if c.confirmed.IsZero() {
 		return
--- a/internal/failure/deadly_test.go
+++ b/internal/failure/deadly_test.go
@@ -290,7 +290,7 @@
 // listSilent lists nodes of a service at a data centre of their own, which never answer.
 func listSilent(f *local.Fleet, service model.ServiceName, n int) {
 	for i := range n {
-		f.Platform.Put(model.Instance{
+		f.Platform.PutInstance(model.Instance{
 			ID: model.InstanceID(fmt.Sprintf("%s-%d", service, i+1)), Service: service, DataCentre: "silent",
 			PeerAddress: "127.0.0.2:1", State: model.StateLive,
 		})
--- a/internal/local/fleet.go
+++ b/internal/local/fleet.go
@@ -209,7 +209,7 @@
 	f.mu.Lock()
 	f.centres[m.Node.PeerAddress()] = m.DataCentre
 	f.mu.Unlock()
-	f.Platform.Put(model.Instance{ID: m.ID, Service: m.Service, DataCentre: m.DataCentre, PeerAddress: m.Node.PeerAddress(), State: model.StateLive})
+	f.Platform.PutInstance(model.Instance{ID: m.ID, Service: m.Service, DataCentre: m.DataCentre, PeerAddress: m.Node.PeerAddress(), State: model.StateLive})
 	ctx, cancel := context.WithCancel(context.Background())
 	m.stop = cancel
 	go func() { m.ended <- m.Node.Run(ctx) }()
@@ -230,7 +230,7 @@
 		Ledger:   f.Ledger,
 		Node:     m.Node.CallerAddress(),
 
-		Deadly: s.Deadly, EndsAfter: s.EndsAfter, BackAfter: s.BackAfter,
+		CrashOn: s.Deadly, CrashDelay: s.EndsAfter, RestartDelay: s.BackAfter,
 	})
 	if err != nil {
 		return err
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -166,7 +166,7 @@
 // evidence, and its view may be old.
 func (c *Controller) paused(now time.Time, d time.Duration) {
 	c.doubtUntil = now.Add(pauseDoubt)
-	c.list.timer.Paused(now, d)
+	c.list.timer.ProcessPaused(now, d)
 	c.links.pardon(now)
 	c.dropChecks()
 	c.peers.dials = nil
--- a/internal/owner/pace.go
+++ b/internal/owner/pace.go
@@ -132,13 +132,13 @@
 
 // ObserveLoad takes a worker's own word about its load and returns who may start.
 func (o *Owner) ObserveLoad(now time.Time, l dialect.WorkerLoad) []Decision {
-	if !l.Known || l.Pace <= 0 {
+	if !l.Known || l.Slowdown <= 0 {
 		return nil
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.clock(now)
-	if o.pace.observe(t, l.Pace) {
+	if o.pace.observe(t, l.Slowdown) {
 		o.dispatch(t)
 	}
 	return o.take()
--- a/internal/owner/pace_test.go
+++ b/internal/owner/pace_test.go
@@ -10,7 +10,7 @@
 
 // observe tells the owner the worker's pace.
 func (r *rig) observe(pace float64) {
-	r.decided = append(r.decided, r.o.ObserveLoad(r.now, dialect.WorkerLoad{Known: true, Pace: pace})...)
+	r.decided = append(r.decided, r.o.ObserveLoad(r.now, dialect.WorkerLoad{Known: true, Slowdown: pace})...)
 }
 
 // learnService makes the owner expect a service time.
--- a/internal/proof/run.go
+++ b/internal/proof/run.go
@@ -29,9 +29,9 @@
 // Report is what one plan brought about.
 type Report struct {
 	Plan Plan
-	// Breaches holds what the oracle found, a line each, none when all promises
+	// Violations holds what the oracle found, a line each, none when all promises
 	// were kept and service returned once faults had stopped.
-	Breaches []string
+	Violations []string
 	// Counts is how often things came to pass, by their names.
 	Counts map[string]int
 	// Hash differs when two runs of a plan differ.
@@ -65,7 +65,7 @@
 func (w *world) report(p Plan) Report {
 	r := Report{Plan: p, Counts: w.ledger.counts, Hash: w.trace.hash.Sum64()}
 	for _, v := range w.ledger.violations {
-		r.Breaches = append(r.Breaches, v.String())
+		r.Violations = append(r.Violations, v.String())
 	}
 	return r
 }
--- a/internal/proof/run_test.go
+++ b/internal/proof/run_test.go
@@ -16,7 +16,7 @@
 	if first.Hash == other.Hash {
 		t.Error("plans of two seeds have the same course")
 	}
-	for _, breach := range append(first.Breaches, other.Breaches...) {
+	for _, breach := range append(first.Violations, other.Violations...) {
 		t.Error(breach)
 	}
 }
@@ -26,7 +26,7 @@
 //	6334: two nodes asked for a version and declined it without end
 func TestPlansThatOnceFailedHold(t *testing.T) {
 	for _, seed := range []uint64{6334} {
-		for _, breach := range Run(Plan{Seed: seed, Steps: 60, Deadly: true}).Breaches {
+		for _, breach := range Run(Plan{Seed: seed, Steps: 60, Deadly: true}).Violations {
 			t.Errorf("seed %d: %s", seed, breach)
 		}
 	}
@@ -37,7 +37,7 @@
 	for seed := range uint64(12) {
 		report := Run(Plan{Seed: seed, Steps: 60, Warming: true, Deadly: seed%2 == 0})
 		requests += report.Counts["requests at warming workers"]
-		for _, breach := range report.Breaches {
+		for _, breach := range report.Violations {
 			t.Errorf("seed %d: %s", seed, breach)
 		}
 	}
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -154,7 +154,7 @@
 // paused doubts everything that waited while the process stood still: what links
 // deliver counts again once a peer has answered a question asked now.
 func (c *Controller) paused(d time.Duration) {
-	c.timer.Paused(c.now, d)
+	c.timer.ProcessPaused(c.now, d)
 	c.confirm.reset(c.now)
 	c.platform.paused()
 	for _, w := range c.wants.list {
