--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -304,8 +304,8 @@
 	return listed, true
 }
 
-// Missing lists what the node still needs before it can serve.
-func (c *Controller) Missing() []string {
+// NotReadyReasons lists what the node still needs before it can serve.
+func (c *Controller) NotReadyReasons() []string {
 	if c.confirmed.IsZero() {
 		return []string{"an answer of the directory"}
 	}
@@ -321,11 +321,11 @@
 // Links returns nil: nodes that follow a directory have no links to each other.
 func (c *Controller) Links() []member.Link { return nil }
 
-// ListConfirmed returns when the view was last known to be the latest.
-func (c *Controller) ListConfirmed() time.Time { return c.confirmed }
+// ListConfirmedAt returns when the view was last known to be the latest.
+func (c *Controller) ListConfirmedAt() time.Time { return c.confirmed }
 
-// Confirmed returns when the view was last known to be the latest.
-func (c *Controller) Confirmed() time.Time { return c.confirmed }
+// ConfirmedAt returns when the view was last known to be the latest.
+func (c *Controller) ConfirmedAt() time.Time { return c.confirmed }
 
 // ListReads returns the number of this node's own reads of the directory.
 func (c *Controller) ListReads() uint64 { return c.timer.ReadCount() }
--- a/internal/directory/peers_test.go
+++ b/internal/directory/peers_test.go
@@ -113,7 +113,7 @@
 	if reads == 0 {
 		t.Error("no read in 2 s although nothing is known to be fresh")
 	}
-	if got := r.Confirmed(); !got.Equal(epoch) {
+	if got := r.ConfirmedAt(); !got.Equal(epoch) {
 		t.Errorf("confirmed %s after the last read, want 0", got.Sub(epoch))
 	}
 }
@@ -125,7 +125,7 @@
 	read := twoWorkers()
 	read.ReadDuration = 1500 * time.Millisecond
 	r.handle(read)
-	if got := r.now.Sub(r.Confirmed()); got != read.ReadDuration {
+	if got := r.now.Sub(r.ConfirmedAt()); got != read.ReadDuration {
 		t.Errorf("confirmed %s ago, want %s", got, read.ReadDuration)
 	}
 	// The result is too old to suppress a read.
--- a/internal/directory/view_test.go
+++ b/internal/directory/view_test.go
@@ -154,14 +154,14 @@
 	}
 	// This message waited here; its age was 10 ms when it arrived.
 	r.handle(control.PeerFreshnessReceived{From: "10.0.0.2", Freshness: model.DirectoryFreshness{Revision: 2, AgeMs: 10}})
-	if age := r.now.Sub(r.Confirmed()); age < suspension {
+	if age := r.now.Sub(r.ConfirmedAt()); age < suspension {
 		t.Errorf("confirmed %s ago by a freshness that was delayed", age)
 	}
 	if _, reads := r.tickFor(StalenessBound); reads == 0 {
 		t.Error("no read within the bound after the suspension")
 	}
 	r.handle(control.PeerFreshnessReceived{From: "10.0.0.2", Freshness: model.DirectoryFreshness{Revision: 2, AgeMs: 10}})
-	if age := r.now.Sub(r.Confirmed()); age > 10*time.Millisecond {
+	if age := r.now.Sub(r.ConfirmedAt()); age > 10*time.Millisecond {
 		t.Errorf("confirmed %s ago by a fresh value", age)
 	}
 }
