--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -17,39 +17,39 @@
 	"gypsumstand/internal/model"
 )
 
-// Defaults and bounds of the client's transport.
+// Defaults and limits of the client's transport.
 const (
-	// DefaultTimeout bounds one call from connecting to the last byte.
+	// DefaultTimeout limits one call from connecting to the last byte of the response.
 	DefaultTimeout = 2 * time.Second
 	maxConnections = 4
 	idleTimeout    = 30 * time.Second
 	maxHeaderBytes = 16 << 10
 )
 
-// Errors of the client's calls, for errors.Is.
+// Errors of the client's calls, to be tested with errors.Is.
 var (
-	// ErrRateLimited: the platform's rate was used up (status 429).
-	ErrRateLimited = errors.New("the platform's rate is used up")
-	// ErrNotFound: the platform has no such value (status 404).
-	ErrNotFound = errors.New("the platform has no such value")
-	// ErrStatus: any other status than 200.
+	// ErrRateLimited is returned for status 429.
+	ErrRateLimited = errors.New("rate limit of the platform exceeded")
+	// ErrNotFound is returned for status 404.
+	ErrNotFound = errors.New("not found on the platform")
+	// ErrStatus is returned for any other status except 200.
 	ErrStatus = errors.New("unexpected status")
 )
 
-// ClientConfig is a client's fixed setting.
+// ClientConfig configures a Client.
 type ClientConfig struct {
-	// Addresses are the platform's, each "ip:port". A call goes to one of them; a
-	// failed call makes the next call go to the next address.
+	// Addresses are the platform's addresses, each "ip:port". All calls go to one of them
+	// until a call fails; later calls go to the next one.
 	Addresses []string
-	// Timeout bounds one call; zero means DefaultTimeout.
+	// Timeout limits one call; zero means DefaultTimeout.
 	Timeout time.Duration
-	// Dial replaces the TCP dialer when present.
+	// Dial replaces the TCP dialer if not nil.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Client calls the platform. It follows no redirect, uses no proxy of the
-// environment and no compression, and makes one request per call. Safe for
-// concurrent use.
+// Client calls the platform. It follows no redirects, ignores the environment's proxies, uses
+// no compression, and sends one request per call without retries. It is safe for concurrent
+// use.
 type Client struct {
 	addresses []string
 	timeout   time.Duration
@@ -57,7 +57,7 @@
 	current   atomic.Uint64
 }
 
-// NewClient returns a client, or a finding.List with every fault of cfg.
+// NewClient returns a client. The error is a finding.List with every invalid field of cfg.
 func NewClient(cfg ClientConfig) (*Client, error) {
 	var findings finding.List
 	if len(cfg.Addresses) == 0 {
@@ -82,6 +82,7 @@
 	}, nil
 }
 
+// newTransport returns an HTTP/1.1 transport with the client's limits.
 func newTransport(cfg ClientConfig) *http.Transport {
 	dial := cfg.Dial
 	if dial == nil {
@@ -102,8 +103,8 @@
 
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// List reads the list of instances; since zero asks for the whole list, another
-// revision for the changes after it.
+// List reads the instances. With since zero it reads the complete list, otherwise the changes
+// after that revision.
 func (c *Client) List(ctx context.Context, since uint64) (control.ListRead, error) {
 	query := ""
 	if since > 0 {
@@ -115,7 +116,7 @@
 	}
 	list, err := DecodeList("list of instances", data, since)
 	if err != nil {
-		c.next()
+		c.nextAddress()
 	}
 	return list, err
 }
@@ -128,12 +129,13 @@
 	}
 	index, err := DecodeIndex("configuration index", data)
 	if err != nil {
-		c.next()
+		c.nextAddress()
 	}
 	return index, err
 }
 
-// Value reads one configuration value: a signed bundle's CBOR form, unchecked.
+// Value reads one configuration value, the CBOR encoding of a signed bundle. It does not
+// verify the signature.
 func (c *Client) Value(ctx context.Context, name model.BundleName) ([]byte, error) {
 	if err := CheckName(string(name)); err != nil {
 		return nil, fmt.Errorf("read configuration value: name %q: %w", name, err)
@@ -148,26 +150,28 @@
 // Close closes the client's idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// next makes the following calls go to the next address.
-func (c *Client) next() { c.current.Add(1) }
+// nextAddress makes later calls go to the next address.
+func (c *Client) nextAddress() { c.current.Add(1) }
 
-func (c *Client) get(ctx context.Context, pathAndQuery string, bound int64) ([]byte, error) {
+// get calls the current address. Every error except ErrNotFound selects the next address.
+func (c *Client) get(ctx context.Context, pathAndQuery string, limit int64) ([]byte, error) {
 	address := c.addresses[c.current.Load()%uint64(len(c.addresses))]
-	data, err := c.getFrom(ctx, address, pathAndQuery, bound)
+	data, err := c.getFrom(ctx, address, pathAndQuery, limit)
 	if err != nil && !errors.Is(err, ErrNotFound) {
-		c.next()
+		c.nextAddress()
 	}
 	return data, err
 }
 
-func (c *Client) getFrom(ctx context.Context, address, pathAndQuery string, bound int64) ([]byte, error) {
+// getFrom reads at most limit bytes from an address within the client's timeout.
+func (c *Client) getFrom(ctx context.Context, address, pathAndQuery string, limit int64) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	return fetch.Get(ctx, c.http, "http://"+address+pathAndQuery, bound, refusal)
+	return fetch.Get(ctx, c.http, "http://"+address+pathAndQuery, limit, statusError)
 }
 
-// refusal gives the error of an answer with another status than 200.
-func refusal(status int) error {
+// statusError returns the error for a status other than 200.
+func statusError(status int) error {
 	switch status {
 	case http.StatusTooManyRequests:
 		return ErrRateLimited
--- a/internal/registry/client_test.go
+++ b/internal/registry/client_test.go
@@ -15,8 +15,8 @@
 	"gypsumstand/internal/model"
 )
 
-// newTestClient returns a client of a server with that handler, and the count
-// of requests that reached it.
+// newTestClient returns a client of a server with that handler, and a counter of the requests
+// that reached the server.
 func newTestClient(t *testing.T, handler http.HandlerFunc) (*Client, *atomic.Int64) {
 	t.Helper()
 	calls := new(atomic.Int64)
@@ -33,7 +33,7 @@
 	return client, calls
 }
 
-func TestStatusBecomesATypedErrorAndIsNotTriedAgain(t *testing.T) {
+func TestErrorStatusIsTypedAndNotRetried(t *testing.T) {
 	tests := []struct {
 		status int
 		want   error
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestAnswersOverTheBoundAreRefused(t *testing.T) {
+func TestOversizedResponseIsRejected(t *testing.T) {
 	for _, declared := range []bool{true, false} {
 		client, _ := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
 			if !declared {
@@ -74,22 +74,22 @@
 		_, _ = w.Write(make([]byte, MaxValueBytes))
 	})
 	if data, err := client.Value(context.Background(), "a"); err != nil || len(data) != MaxValueBytes {
-		t.Errorf("at the bound: %d bytes, %v", len(data), err)
+		t.Errorf("at the limit: %d bytes, %v", len(data), err)
 	}
 }
 
-func TestACutAnswerIsAnError(t *testing.T) {
+func TestTruncatedResponseIsAnError(t *testing.T) {
 	client, _ := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		_, _ = w.Write([]byte("half"))
 		panic(http.ErrAbortHandler)
 	})
 	if data, err := client.Value(context.Background(), "a"); err == nil {
-		t.Errorf("%q was taken as whole", data)
+		t.Errorf("incomplete response was accepted: %q", data)
 	}
 }
 
-func TestCompressionAndProxiesAreNotUsed(t *testing.T) {
+func TestClientUsesNoCompressionOrProxy(t *testing.T) {
 	t.Setenv("HTTP_PROXY", "http://127.0.0.1:1")
 	client, _ := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		if got := r.Header.Get("Accept-Encoding"); got != "" {
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestAFailedCallMovesOnToTheNextAddress(t *testing.T) {
+func TestFailedCallSelectsNextAddress(t *testing.T) {
 	down := httptest.NewServer(http.NotFoundHandler())
 	downAddress := strings.TrimPrefix(down.URL, "http://")
 	down.Close()
@@ -114,7 +114,7 @@
 	})
 	client.addresses = append([]string{downAddress}, client.addresses...)
 	if _, err := client.Index(context.Background()); err == nil {
-		t.Fatal("the address that is down answered")
+		t.Fatal("a call to the closed address succeeded")
 	}
 	for range 2 {
 		if _, err := client.Index(context.Background()); err != nil {
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestACallThatHangsEndsAtItsTimeout(t *testing.T) {
+func TestHangingCallTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pipe := listen.NewPipe()
 		server := &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })}
@@ -143,14 +143,14 @@
 	})
 }
 
-func TestClientNamesEveryBadAddress(t *testing.T) {
+func TestNewClientReportsEveryBadAddress(t *testing.T) {
 	_, err := NewClient(ClientConfig{Addresses: []string{"127.0.0.1:80", "localhost:80", "10.0.0.1"}})
 	checkFindings(t, err, []string{"addresses[1]", "addresses[2]"})
 	_, err = NewClient(ClientConfig{})
 	checkFindings(t, err, []string{"addresses: missing"})
 }
 
-func TestValueRefusesNamesThatLeaveItsPath(t *testing.T) {
+func TestValueRejectsUnsafeNames(t *testing.T) {
 	client, calls := newTestClient(t, func(http.ResponseWriter, *http.Request) {})
 	for _, name := range []model.BundleName{"", ".", "..", "a/b", "a b", "a\n", "\u00e9"} {
 		if _, err := client.Value(context.Background(), name); err == nil {
@@ -158,7 +158,7 @@
 		}
 	}
 	if n := calls.Load(); n != 0 {
-		t.Errorf("%d calls went out", n)
+		t.Errorf("%d calls were sent", n)
 	}
 	if _, err := client.Value(context.Background(), "a%2f?b#c"); err != nil {
 		t.Errorf("name that needs escaping: %v", err)
--- a/internal/registry/decode.go
+++ b/internal/registry/decode.go
@@ -14,12 +14,12 @@
 	"gypsumstand/internal/model"
 )
 
-// maxFindings bounds the faults that are reported of one answer.
+// maxFindings limits the findings reported for one response.
 const maxFindings = 20
 
-// DecodeList reads and checks the JSON of a list of instances that was asked
-// for with since. source names the input in findings. The error is a
-// finding.List with the place of each fault.
+// DecodeList decodes and validates the JSON of a list of instances that was requested with
+// since. source names the input in findings. The error is a finding.List with the location of
+// each finding.
 func DecodeList(source string, data []byte, since uint64) (control.ListRead, error) {
 	var list InstanceList
 	if err := decodeJSON(source, data, &list); err != nil {
@@ -30,7 +30,7 @@
 	c.require("full", list.Full != nil)
 	c.require("instances", list.Instances != nil)
 	if since == 0 && list.Full != nil && !*list.Full {
-		c.add("full", "the whole list was asked for, changes came")
+		c.add("full", "the complete list was requested, but changes were sent")
 	}
 	instances := c.instances(list.Instances)
 	if err := c.findings.Err(); err != nil {
@@ -39,8 +39,8 @@
 	return control.ListRead{Revision: *list.Revision, Full: *list.Full, Instances: instances}, nil
 }
 
-// DecodeIndex reads and checks the JSON of an index of configuration values.
-// Source and error are as for DecodeList.
+// DecodeIndex decodes and validates the JSON of an index of configuration values. source and
+// the error are as for DecodeList.
 func DecodeIndex(source string, data []byte) (control.IndexRead, error) {
 	var index ConfigIndex
 	if err := decodeJSON(source, data, &index); err != nil {
@@ -56,8 +56,8 @@
 	return control.IndexRead{Revision: *index.Revision, Versions: versions}, nil
 }
 
-// CheckName returns an error when a name or id of the platform is empty, too
-// long, or holds bytes that would break a header, a path or an attempt id.
+// CheckName returns an error when a name or id is empty, longer than MaxNameBytes, or contains
+// bytes that are unsafe in a header, a path or an attempt id.
 func CheckName(name string) error {
 	if name == "" {
 		return errors.New("empty")
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// CheckAddress returns an error unless address is an "ip:port" that can be
-// connected to.
+// CheckAddress returns an error unless address is an "ip:port" to which a client can connect:
+// the port is not 0 and the IP address neither unspecified nor multicast.
 func CheckAddress(address string) error {
 	ap, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -88,34 +88,37 @@
 		return fmt.Errorf("%q has port 0", address)
 	}
 	if ap.Addr().IsUnspecified() || ap.Addr().IsMulticast() {
-		return fmt.Errorf("%q can't be connected to", address)
+		return fmt.Errorf("%q is an unspecified or multicast address", address)
 	}
 	return nil
 }
 
-// CheckEntry checks one entry as DecodeList does and returns its instance.
+// CheckEntry validates one entry like DecodeList and returns its instance.
 func CheckEntry(source string, e InstanceEntry) (model.Instance, error) {
 	c := checker{source: source}
 	in := c.instance("", e)
 	return in, c.findings.Err()
 }
 
-// DecodeStrict reads JSON into a value and takes unknown fields for faults. The
-// error is a finding.List; it is for what operators write, not for answers.
+// DecodeStrict decodes JSON that an operator wrote into a value and rejects unknown fields.
+// The error is a finding.List. Responses of the platform are decoded without it, so that new
+// fields are accepted.
 func DecodeStrict(source string, data []byte, into any) error {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
 	return decodeInto(source, data, dec, into)
 }
 
+// decodeJSON decodes JSON into a value and ignores unknown fields.
 func decodeJSON(source string, data []byte, into any) error {
 	return decodeInto(source, data, json.NewDecoder(bytes.NewReader(data)), into)
 }
 
+// decodeInto decodes a single JSON value and returns errors as a finding.List.
 func decodeInto(source string, data []byte, dec *json.Decoder, into any) error {
 	err := dec.Decode(into)
 	if err == nil {
-		err = checkEnd(dec)
+		err = checkNoTrailingData(dec)
 	}
 	if err == nil {
 		return nil
@@ -125,98 +128,102 @@
 	return findings.Err()
 }
 
-func checkEnd(dec *json.Decoder) error {
+// checkNoTrailingData returns an error when data follows the decoded value.
+func checkNoTrailingData(dec *json.Decoder) error {
 	if _, err := dec.Token(); err != io.EOF {
-		return errors.New("data after the end of the answer")
+		return errors.New("data after the end of the JSON value")
 	}
 	return nil
 }
 
-// jsonFinding gives a decoding error its place.
+// jsonFinding converts a decoding error to a finding with its location.
 func jsonFinding(source string, data []byte, err error) finding.Finding {
 	f := finding.Finding{File: source, Message: err.Error()}
 	var syntax *json.SyntaxError
 	var wrongType *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &syntax):
-		f.Line, f.Column = position(data, syntax.Offset)
+		f.Line, f.Column = lineAndColumn(data, syntax.Offset)
 	case errors.As(err, &wrongType):
-		f.Line, f.Column = position(data, wrongType.Offset)
+		f.Line, f.Column = lineAndColumn(data, wrongType.Offset)
 		f.Key = wrongType.Field
-		f.Message = "a " + wrongType.Value + " is not allowed here"
+		f.Message = "a JSON " + wrongType.Value + " is not allowed here"
 	}
 	return f
 }
 
-// position turns a decoder's offset, which counts the byte at fault, into that
-// byte's line and column, both from one.
-func position(data []byte, offset int64) (line, column int) {
-	at := max(min(int(offset), len(data))-1, 0)
-	before := data[:at]
+// lineAndColumn converts a decoder's offset, which is one past the invalid byte, to the line
+// and column of that byte, both counted from 1.
+func lineAndColumn(data []byte, offset int64) (line, column int) {
+	index := max(min(int(offset), len(data))-1, 0)
+	before := data[:index]
 	line = 1 + bytes.Count(before, []byte{'\n'})
-	column = at - bytes.LastIndexByte(before, '\n')
+	column = index - bytes.LastIndexByte(before, '\n')
 	return line, column
 }
 
-// checker collects the findings of one answer.
+// checker validates one response and collects its findings.
 type checker struct {
 	source   string
 	findings finding.List
 }
 
+// add adds a finding unless there are already maxFindings.
 func (c *checker) add(key, message string) {
 	if len(c.findings) < maxFindings {
 		c.findings.Add(finding.Finding{File: c.source, Key: key, Message: message})
 	}
 }
 
+// require adds a finding when the field is not present.
 func (c *checker) require(key string, present bool) {
 	if !present {
 		c.add(key, "missing")
 	}
 }
 
-func (c *checker) name(key, value string) {
+// checkName adds a finding when value fails CheckName.
+func (c *checker) checkName(key, value string) {
 	if err := CheckName(value); err != nil {
 		c.add(key, err.Error())
 	}
 }
 
-// seenNames holds where in a list a name stands last.
-type seenNames struct {
+// nameIndex holds the last index of each name in a list.
+type nameIndex struct {
 	list string
-	at   map[string]int
+	last map[string]int
 }
 
-// unseen notes a fault when a name stands in the list before place i, and that it
-// stands there.
-func (c *checker) unseen(seen seenNames, key, name string, i int) {
-	if earlier, taken := seen.at[name]; taken {
-		c.add(key, fmt.Sprintf("%q stands at %s[%d] too", name, seen.list, earlier))
+// checkUnique adds a finding when the name occurs before index i, and records index i.
+func (c *checker) checkUnique(seen nameIndex, key, name string, i int) {
+	if earlier, taken := seen.last[name]; taken {
+		c.add(key, fmt.Sprintf("%q is already used at %s[%d]", name, seen.list, earlier))
 	}
-	seen.at[name] = i
+	seen.last[name] = i
 }
 
+// instances validates the entries of a list.
 func (c *checker) instances(entries []InstanceEntry) []model.Instance {
 	out := make([]model.Instance, 0, len(entries))
-	seen := seenNames{list: "instances", at: make(map[string]int, len(entries))}
+	seen := nameIndex{list: "instances", last: make(map[string]int, len(entries))}
 	for i, e := range entries {
 		key := fmt.Sprintf("instances[%d].", i)
-		c.unseen(seen, key+"id", e.ID, i)
+		c.checkUnique(seen, key+"id", e.ID, i)
 		out = append(out, c.instance(key, e))
 	}
 	return out
 }
 
-// instance checks an entry; key is the prefix of its fields' keys.
+// instance validates an entry. key is the prefix of its fields' keys in findings.
 func (c *checker) instance(key string, e InstanceEntry) model.Instance {
 	state, ok := model.ParseUpstreamState(e.State)
 	if !ok {
 		c.add(key+"state", fmt.Sprintf("%q is not a state", e.State))
 	}
-	c.name(key+"id", e.ID)
+	c.checkName(key+"id", e.ID)
 	if state != model.StateGone {
-		c.place(key, e)
+		c.checkRequired(key, e)
 	}
 	return model.Instance{
 		ID:          model.InstanceID(e.ID),
@@ -227,22 +234,23 @@
 	}
 }
 
-// place checks the fields that an instance must have unless it is gone.
-func (c *checker) place(key string, e InstanceEntry) {
-	c.name(key+"service", e.Service)
-	c.name(key+"data_centre", e.DataCentre)
+// checkRequired validates the fields that every instance has unless its state is gone.
+func (c *checker) checkRequired(key string, e InstanceEntry) {
+	c.checkName(key+"service", e.Service)
+	c.checkName(key+"data_centre", e.DataCentre)
 	if err := CheckAddress(e.PeerAddress); err != nil {
 		c.add(key+"peer_address", err.Error())
 	}
 }
 
+// versions validates the entries of an index.
 func (c *checker) versions(entries []VersionEntry) []model.BundleVersion {
 	out := make([]model.BundleVersion, 0, len(entries))
-	seen := seenNames{list: "versions", at: make(map[string]int, len(entries))}
+	seen := nameIndex{list: "versions", last: make(map[string]int, len(entries))}
 	for i, e := range entries {
 		key := fmt.Sprintf("versions[%d]", i)
-		c.unseen(seen, key+".name", e.Name, i)
-		c.name(key+".name", e.Name)
+		c.checkUnique(seen, key+".name", e.Name, i)
+		c.checkName(key+".name", e.Name)
 		if e.Version == 0 {
 			c.add(key+".version", "must be at least 1")
 		}
--- a/internal/registry/decode_test.go
+++ b/internal/registry/decode_test.go
@@ -12,9 +12,9 @@
 	"gypsumstand/internal/model"
 )
 
-const goodEntry = `{"id":"a","service":"s","data_centre":"k1","peer_address":"127.0.0.1:70","state":"live"}`
+const validEntry = `{"id":"a","service":"s","data_centre":"k1","peer_address":"127.0.0.1:70","state":"live"}`
 
-func TestListWithUnknownFieldsIsRead(t *testing.T) {
+func TestDecodeListAcceptsUnknownFields(t *testing.T) {
 	data := `{"revision":7,"full":false,"later":[1],"instances":[
 		{"id":"a","service":"s","data_centre":"k1","peer_address":"[::1]:70","state":"leaving","rack":"r1"},
 		{"id":"b","state":"gone"}]}`
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestMalformedListIsAFindingWithItsPlace(t *testing.T) {
+func TestDecodeListFindings(t *testing.T) {
 	entries := func(e string) string { return `{"revision":1,"full":true,"instances":[` + e + `]}` }
 	tests := []struct {
 		name, data string
@@ -40,24 +40,24 @@
 	}{
 		{"empty object", `{}`, 0, []string{"revision: missing", "full: missing", "instances: missing"}},
 		{"null list", `{"revision":1,"full":true,"instances":null}`, 0, []string{"instances: missing"}},
-		{"changes for the whole", `{"revision":1,"full":false,"instances":[]}`, 0, []string{"full: the whole list was asked for"}},
+		{"changes instead of the complete list", `{"revision":1,"full":false,"instances":[]}`, 0, []string{"full: the complete list was requested, but changes were sent"}},
 		{"truncated", `{"revision":1,`, 0, []string{"list: unexpected EOF"}},
 		{"syntax", "{\n\"revision\":1,]", 0, []string{"list:2:14: invalid character"}},
-		{"wrong type", `{"revision":"x"}`, 0, []string{"revision: a string is not allowed"}},
-		{"negative revision", `{"revision":-1}`, 0, []string{"revision: a number -1 is not allowed"}},
-		{"not an object", `[]`, 0, []string{"a array is not allowed"}},
+		{"wrong type", `{"revision":"x"}`, 0, []string{"revision: a JSON string is not allowed"}},
+		{"negative revision", `{"revision":-1}`, 0, []string{"revision: a JSON number -1 is not allowed"}},
+		{"not an object", `[]`, 0, []string{"a JSON array is not allowed"}},
 		{"two values", entries("") + `{}`, 0, []string{"data after the end"}},
 		{"null entry", entries("null"), 0, []string{
 			"instances[0].state", "instances[0].id: empty", "instances[0].service", "instances[0].data_centre", "instances[0].peer_address"}},
-		{"bad state", entries(strings.Replace(goodEntry, "live", "alive", 1)), 0, []string{`instances[0].state: "alive"`}},
-		{"bad id", entries(strings.Replace(goodEntry, `"a"`, `"a/b"`, 1)), 0, []string{"instances[0].id: byte '/'"}},
-		{"long id", entries(strings.Replace(goodEntry, `"a"`, `"`+strings.Repeat("a", 129)+`"`, 1)), 0, []string{"instances[0].id: 129 bytes"}},
-		{"host name", entries(strings.Replace(goodEntry, "127.0.0.1", "localhost", 1)), 0, []string{"instances[0].peer_address"}},
-		{"port zero", entries(strings.Replace(goodEntry, ":70", ":0", 1)), 0, []string{"has port 0"}},
-		{"any address", entries(strings.Replace(goodEntry, "127.0.0.1", "0.0.0.0", 1)), 0, []string{"can't be connected to"}},
-		{"no service", entries(strings.Replace(goodEntry, `"s"`, `""`, 1)), 0, []string{"instances[0].service: empty"}},
-		{"twice", entries(goodEntry + "," + goodEntry), 0, []string{`instances[1].id: "a" stands at instances[0] too`}},
-		{"two entries", entries(strings.Replace(goodEntry, "live", "", 1) + `,{"id":"b","state":"live"}`), 0,
+		{"bad state", entries(strings.Replace(validEntry, "live", "alive", 1)), 0, []string{`instances[0].state: "alive"`}},
+		{"bad id", entries(strings.Replace(validEntry, `"a"`, `"a/b"`, 1)), 0, []string{"instances[0].id: byte '/'"}},
+		{"long id", entries(strings.Replace(validEntry, `"a"`, `"`+strings.Repeat("a", 129)+`"`, 1)), 0, []string{"instances[0].id: 129 bytes"}},
+		{"host name", entries(strings.Replace(validEntry, "127.0.0.1", "localhost", 1)), 0, []string{"instances[0].peer_address"}},
+		{"port zero", entries(strings.Replace(validEntry, ":70", ":0", 1)), 0, []string{"has port 0"}},
+		{"any address", entries(strings.Replace(validEntry, "127.0.0.1", "0.0.0.0", 1)), 0, []string{"is an unspecified or multicast address"}},
+		{"no service", entries(strings.Replace(validEntry, `"s"`, `""`, 1)), 0, []string{"instances[0].service: empty"}},
+		{"twice", entries(validEntry + "," + validEntry), 0, []string{`instances[1].id: "a" is already used at instances[0]`}},
+		{"two entries", entries(strings.Replace(validEntry, "live", "", 1) + `,{"id":"b","state":"live"}`), 0,
 			[]string{"instances[0].state", "instances[1].service", "instances[1].data_centre", "instances[1].peer_address"}},
 	}
 	for _, test := range tests {
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestMalformedIndexIsAFindingWithItsPlace(t *testing.T) {
+func TestDecodeIndexFindings(t *testing.T) {
 	tests := []struct {
 		name, data string
 		want       []string
@@ -88,24 +88,25 @@
 	}
 }
 
-// checkFindings fails unless err holds findings that hold want, one each.
+// checkFindings fails unless err is a finding.List whose elements contain the elements of
+// want, one each.
 func checkFindings(t *testing.T, err error, want []string) {
 	t.Helper()
 	var list finding.List
 	if !errors.As(err, &list) {
-		t.Fatalf("%v is no list of findings", err)
+		t.Fatalf("error %v is not a finding.List", err)
 	}
 	if len(list) != len(want) {
 		t.Fatalf("%d findings, want %d:\n%v", len(list), len(want), err)
 	}
 	for i, w := range want {
 		if !strings.Contains(list[i].String(), w) {
-			t.Errorf("finding %q does not hold %q", list[i], w)
+			t.Errorf("finding %q does not contain %q", list[i], w)
 		}
 	}
 }
 
-func TestFindingsAreBounded(t *testing.T) {
+func TestFindingsAreLimited(t *testing.T) {
 	_, err := DecodeList("list", []byte(`{"revision":1,"full":true,"instances":[`+strings.Repeat("{},", 1000)+`{}]}`), 0)
 	var list finding.List
 	if !errors.As(err, &list) || len(list) != maxFindings {
@@ -114,7 +115,7 @@
 }
 
 func FuzzDecodeList(f *testing.F) {
-	f.Add([]byte(`{"revision":1,"full":true,"instances":[`+goodEntry+`]}`), uint64(0))
+	f.Add([]byte(`{"revision":1,"full":true,"instances":[`+validEntry+`]}`), uint64(0))
 	f.Add([]byte(`{"revision":1,"full":false,"instances":[]}`), uint64(9))
 	f.Fuzz(func(t *testing.T, data []byte, since uint64) {
 		list, err := DecodeList("list", data, since)
--- a/internal/registry/protocol.go
+++ b/internal/registry/protocol.go
@@ -1,54 +1,52 @@
-// Package registry reads the platform's services: the list of instances and the
-// configuration. It holds the JSON types of the protocol and a client that
-// bounds every call in time and size and checks what it reads. Protocol:
-// docs/DESIGN.md, "Platform protocol".
+// Package registry is the client of the platform's two services: the list of instances and
+// the configuration. It defines the JSON types of the protocol, limits the time and the size
+// of every call, and validates every response. The protocol is described in docs/DESIGN.md,
+// "Platform protocol".
 package registry
 
-import (
-	"gypsumstand/internal/bundle"
-)
+import "gypsumstand/internal/bundle"
 
-// Paths of the platform's services.
+// Paths and query parameters of the platform's services.
 const (
-	// InstancesPath lists instances; the query SinceQuery asks for changes only.
+	// InstancesPath lists instances; with SinceQuery it lists only changes.
 	InstancesPath = "/v1/instances"
-	// ConfigPath is the index of configuration values; a value's own path is
-	// ConfigPath + "/" + its escaped name.
+	// ConfigPath is the index of configuration values. The path of a value is ConfigPath
+	// + "/" + its escaped name.
 	ConfigPath = "/v1/config"
-	// SinceQuery names the query parameter with the revision that the reader has.
+	// SinceQuery is the query parameter with the revision after which changes are listed.
 	SinceQuery = "since"
 )
 
-// Bounds of what the platform sends.
+// Size limits of what the platform sends.
 const (
-	// MaxListBytes bounds a list of instances.
+	// MaxListBytes limits a list of instances.
 	MaxListBytes = 32 << 20
-	// MaxIndexBytes bounds an index of configuration values.
+	// MaxIndexBytes limits an index of configuration values.
 	MaxIndexBytes = 4 << 20
-	// MaxValueBytes bounds one configuration value.
+	// MaxValueBytes limits one configuration value.
 	MaxValueBytes = bundle.MaxBytes
-	// MaxNameBytes bounds every name and id.
+	// MaxNameBytes limits every name and id.
 	MaxNameBytes = 128
 )
 
-// InstanceEntry is one instance of a list. In a list of changes, an instance
-// that was removed has the state "gone"; its other fields may then be empty.
+// InstanceEntry is one instance of a list. In a list of changes, a removed instance has the
+// state "gone" and may lack every other field except its id.
 type InstanceEntry struct {
 	ID         string `json:"id"`
 	Service    string `json:"service"`
 	DataCentre string `json:"data_centre"`
 	// PeerAddress is the "ip:port" of the instance's node.
 	PeerAddress string `json:"peer_address"`
-	// State is a name of model.UpstreamState.
+	// State is the name of a model.UpstreamState.
 	State string `json:"state"`
 }
 
-// InstanceList is the answer of InstancesPath. Revision and Full are pointers
-// to tell absent fields, which are faults.
+// InstanceList is the response of InstancesPath. Revision and Full are pointers to detect
+// missing fields, which are errors.
 type InstanceList struct {
-	// Revision grows with every change of the list.
+	// Revision increases with every change of the list.
 	Revision *uint64 `json:"revision"`
-	// Full says that Instances is the whole list, not changes since a revision.
+	// Full reports whether Instances is the complete list, not the changes since a revision.
 	Full      *bool           `json:"full"`
 	Instances []InstanceEntry `json:"instances"`
 }
@@ -59,10 +57,10 @@
 	Version uint64 `json:"version"`
 }
 
-// ConfigIndex is the answer of ConfigPath. Revision is a pointer to tell an
-// absent field, which is a fault.
+// ConfigIndex is the response of ConfigPath. Revision is a pointer to detect a missing field,
+// which is an error.
 type ConfigIndex struct {
-	// Revision grows with every change of the configuration.
+	// Revision increases with every change of the configuration.
 	Revision *uint64        `json:"revision"`
 	Versions []VersionEntry `json:"versions"`
 }
