--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -1,7 +1,7 @@
-// Package dialect holds the seam between this system and those it speaks HTTP
-// with: how callers name what they ask for and are told how it ended, and how
-// workers are given an attempt and say what became of it. Product is this system's
-// own; an adapter brings another. A dialect reads and writes; it decides nothing.
+// Package dialect defines the header conventions between the load balancer and its HTTP
+// peers: how callers describe a request and learn its outcome, and how workers get an attempt
+// and report on it. Product is the default dialect; an adapter may provide another. A dialect
+// only reads and writes messages and makes no decisions.
 package dialect
 
 import (
@@ -12,105 +12,109 @@
 	"gypsumstand/internal/wire"
 )
 
-// Callers is how callers and entry nodes speak. Its methods are called for each
-// request, by many goroutines at once, and do not block.
+// Callers is the dialect between callers and entry nodes. Its methods are called for each
+// request. They must be safe for concurrent use and must not block.
 type Callers interface {
-	// ReadRequest returns what a request's header asks for. An error names the header at
-	// fault, for the caller to read.
+	// ReadRequest returns the options in a request's header. An error names the invalid
+	// field and is sent to the caller.
 	ReadRequest(h http.Header) (wire.CallerHeaders, error)
-	// PrepareForward changes the header that goes on to the worker: h is a copy of the
-	// caller's end-to-end fields, remote the caller's "ip:port".
+	// PrepareForward changes the header that is forwarded to the worker. h is a copy of the
+	// caller's end-to-end fields, and remote the caller's "ip:port".
 	PrepareForward(h http.Header, remote string)
-	// AnnotateResponse adds to the header of a worker's answer.
-	AnnotateResponse(h http.Header, e Result)
-	// WriteFailure writes the header of an outcome without a worker's answer; request is
-	// the caller's header.
-	WriteFailure(h, request http.Header, e Result)
+	// AnnotateResponse adds fields to the header of a worker's response.
+	AnnotateResponse(h http.Header, r Result)
+	// WriteFailure writes the header of a response that does not come from a worker. request
+	// is the caller's header.
+	WriteFailure(h, request http.Header, r Result)
 }
 
-// Result is how a call ended, for its caller.
+// Result is the result of a call as reported to its caller.
 type Result struct {
 	Outcome model.Outcome
 	Reason  model.Reason
-	// RetryAfter is the advice to come back; zero means none.
+	// RetryAfter is when the caller should retry; zero means that it is not sent.
 	RetryAfter time.Duration
-	// Upstream is the last instance that the request was sent to, and Bundle the
-	// version it was decided under; empty when there was none.
+	// Upstream is the last instance to which the request was sent, and Bundle the bundle
+	// version that applied to the request. Either may be empty.
 	Upstream model.InstanceID
 	Bundle   model.BundleVersion
 }
 
-// Workers is how an owner and its worker speak. Its methods are called by many
-// goroutines at once and do not block.
+// Workers is the dialect between an owner and its worker. Its methods must be safe for
+// concurrent use and must not block.
 type Workers interface {
-	// PrepareAttempt writes the header fields of an attempt. worker is the worker's
-	// present life, empty when none is known.
+	// PrepareAttempt writes the header fields of an attempt. worker is the id of the current
+	// worker incarnation, empty when it is not known.
 	PrepareAttempt(h http.Header, a *model.Attempt, worker model.WorkerID)
-	// ReadResponse reads the head of an answer to a.
+	// ReadResponse reads the status and header of a response to a. It may remove fields
+	// that are not meant for the caller.
 	ReadResponse(resp *http.Response, a *model.Attempt) ResponseHead
-	// ReadHealth reads an answer of the worker's health path.
+	// ReadHealth reads a response of the worker's health path.
 	ReadHealth(resp *http.Response, body []byte) WorkerHealth
-	// AcceptsCloseDelimited tells whether an answer with neither a length nor chunks
-	// is whole when its connection ends in order, without a reset.
+	// AcceptsCloseDelimited reports whether a response with neither a length nor chunked
+	// encoding is complete when its connection is closed without a reset.
 	AcceptsCloseDelimited() bool
 }
 
-// Echo tells whether an answer names the attempt that it belongs to.
+// Echo is the result of comparing the attempt named in a response with the attempt sent.
 type Echo uint8
 
-// The echoes.
+// Values of Echo.
 const (
-	// EchoAbsent: the answer names no attempt.
+	// EchoAbsent means that the response names no attempt.
 	EchoAbsent Echo = iota
-	// EchoMatch: it names this one.
+	// EchoMatch means that the response names the attempt sent.
 	EchoMatch
-	// EchoMismatch: it names another, or several.
+	// EchoMismatch means that the response names another attempt, or several, or is
+	// otherwise not a response to the attempt.
 	EchoMismatch
 )
 
-// ResponseHead is what the head of a worker's answer says.
+// ResponseHead is the information in the status and header of a worker's response.
 type ResponseHead struct {
 	Echo Echo
-	// NotRun: the worker says that it did not run the attempt and never will.
+	// NotRun reports that the worker has not run the attempt and never will.
 	NotRun bool
-	// Refusal is the reason of a refusal with NotRun.
+	// Refusal is the reason for NotRun.
 	Refusal model.Reason
-	// RetryAfter is the worker's advice to come back; zero means none.
+	// RetryAfter is the worker's Retry-After; zero means none.
 	RetryAfter time.Duration
 	Load       WorkerLoad
-	// Worker is the worker that answers, where a refusal says; empty otherwise.
+	// Worker is the id of the worker incarnation that refused the attempt; empty when the
+	// response does not name it or is no refusal.
 	Worker model.WorkerID
 }
 
-// WorkerHealth is what an answer of the health path says.
+// WorkerHealth is the information in a response of the health path.
 type WorkerHealth struct {
-	// OK: the worker takes work. Leaving: it drains.
+	// OK reports that the worker takes requests, Leaving that it is draining.
 	OK, Leaving bool
-	// Worker is the life that answered, empty when it does not say.
+	// Worker is the id of the worker incarnation that responded, empty when the response
+	// does not name it.
 	Worker model.WorkerID
 	Load   WorkerLoad
-	// Warming is for how much longer the worker bears only a part of its usual load; zero
-	// for not.
+	// Warming is how long the worker stays below its full capacity; zero means that it is
+	// not warming.
 	Warming time.Duration
 }
 
-// WorkerLoad is a worker's own word about its load.
+// WorkerLoad is the load that a worker reports.
 type WorkerLoad struct {
-	// Known tells whether there was one.
+	// Known reports whether the worker reported its load.
 	Known bool
-	// Running and Waiting count requests at the worker, Slots how many it runs at
-	// once.
+	// Running and Waiting are the numbers of requests running and waiting at the worker.
+	// Slots is how many it can run concurrently.
 	Running, Waiting, Slots int
-	// Slowdown is how long work takes on its machine at this moment, 1 as usual; 0
-	// when it does not say.
+	// Slowdown is the current duration of work on the worker's machine relative to its
+	// usual duration: 1 is usual, 2 is twice as long, 0 is unknown.
 	Slowdown float64
 }
 
-// roomyShare is the part of the slots under which a worker that refuses does so for
-// another reason than load.
-const roomyShare = 0.75
+// spareSlotsShare is the share of busy slots below which load does not explain that a worker
+// refuses a request.
+const spareSlotsShare = 0.75
 
-// HasSpareSlots tells whether the worker says that it has slots to spare.
+// HasSpareSlots reports whether the worker reported that it has slots to spare.
 func (l WorkerLoad) HasSpareSlots() bool {
-	return l.Known && l.Waiting == 0 && float64(l.Running) < roomyShare*float64(l.Slots)
+	return l.Known && l.Waiting == 0 && float64(l.Running) < spareSlotsShare*float64(l.Slots)
 }
--- a/internal/dialect/product.go
+++ b/internal/dialect/product.go
@@ -11,7 +11,7 @@
 	"gypsumstand/internal/wire"
 )
 
-// Product is this system's own dialect: Gypsum headers and Idempotency-Key.
+// Product is the default dialect, with Gypsum headers and Idempotency-Key.
 type Product struct{}
 
 var (
@@ -19,7 +19,7 @@
 	_ Workers = Product{}
 )
 
-// Via is this proxy's entry in Via (RFC 9110, section 7.6.3).
+// via is this proxy's entry in Via (RFC 9110, section 7.6.3).
 const via = "1.1 gypsumstand"
 
 // ReadRequest implements Callers.
@@ -27,42 +27,45 @@
 	return wire.ParseCallerHeaders(h)
 }
 
-// PrepareForward implements Callers.
+// PrepareForward implements Callers. It removes Idempotency-Key, which PrepareAttempt sets, and
+// appends the caller's address to X-Forwarded-For.
 func (Product) PrepareForward(h http.Header, remote string) {
 	h.Del(wire.HeaderIdempotencyKey)
 	if host, _, err := net.SplitHostPort(remote); err == nil {
-		// A copy: the slice is shared with the caller's header.
+		// The slice is shared with the caller's header and must be copied.
 		h["X-Forwarded-For"] = append(append([]string(nil), h["X-Forwarded-For"]...), host)
 	}
 }
 
-// AnnotateResponse implements Callers.
-func (Product) AnnotateResponse(h http.Header, e Result) {
-	h.Set(wire.HeaderOutcome, e.Outcome.String())
-	setPlace(h, e)
+// AnnotateResponse implements Callers. It adds the outcome, the upstream, the bundle and Via.
+func (Product) AnnotateResponse(h http.Header, r Result) {
+	h.Set(wire.HeaderOutcome, r.Outcome.String())
+	setUpstreamAndBundle(h, r)
 	h.Add("Via", via)
 }
 
-// WriteFailure implements Callers.
-func (Product) WriteFailure(h, _ http.Header, e Result) {
-	h.Set(wire.HeaderOutcome, e.Outcome.String())
-	h.Set(wire.HeaderReason, e.Reason.String())
-	setPlace(h, e)
-	if e.RetryAfter > 0 {
-		h.Set(wire.HeaderRetryAfter, wire.FormatRetryAfter(e.RetryAfter))
+// WriteFailure implements Callers. It writes the outcome, the reason, the upstream, the bundle
+// and Retry-After.
+func (Product) WriteFailure(h, _ http.Header, r Result) {
+	h.Set(wire.HeaderOutcome, r.Outcome.String())
+	h.Set(wire.HeaderReason, r.Reason.String())
+	setUpstreamAndBundle(h, r)
+	if r.RetryAfter > 0 {
+		h.Set(wire.HeaderRetryAfter, wire.FormatRetryAfter(r.RetryAfter))
 	}
 }
 
-func setPlace(h http.Header, e Result) {
-	if e.Upstream != "" {
-		h.Set(wire.HeaderUpstream, string(e.Upstream))
+// setUpstreamAndBundle writes the fields that are not empty.
+func setUpstreamAndBundle(h http.Header, r Result) {
+	if r.Upstream != "" {
+		h.Set(wire.HeaderUpstream, string(r.Upstream))
 	}
-	if e.Bundle.Name != "" {
-		h.Set(wire.HeaderBundle, e.Bundle.String())
+	if r.Bundle.Name != "" {
+		h.Set(wire.HeaderBundle, r.Bundle.String())
 	}
 }
 
-// PrepareAttempt implements Workers.
+// PrepareAttempt implements Workers. The timeout is at least 1 ms.
 func (Product) PrepareAttempt(h http.Header, a *model.Attempt, _ model.WorkerID) {
 	h.Set(wire.HeaderAttempt, a.ID.String())
 	h.Set(wire.HeaderIdempotencyKey, string(a.Request))
@@ -73,7 +76,7 @@
 	h.Add("Via", via)
 }
 
-// ReadResponse implements Workers.
+// ReadResponse implements Workers. Only a 503 with Gypsum-Not-Run counts as a refusal.
 func (Product) ReadResponse(resp *http.Response, a *model.Attempt) ResponseHead {
 	var head ResponseHead
 	if echo, present := resp.Header[wire.HeaderAttempt]; present {
@@ -82,18 +85,19 @@
 			head.Echo = EchoMatch
 		}
 	}
-	// A malformed word proves nothing.
+	// A malformed field does not prove that the attempt has not run.
 	notRun, err := wire.ReadNotRun(resp.Header)
 	if err == nil && notRun && resp.StatusCode == http.StatusServiceUnavailable {
 		head.NotRun = true
 		head.Refusal = model.ReasonWorkerShed
-		head.RetryAfter = wholeSeconds(resp.Header.Get(wire.HeaderRetryAfter))
+		head.RetryAfter = parseRetryAfter(resp.Header.Get(wire.HeaderRetryAfter))
 	}
 	return head
 }
 
-// wholeSeconds reads Retry-After in seconds; zero for anything else.
-func wholeSeconds(s string) time.Duration {
+// parseRetryAfter parses Retry-After as an integer number of seconds. It returns zero for
+// anything else.
+func parseRetryAfter(s string) time.Duration {
 	seconds, err := strconv.ParseInt(s, 10, 32)
 	if err != nil || seconds < 0 {
 		return 0
@@ -101,20 +105,20 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// ReadHealth implements Workers: 200 means that the worker takes work; a JSON
-// body's "state" may say more.
+// ReadHealth implements Workers. Status 200 means that the worker takes requests, unless the
+// field "state" of a JSON body is "leaving".
 func (Product) ReadHealth(resp *http.Response, body []byte) WorkerHealth {
-	var said struct {
+	var health struct {
 		State string `json:"state"`
 	}
 	h := WorkerHealth{OK: resp.StatusCode == http.StatusOK}
-	// A body that is no JSON says nothing more.
-	if json.Unmarshal(body, &said) == nil && said.State == model.StateLeaving.String() {
+	// A body that is not JSON is ignored.
+	if json.Unmarshal(body, &health) == nil && health.State == model.StateLeaving.String() {
 		h.OK, h.Leaving = false, true
 	}
 	return h
 }
 
-// AcceptsCloseDelimited implements Workers: a cut answer could not be told from a
-// whole one.
+// AcceptsCloseDelimited implements Workers. It returns false because a truncated response
+// could not be distinguished from a complete one.
 func (Product) AcceptsCloseDelimited() bool { return false }
--- a/internal/keys/file.go
+++ b/internal/keys/file.go
@@ -15,37 +15,42 @@
 const (
 	privateMode = 0o600
 	publicMode  = 0o644
-	// othersMask are the bits that let others than the owner at a file.
-	othersMask = 0o077
+	// groupAndOthersMask are the permission bits of all users except the file's owner.
+	groupAndOthersMask = 0o077
 )
 
-// maxFileBytes bounds a key file.
+// maxFileBytes limits the size of a key file.
 const maxFileBytes = 1 << 14
 
-// ErrNoPrivate says that a file holds a public key where a private one is
+// ErrNoPrivate is returned when a file contains only a public key but a private one is
 // needed.
 var ErrNoPrivate = errors.New("file holds no private key")
 
-// MarshalPublic returns the public key file.
+// MarshalPublic returns the content of the public key file.
 func (k *Key) MarshalPublic() []byte {
 	return fmt.Appendf(nil, "# Public key of a signer of gypsumstand bundles.\nname = %q\npublic = %q\n", k.Name, EncodePublic(k.Public))
 }
 
-// MarshalPrivate returns the private key file.
+// MarshalPrivate returns the content of the private key file. The key must have its private
+// key.
 func (k *Key) MarshalPrivate() []byte {
 	seed := base64.StdEncoding.EncodeToString(k.private.Seed())
 	return fmt.Appendf(nil, "# PRIVATE key of a signer of gypsumstand bundles. Keep it secret.\nname = %q\npublic = %q\nprivate = %q\n",
 		k.Name, EncodePublic(k.Public), seed)
 }
 
-// WritePrivate writes the private key file, for its owner's eyes only. A file
-// that exists is not touched.
-func (k *Key) WritePrivate(path string) error { return write(path, k.MarshalPrivate(), privateMode) }
+// WritePrivate writes the private key file, readable and writable only by its owner. It fails
+// with os.ErrExist when the file exists.
+func (k *Key) WritePrivate(path string) error {
+	return writeFile(path, k.MarshalPrivate(), privateMode)
+}
 
-// WritePublic writes the public key file. A file that exists is not touched.
-func (k *Key) WritePublic(path string) error { return write(path, k.MarshalPublic(), publicMode) }
+// WritePublic writes the public key file. It fails with os.ErrExist when the file exists.
+func (k *Key) WritePublic(path string) error { return writeFile(path, k.MarshalPublic(), publicMode) }
 
-func write(path string, data []byte, mode os.FileMode) error {
+// writeFile creates a file with that mode regardless of the umask. It removes the file when
+// writing fails.
+func writeFile(path string, data []byte, mode os.FileMode) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
 		return fmt.Errorf("write key: %w", err)
@@ -58,8 +63,8 @@
 	return nil
 }
 
-// Load reads a key file of either kind. exposed tells that it holds a private
-// key which others than its owner may read.
+// Load reads a public or private key file. exposed reports that the file contains a private
+// key and that users other than its owner have access to it.
 func Load(path string) (key *Key, exposed bool, err error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -76,10 +81,10 @@
 	if err != nil {
 		return nil, false, err
 	}
-	return key, key.private != nil && info.Mode().Perm()&othersMask != 0, nil
+	return key, key.private != nil && info.Mode().Perm()&groupAndOthersMask != 0, nil
 }
 
-// LoadPrivate is Load for a file that must hold a private key.
+// LoadPrivate is like Load but returns ErrNoPrivate for a public key file.
 func LoadPrivate(path string) (key *Key, exposed bool, err error) {
 	key, exposed, err = Load(path)
 	if err == nil && key.private == nil {
@@ -88,19 +93,19 @@
 	return key, exposed, err
 }
 
-// Parse reads a key file of either kind strictly. name stands for the file in
-// findings; the error is a finding.List with every fault, and shows no key.
+// Parse parses a public or private key file and rejects unknown keys. name is the file name in
+// findings. The error is a finding.List with every finding and shows no key.
 func Parse(name string, data []byte) (*Key, error) {
-	var f file
+	var f keyFile
 	doc := tomlfile.Decode(name, data, &f)
 	if doc.Broken() {
 		return nil, doc.Err()
 	}
 	doc.Name("name", f.Name)
-	public := decodeKey(doc, "public", f.Public, ed25519.PublicKeySize)
+	public := decodeField(doc, "public", f.Public, ed25519.PublicKeySize)
 	k := &Key{Name: f.Name, Public: public}
 	if doc.Has("private") {
-		k.addPrivate(doc, f.Private)
+		k.setPrivate(doc, f.Private)
 	}
 	if err := doc.Err(); err != nil {
 		return nil, err
@@ -108,26 +113,28 @@
 	return k, nil
 }
 
-func decodeKey(doc *tomlfile.Document, key, value string, size int) []byte {
+// decodeField decodes the base64 value of a required key of the document. It returns nil after
+// adding a finding.
+func decodeField(doc *tomlfile.Document, key, value string, size int) []byte {
 	if !doc.Required(key) {
 		return nil
 	}
-	raw, err := decode(value, size)
+	raw, err := decodeBase64(value, size)
 	if err != nil {
 		doc.Add(key, "%v", err)
 	}
 	return raw
 }
 
-// addPrivate takes the private half and checks that it fits the public one.
-func (k *Key) addPrivate(doc *tomlfile.Document, value string) {
-	seed := decodeKey(doc, "private", value, ed25519.SeedSize)
+// setPrivate sets the private key and checks that the public key belongs to it.
+func (k *Key) setPrivate(doc *tomlfile.Document, value string) {
+	seed := decodeField(doc, "private", value, ed25519.SeedSize)
 	if seed == nil {
 		return
 	}
 	pair := fromSeed(k.Name, seed)
 	if k.Public != nil && !bytes.Equal(pair.Public, k.Public) {
-		doc.Add("public", "is not the public half of the private key")
+		doc.Add("public", "does not belong to the private key")
 	}
 	k.private = pair.private
 }
--- a/internal/keys/fuzz_test.go
+++ b/internal/keys/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzParse checks that a key that is taken has halves that fit and is written
-// back to the same.
+// FuzzParse checks that the public and private key of an accepted file belong together, and
+// that the key survives marshalling.
 func FuzzParse(f *testing.F) {
 	k, err := Generate("aline", bytes.NewReader(make([]byte, 32)))
 	if err != nil {
@@ -24,7 +24,7 @@
 		if k.Private() != nil {
 			text = k.MarshalPrivate()
 			if !k.Public.Equal(k.Private().Public()) {
-				t.Error("halves do not fit")
+				t.Error("the public key does not belong to the private key")
 			}
 		}
 		again, err := Parse("f", text)
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -26,20 +26,20 @@
 
 func TestGeneratedKeysDiffer(t *testing.T) {
 	if a, b := mustGenerate(t, "a"), mustGenerate(t, "a"); bytes.Equal(a.Public, b.Public) {
-		t.Error("two generated keys are the same")
+		t.Error("two generated keys are equal")
 	}
 }
 
-func TestGenerateRefuses(t *testing.T) {
+func TestGenerateRejectsBadNameAndShortSource(t *testing.T) {
 	if _, err := Generate("Aline U.", nil); err == nil {
-		t.Error("a name that is no label was taken")
+		t.Error("an invalid name was accepted")
 	}
 	if _, err := Generate("aline", bytes.NewReader(make([]byte, 31))); err == nil {
-		t.Error("a source that ends early was taken")
+		t.Error("a source that ends early was accepted")
 	}
 }
 
-func TestKeyFilesGiveTheKeyBack(t *testing.T) {
+func TestKeyFilesRoundTrip(t *testing.T) {
 	dir := t.TempDir()
 	k := mustGenerate(t, "aline")
 	private, public := filepath.Join(dir, "private"), filepath.Join(dir, "public")
@@ -51,19 +51,19 @@
 		t.Errorf("LoadPrivate = %v, %v, %v", got, exposed, err)
 	}
 	signed := got.Sign([]byte("text"))
-	half, _, err := Load(public)
-	if err != nil || half.Private() != nil {
-		t.Fatalf("Load = %v, %v", half, err)
+	publicKey, _, err := Load(public)
+	if err != nil || publicKey.Private() != nil {
+		t.Fatalf("Load = %v, %v", publicKey, err)
 	}
-	if err := signed.Verify([]bundle.Signer{half.Signer()}); err != nil {
+	if err := signed.Verify([]bundle.Signer{publicKey.Signer()}); err != nil {
 		t.Errorf("Verify: %v", err)
 	}
 	if _, _, err := LoadPrivate(public); !errors.Is(err, ErrNoPrivate) {
-		t.Errorf("LoadPrivate of a public key: %v, want %v", err, ErrNoPrivate)
+		t.Errorf("LoadPrivate of a public key file: %v, want %v", err, ErrNoPrivate)
 	}
 }
 
-func TestPrivateFilesAreForTheirOwnerOnly(t *testing.T) {
+func TestPrivateFileIsReadableByOwnerOnly(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "private")
 	if err := mustGenerate(t, "aline").WritePrivate(path); err != nil {
 		t.Fatalf("WritePrivate: %v", err)
@@ -76,11 +76,11 @@
 		t.Fatal(err)
 	}
 	if _, exposed, err := Load(path); err != nil || !exposed {
-		t.Errorf("Load of a file that the group reads: exposed %v, %v", exposed, err)
+		t.Errorf("Load of a group-readable file: exposed %v, %v", exposed, err)
 	}
 }
 
-func TestWriteNeverReplacesAFile(t *testing.T) {
+func TestWriteDoesNotReplaceAFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "private")
 	first, second := mustGenerate(t, "aline"), mustGenerate(t, "aline")
 	if err := first.WritePrivate(path); err != nil {
@@ -90,11 +90,11 @@
 		t.Errorf("second WritePrivate: %v, want %v", err, os.ErrExist)
 	}
 	if got, _, err := Load(path); err != nil || !bytes.Equal(got.Public, first.Public) {
-		t.Errorf("the first key is lost: %v, %v", got, err)
+		t.Errorf("the first key was replaced: %v, %v", got, err)
 	}
 }
 
-func TestNoFormatShowsThePrivateHalf(t *testing.T) {
+func TestNoFormatShowsThePrivateKey(t *testing.T) {
 	k := mustGenerate(t, "aline")
 	want := "aline (" + Fingerprint(k.Public) + ")"
 	for _, verb := range []string{"%v", "%+v", "%#v", "%s", "%x", "%d", "%q"} {
@@ -128,8 +128,8 @@
 		{"short", "name = \"aline\"\npublic = \"AAAA\"\nprivate = \"\"", []string{
 			"key:2:1: public: must be 32 bytes in base64, found 3", "key:3:1: private: must be 32 bytes in base64, found 0",
 		}},
-		{"halves of two keys", strings.Replace(private, EncodePublic(k.Public), EncodePublic(other.Public), 1), []string{
-			"key:3:1: public: is not the public half of the private key",
+		{"public and private key differ", strings.Replace(private, EncodePublic(k.Public), EncodePublic(other.Public), 1), []string{
+			"key:3:1: public: does not belong to the private key",
 		}},
 		{"no TOML", "-----BEGIN", []string{"key:1:10: expected '=' after key"}},
 	}
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestLoadRefusesWhatIsNoKeyFile(t *testing.T) {
+func TestLoadRejectsMissingAndOversizedFiles(t *testing.T) {
 	dir := t.TempDir()
 	if _, _, err := Load(filepath.Join(dir, "absent")); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("absent file: %v", err)
@@ -158,6 +158,6 @@
 		t.Fatal(err)
 	}
 	if _, _, err := Load(big); err == nil {
-		t.Error("a file over the bound was taken")
+		t.Error("an oversized file was accepted")
 	}
 }
