--- a/cmd/gypsumbench/main.go
+++ b/cmd/gypsumbench/main.go
@@ -138,14 +138,14 @@
 	}
 	inyange.MeanMs, brethyn.MeanMs = benchMeanMs, benchMeanMs
 	var m experiment.Measurements
-	m.Added, err = experiment.MeasureAdded(ctx, s.rate, s.repeats, s.duration)
+	m.AddedLatency, err = experiment.MeasureAddedLatency(ctx, s.rate, s.repeats, s.duration)
 	if err != nil {
 		return fmt.Errorf("added time: %w", err)
 	}
 	m.Runs, err = experiment.Compare(ctx, experiment.Options{
 		Deployments: []*deploy.Deployment{inyange, brethyn},
 		Contenders:  experiment.Contenders(),
-		Shares:      []float64{0.6, 0.85, 1.1},
+		LoadShares:  []float64{0.6, 0.85, 1.1},
 		Repeats:     s.repeats,
 		Duration:    s.duration,
 		Progress:    os.Stdout,
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -176,7 +176,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, inForceWithin)
 	defer cancel()
-	if err := r.fleet.Await(ctx, local.InForce(next)); err != nil {
+	if err := r.fleet.Await(ctx, local.HasVersion(next)); err != nil {
 		r.breach("%v is not in force everywhere after %v: %v", next, inForceWithin, err)
 		return
 	}
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -61,16 +61,16 @@
 // judge holds the results against the promises.
 func (r *run) judge(result, drained *load.Result) {
 	t := result.Total.Counts
-	if t.Wrong+t.Cut+t.Malformed+t.Broken > 0 {
-		r.breach("%d wrong, %d cut, %d malformed, %d broken answers", t.Wrong, t.Cut, t.Malformed, t.Broken)
+	if t.Wrong+t.Truncated+t.Malformed+t.Broken > 0 {
+		r.breach("%d wrong, %d cut, %d malformed, %d broken answers", t.Wrong, t.Truncated, t.Malformed, t.Broken)
 	}
-	if o := result.Oracle; !o.Kept() {
+	if o := result.Oracle; !o.Consistent() {
 		r.breach("%s", o)
 	}
 	d := drained.Total.Counts
-	if d.Wrong+d.Cut+d.Malformed+d.Broken+d.Unreachable > 0 {
+	if d.Wrong+d.Truncated+d.Malformed+d.Broken+d.Unreachable > 0 {
 		r.breach("callers of the drained node: %d wrong, %d cut, %d malformed, %d broken, %d unreachable",
-			d.Wrong, d.Cut, d.Malformed, d.Broken, d.Unreachable)
+			d.Wrong, d.Truncated, d.Malformed, d.Broken, d.Unreachable)
 	}
 }
 
--- a/internal/failure/deadly_test.go
+++ b/internal/failure/deadly_test.go
@@ -75,14 +75,14 @@
 	t.Helper()
 	cfg := config(workers)
 	s := &cfg.Services[0]
-	s.Deadly = func(r answer.Request) bool {
+	s.CrashOn = func(r answer.Request) bool {
 		if !deadly(r) {
 			return false
 		}
 		d.ran()
 		return true
 	}
-	s.EndsAfter, s.BackAfter = 30*time.Millisecond, backAfter
+	s.CrashDelay, s.RestartDelay = 30*time.Millisecond, backAfter
 	return startFleet(t, cfg)
 }
 
@@ -98,7 +98,7 @@
 			return
 		case <-ticker.C:
 		}
-		address := f.Callers()[i%len(f.Callers())]
+		address := f.CallerAddresses()[i%len(f.CallerAddresses())]
 		r := next()
 		wg.Go(func() { c.send(context.WithoutCancel(ctx), address, r) })
 	}
@@ -218,7 +218,7 @@
 			awaitMembers(t, f, "all listed", func(m *local.Member) bool { return len(m.Node.Core().Board.Fleet.Get().Instances) == 11 })
 			bad := newCallers(t)
 			for n := range 30 {
-				bad.send(t.Context(), f.Callers()[(first+n)%3], deadlyPayout())
+				bad.send(t.Context(), f.CallerAddresses()[(first+n)%3], deadlyPayout())
 				pause.For(t.Context(), deadlyEvery)
 			}
 			if all, late := d.after(); all > 3 || late != 0 {
@@ -290,7 +290,7 @@
 // listSilent lists nodes of a service at a data centre of their own, which never answer.
 func listSilent(f *local.Fleet, service model.ServiceName, n int) {
 	for i := range n {
-		f.Platform.Put(model.Instance{
+		f.Platform.PutInstance(model.Instance{
 			ID: model.InstanceID(fmt.Sprintf("%s-%d", service, i+1)), Service: service, DataCentre: "silent",
 			PeerAddress: "127.0.0.2:1", State: model.StateLive,
 		})
--- a/internal/keys/file.go
+++ b/internal/keys/file.go
@@ -98,10 +98,10 @@
 func Parse(name string, data []byte) (*Key, error) {
 	var f keyFile
 	doc := tomlfile.Decode(name, data, &f)
-	if doc.Broken() {
+	if doc.HasSyntaxError() {
 		return nil, doc.Err()
 	}
-	doc.Name("name", f.Name)
+	doc.CheckName("name", f.Name)
 	public := decodeField(doc, "public", f.Public, ed25519.PublicKeySize)
 	k := &Key{Name: f.Name, Public: public}
 	if doc.Has("private") {
@@ -116,7 +116,7 @@
 // decodeField decodes the base64 value of a required key of the document. It returns nil after
 // adding a finding.
 func decodeField(doc *tomlfile.Document, key, value string, size int) []byte {
-	if !doc.Required(key) {
+	if !doc.Require(key) {
 		return nil
 	}
 	raw, err := decodeBase64(value, size)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -40,22 +40,22 @@
 	Violations []string
 	Requests   int
 	Served     int
-	// Delays are the times that versions took to be in force at machines in touch, in
+	// ApplyDelays are the times that versions took to be in force at machines in touch, in
 	// order.
-	Delays []time.Duration
-	// Calls counts the calls to the store, Took is how long the soak took.
-	Calls int
-	Took  time.Duration
+	ApplyDelays []time.Duration
+	// StoreCalls counts the calls to the store, Took is how long the soak took.
+	StoreCalls int
+	Elapsed    time.Duration
 }
 
-// Applied words how long configurations took to be in force.
-func (r Report) Applied() string {
-	n := len(r.Delays)
+// ApplySummary words how long configurations took to be in force.
+func (r Report) ApplySummary() string {
+	n := len(r.ApplyDelays)
 	if n == 0 {
 		return "no configuration at a machine in touch"
 	}
 	return fmt.Sprintf("configurations at machines in touch: %d, median %s, longest %s; %.1f calls to the store a second",
-		n, r.Delays[n/2].Round(time.Millisecond), r.Delays[n-1].Round(time.Millisecond), float64(r.Calls)/r.Took.Seconds())
+		n, r.ApplyDelays[n/2].Round(time.Millisecond), r.ApplyDelays[n-1].Round(time.Millisecond), float64(r.StoreCalls)/r.Elapsed.Seconds())
 }
 
 // clientsPerMachine send one request after the other.
@@ -91,7 +91,7 @@
 	stopClients()
 	clients.Wait()
 	f.watching.Wait()
-	report := Report{Plan: p.String(), Violations: l.check(), Requests: len(l.order), Delays: l.delays, Calls: f.store.Calls(), Took: time.Since(began)}
+	report := Report{Plan: p.String(), Violations: l.check(), Requests: len(l.order), ApplyDelays: l.delays, StoreCalls: f.store.Calls(), Elapsed: time.Since(began)}
 	for _, r := range l.order {
 		if r.status == http.StatusOK {
 			report.Served++
