--- a/internal/experiment/added.go
+++ b/internal/experiment/added.go
@@ -67,8 +67,8 @@
 	if err != nil {
 		return nil, err
 	}
-	dep.MeanMs = addedServiceMs
-	cfg := dep.Fleet()
+	dep.MeanServiceMs = addedServiceMs
+	cfg := dep.FleetConfig()
 	cfg.DataCentres = 1
 	cfg.CrossDelay = 0
 	cfg.Services[0].Profiles[0].Distribution = "constant"
