--- a/internal/proof/cases_test.go
+++ b/internal/proof/coverage_test.go
@@ -7,10 +7,11 @@
 	"testing"
 )
 
-// casePlans is the number of plans in which every case below arises.
+// casePlans is the number of plans that together reach every case below.
 const casePlans = 48
 
-// cases are what the oracle must have had to judge.
+// cases are the counts that the plans must reach for the oracle to have checked every
+// kind of outcome, resolution, refusal and fault.
 var cases = []string{
 	"told answered", "told not-run", "told unknown", "callers disconnected",
 	"settled never-seen", "settled queued", "settled started", "settled done", "settled barred",
@@ -22,7 +23,7 @@
 	"runs twice, excused",
 }
 
-func TestPlansBringTheirCasesAbout(t *testing.T) {
+func TestPlansCoverAllCases(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
 	counts := map[string]int{}
@@ -30,7 +31,7 @@
 		for seed := range uint64(casePlans) {
 			t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 				t.Parallel()
-				w := runPlainPlan(seed, switches{}, nil)
+				w := runPlainPlan(seed, options{}, nil)
 				for _, v := range w.ledger.violations {
 					t.Error(v)
 				}
@@ -47,8 +48,8 @@
 	})
 	for _, what := range cases {
 		if counts[what] == 0 {
-			t.Errorf("no plan brought about: %s", what)
+			t.Errorf("no plan reached case %q", what)
 		}
 	}
-	report(t, counts)
+	logCounts(t, counts)
 }
--- a/internal/proof/deadly.go
+++ b/internal/proof/deadly.go
@@ -12,53 +12,56 @@
 	"gypsumstand/internal/wire"
 )
 
-// Times of deadly requests.
+// Times and limits of deadly requests.
 const (
-	// endsAfter is the time from a deadly run's start to its worker's end.
-	endsAfter = 30 * time.Millisecond
-	// deadlyEvery is the time between two sendings of one deadly request.
-	deadlyEvery = 300 * time.Millisecond
-	// deadlyFor is for how long its caller comes back.
-	deadlyFor = 12 * time.Second
-	// deadlyKnown is how long after the third end, a start or a disturbance nodes must
-	// know, and deadlyMore how often the request may still reach a worker then.
-	deadlyKnown = 3 * time.Second
-	deadlyMore  = 3
-	// tellTimeout is package node's.
-	tellTimeout = 500 * time.Millisecond
+	// crashDelay is the time from the start of a deadly run to the crash of its worker.
+	crashDelay = 30 * time.Millisecond
+	// deadlyInterval is the time between two submissions of one deadly request.
+	deadlyInterval = 300 * time.Millisecond
+	// deadlyDuration is how long the caller goes on submitting a deadly request.
+	deadlyDuration = 12 * time.Second
+	// deadlyLearnTime is how long after the third crash, a process start or a network
+	// disturbance nodes must quarantine the request; maxLateDeadlyRuns is how often it
+	// may still reach a worker after that.
+	deadlyLearnTime   = 3 * time.Second
+	maxLateDeadlyRuns = 3
+	// suspectUpdateTimeout is package node's timeout of a suspect update.
+	suspectUpdateTimeout = 500 * time.Millisecond
 )
 
-// deadlyRequest is a request under which workers end, and when it reached them.
+// deadlyRequest is a request that crashes its workers, with the times at which it reached
+// them. lateRuns counts the runs that the quarantine should have prevented.
 type deadlyRequest struct {
-	name string
-	runs []time.Time
-	late int
+	name     string
+	runs     []time.Time
+	lateRuns int
 }
 
-// sendDeadly lets a caller come back with one deadly request for a while, at all entries in
-// turn.
+// sendDeadly starts a caller that submits one deadly request to all entries in turn for
+// deadlyDuration.
 func (w *world) sendDeadly(c chooser) {
 	d := &deadlyRequest{name: fmt.Sprintf("deadly-%d", w.ledger.counts["deadly requests"])}
 	w.ledger.count("deadly requests")
 	route := callerRoutes[c.pick("route", len(callerRoutes))]
 	first := c.pick("node", len(w.nodes))
-	for i := range int(deadlyFor / deadlyEvery) {
-		w.after(time.Duration(i)*deadlyEvery, func() {
-			if w.quiet {
+	for i := range int(deadlyDuration / deadlyInterval) {
+		w.after(time.Duration(i)*deadlyInterval, func() {
+			if w.stopDeadly {
 				return
 			}
-			s := &sending{
+			s := &submission{
 				request: model.RequestID(fmt.Sprintf("%s.%d", d.name, i)), route: route, keyed: !route.idempotent,
 				tenant: "cooperative", deadly: d,
 			}
-			s.in(w).to(w.nodes[(first+i)%len(w.nodes)])
+			s.record(w).sendTo(w.nodes[(first+i)%len(w.nodes)])
 		})
 	}
 }
 
-// fingerprint is what a node finds of a sending. Lookups of one route are all the same, and
-// so popular; what is posted differs.
-func (s *sending) fingerprint() model.Fingerprint {
+// fingerprint returns the content fingerprint that a node computes for the submission.
+// All lookups of one route have the same content, as popular requests do; each POST has
+// its own body.
+func (s *submission) fingerprint() model.Fingerprint {
 	body := ""
 	if !s.route.idempotent {
 		body = string(s.request)
@@ -69,146 +72,149 @@
 	return model.NewFingerprint(s.route.method, "", &url.URL{Path: s.route.path}, s.tenant, int64(len(body)), []byte(body))
 }
 
-// ranDeadly notes a run of a deadly request and ends its worker.
-func (g *ledger) ranDeadly(wk *worker, j *job, d *deadlyRequest) {
+// recordDeadlyRun records a run of a deadly request and schedules the crash of its
+// worker. A run counts as late when the quarantine should have prevented it.
+func (g *ledger) recordDeadlyRun(wk *worker, j *job, d *deadlyRequest) {
 	w := g.w
-	w.after(endsAfter, wk.end)
+	w.after(crashDelay, wk.crash)
 	d.runs = append(d.runs, w.now)
 	if len(d.runs) <= 3 {
 		return
 	}
-	third := d.runs[2].Add(endsAfter)
-	if w.now.Sub(latest(third, g.calmSince(), g.lives[j.l].born)) <= deadlyKnown {
+	third := d.runs[2].Add(crashDelay)
+	if w.now.Sub(latest(third, g.undisturbedSince(), g.processes[j.proc].startedAt)) <= deadlyLearnTime {
 		return
 	}
-	if !g.remembered(third) {
+	if !g.anyStartedBefore(third) {
 		g.count("excused: no process is left that knew of a deadly request")
 		return
 	}
-	d.late++
-	if d.late > deadlyMore {
-		g.violate(promiseDeadly, "%s reached workers %d times, %d of them too late", d.name, len(d.runs), d.late)
+	d.lateRuns++
+	if d.lateRuns > maxLateDeadlyRuns {
+		g.violate(promiseDeadly, "%s reached workers %d times, %d of them after it should have been quarantined", d.name, len(d.runs), d.lateRuns)
 	}
 }
 
-// remembered tells whether a process lives that lived then.
-func (g *ledger) remembered(then time.Time) bool {
+// anyStartedBefore reports whether a process still runs that started before then.
+func (g *ledger) anyStartedBefore(then time.Time) bool {
 	return slices.ContainsFunc(g.w.nodes, func(n *node) bool {
-		return n.life != nil && g.lives[n.life].born.Before(then)
+		return n.process != nil && g.processes[n.process].startedAt.Before(then)
 	})
 }
 
-// end ends the worker's process with all that it runs; it is back some time later.
-func (wk *worker) end() {
+// crash ends the worker's process and everything that it runs. The worker accepts
+// connections again 1 to 3 s later.
+func (wk *worker) crash() {
 	if wk.cold {
 		return
 	}
-	w := wk.n.w
+	w := wk.node.w
 	w.ledger.count("workers ended by a request")
 	wk.cold = true
 	w.after(w.between(time.Second, 3*time.Second), func() { wk.cold = false })
-	runs := wk.inHand
-	wk.inHand = nil
+	runs := wk.inFlight
+	wk.inFlight = nil
 	for _, r := range runs {
-		if !r.over {
-			r.over = true
+		if !r.done {
+			r.done = true
 			wk.running--
-			r.respond(workerAnswer{kind: answerClosed})
+			r.respond(workerResponse{kind: responseClosed})
 		}
 	}
 }
 
-// judge asks the quarantine about a job (Executor.judge).
-func (j *job) judge() quarantine.Decision {
-	q := j.l.core.Quarantine
-	j.verdict = q.Evaluate(j.l.w.now, j.sending().fingerprint(), quarantine.Submission{Crashes: int(j.attempt.Crashes), Granted: j.attempt.Granted}, j.sending().route.path)
-	return j.verdict
+// evaluate asks the quarantine for its decision about a job (server.Executor).
+func (j *job) evaluate() quarantine.Decision {
+	q := j.proc.core.Quarantine
+	j.decision = q.Evaluate(j.proc.w.now, j.submission().fingerprint(), quarantine.Submission{Crashes: int(j.attempt.Crashes), Granted: j.attempt.Granted}, j.submission().route.path)
+	return j.decision
 }
 
-func (j *job) sending() *sending { return j.l.w.ledger.attempts[j.attempt.ID].sending }
+func (j *job) submission() *submission { return j.proc.w.ledger.attempts[j.attempt.ID].submission }
 
-// broke tells the quarantine of a run that broke and reports whether the worker has ended
-// (node.broke): its port then is closed.
-func (j *job) broke() (ended bool) {
-	l := j.l
-	if l.core.Owner.Draining() || l.w.switches.noEvidence {
+// detectCrash reports a failed run to the quarantine. It returns true when the worker has
+// crashed, which a refused connection also shows (package node).
+func (j *job) detectCrash() (ended bool) {
+	proc := j.proc
+	if proc.core.Owner.Draining() || proc.w.options.ignoreCrashes {
 		return false
 	}
-	known := l.core.Quarantine.RunFailed(l.w.now, j.quarantined())
-	if !known && l.node.worker.refusesConnections() {
-		l.core.Quarantine.WorkerCrashed(l.w.now)
+	known := proc.core.Quarantine.RunFailed(proc.w.now, j.quarantineRun())
+	if !known && proc.node.worker.refusesConnections() {
+		proc.core.Quarantine.WorkerCrashed(proc.w.now)
 		known = true
 	}
-	l.suspectsChanged()
+	proc.suspectsChanged()
 	return known
 }
 
-// quarantined tells of the job's run (content.run).
-func (j *job) quarantined() quarantine.Run {
+// quarantineRun describes the job's run to the quarantine.
+func (j *job) quarantineRun() quarantine.Run {
 	return quarantine.Run{
-		Content: j.sending().fingerprint(), Started: j.started,
-		AlreadySuspect: j.attempt.Crashes > 0 || j.verdict.Crashes > 0, Trial: j.verdict.Trial,
+		Content: j.submission().fingerprint(), Started: j.started,
+		AlreadySuspect: j.attempt.Crashes > 0 || j.decision.Crashes > 0, Trial: j.decision.Trial,
 	}
 }
 
-// completed tells the quarantine of a whole answer.
-func (j *job) completed() {
-	j.l.core.Quarantine.RunCompleted(j.l.w.now, j.sending().fingerprint())
-	j.l.suspectsChanged()
+// runCompleted reports a complete response to the quarantine.
+func (j *job) runCompleted() {
+	j.proc.core.Quarantine.RunCompleted(j.proc.w.now, j.submission().fingerprint())
+	j.proc.suspectsChanged()
 }
 
-// suspectsChanged hands the word on that there is something to tell peers.
-func (l *life) suspectsChanged() {
+// suspectsChanged posts an event when the quarantine has an update for peers.
+func (p *process) suspectsChanged() {
 	select {
-	case <-l.core.Quarantine.Changed():
-		l.after(0, func() { l.event(control.SuspectsChanged{}) })
+	case <-p.core.Quarantine.Changed():
+		p.after(0, func() { p.postEvent(control.SuspectsChanged{}) })
 	default:
 	}
 }
 
-// tellSuspects stands for Node.tellSuspects.
-func (l *life) tellSuspects(a control.SendSuspectUpdate) {
-	answered := false
-	l.after(tellTimeout, func() {
-		if !answered {
-			l.core.Quarantine.SendFailed(l.w.now, a)
-			l.suspectsChanged()
+// sendSuspectUpdate sends an update of suspect requests to a peer (package node).
+func (p *process) sendSuspectUpdate(action control.SendSuspectUpdate) {
+	replied := false
+	p.after(suspectUpdateTimeout, func() {
+		if !replied {
+			p.core.Quarantine.SendFailed(p.w.now, action)
+			p.suspectsChanged()
 		}
 	})
-	l.postSuspects(a.To.PeerAddress, a.Update, func(reply wire.SuspectUpdate) {
-		answered = true
-		more, differ := l.core.Quarantine.HandleReply(l.w.now, reply)
-		l.suspectsChanged()
+	p.exchangeSuspects(action.To.PeerAddress, action.Update, func(reply wire.SuspectUpdate) {
+		replied = true
+		more, differ := p.core.Quarantine.HandleReply(p.w.now, reply)
+		p.suspectsChanged()
 		if differ {
-			l.postSuspects(a.To.PeerAddress, more, func(wire.SuspectUpdate) {})
+			p.exchangeSuspects(action.To.PeerAddress, more, func(wire.SuspectUpdate) {})
 		}
 	})
 }
 
-// postSuspects carries a message in its wire form to the node at an address, and its answer
-// back; what takes too long, or meets a fault, is lost.
-func (l *life) postSuspects(address string, news wire.SuspectUpdate, answered func(wire.SuspectUpdate)) {
-	w := l.w
-	target := w.at(address)
-	if target == nil || w.net.isCut(l.node, target) || w.chance(w.net.broken) {
+// exchangeSuspects sends an encoded update to the node at address and passes the reply to
+// onReply. Either message is lost to a fault, and a reply after suspectUpdateTimeout is
+// dropped.
+func (p *process) exchangeSuspects(address string, update wire.SuspectUpdate, onReply func(wire.SuspectUpdate)) {
+	w := p.w
+	target := w.nodeByAddress(address)
+	if target == nil || w.net.isCut(p.node, target) || w.chance(w.net.broken) {
 		return
 	}
-	begun := w.now
-	w.after(w.net.delay(l.node, target), func() {
-		peer := target.life
+	sentAt := w.now
+	w.after(w.net.delay(p.node, target), func() {
+		peer := target.process
 		if peer == nil || peer.peerClosed {
 			return
 		}
-		peer.data(func() {
-			reply := peer.core.Quarantine.HandleUpdate(w.now, recoded(news))
+		peer.whenRunning(func() {
+			reply := peer.core.Quarantine.HandleUpdate(w.now, reencode(update))
 			peer.suspectsChanged()
-			if w.net.isCut(l.node, target) || w.chance(w.net.broken) {
+			if w.net.isCut(p.node, target) || w.chance(w.net.broken) {
 				return
 			}
-			w.after(w.net.delay(l.node, target), func() {
-				l.data(func() {
-					if w.now.Sub(begun) < tellTimeout {
-						answered(recoded(reply))
+			w.after(w.net.delay(p.node, target), func() {
+				p.whenRunning(func() {
+					if w.now.Sub(sentAt) < suspectUpdateTimeout {
+						onReply(reencode(reply))
 					}
 				})
 			})
@@ -216,9 +222,9 @@
 	})
 }
 
-// recoded passes a message through its wire form.
-func recoded(news wire.SuspectUpdate) wire.SuspectUpdate {
-	data, err := wire.EncodeSuspects(&news)
+// reencode returns the update after a round trip through its wire encoding.
+func reencode(update wire.SuspectUpdate) wire.SuspectUpdate {
+	data, err := wire.EncodeSuspects(&update)
 	if err != nil {
 		panic(err)
 	}
--- a/internal/proof/doc.go
+++ b/internal/proof/doc.go
@@ -1,9 +1,9 @@
-// Package proof checks the promises of docs/PROMISES.md by stateful fuzzing: it
-// joins whole decision cores (package core) by a queue of events on a fake
-// clock, brings faults about, and holds what happened against a plain ledger
-// that is kept outside the cores. Run plays plans by seed, for command
-// gypsumproof; the package's tests draw them by rapid, which can shrink them.
+// Package proof checks the promises of docs/PROMISES.md by stateful fuzzing. It connects
+// complete decision cores (package core) through an event queue on a fake clock, injects
+// faults, and compares what happened with a ledger that is kept outside the cores. Run
+// plays plans by seed for command gypsumproof; the package's tests draw plans with rapid,
+// which can shrink them.
 //
-// It carries out what the cores decide as the program does; each part names the
-// file of the program that it stands for.
+// The package carries out the decisions of the cores in the same way as the node process.
+// Comments name the package that each part stands for.
 package proof
--- a/internal/proof/exchange.go
+++ b/internal/proof/exchange.go
@@ -9,50 +9,51 @@
 	"gypsumstand/internal/wire"
 )
 
-// Bounds of settlement (package node, settle.go).
+// Timeouts of outcome resolution (package node).
 const (
-	settleTimeout = 500 * time.Millisecond
-	notifyTimeout = 250 * time.Millisecond
+	resolveTimeout = 500 * time.Millisecond
+	notifyTimeout  = 250 * time.Millisecond
 )
 
-// answer is what a worker answered: the request that it is an answer to.
-type answer struct {
+// response is a worker's response; request is the request that it belongs to.
+type response struct {
 	request model.RequestID
 	failed  bool
-	// cut: a part only.
-	cut bool
+	// truncated marks an incomplete body.
+	truncated bool
 }
 
-// exchange is one caller's request in an entry's hands; it stands for the type
-// of that name in package server.
+// exchange is one caller's request at its entry. It stands for the type of the same name
+// in package server.
 type exchange struct {
-	l       *life
-	sending *sending
-	call    *entry.Call
-	// turn grows with each step; what belongs to an earlier one comes late.
-	turn    uint64
-	current *forward
-	local   *job
-	held    *answer
-	over    bool
-	// gone: the caller gave up.
-	gone bool
-	// refused is the reason of the last refusal.
-	refused model.Reason
+	proc       *process
+	submission *submission
+	call       *entry.Call
+	// turn increases with each step, so that results of earlier steps can be recognised
+	// and dropped.
+	turn     uint64
+	current  *forward
+	local    *job
+	response *response
+	done     bool
+	// cancelled is set when the caller has closed its connection.
+	cancelled bool
+	// lastRefusal is the reason of the last refusal.
+	lastRefusal model.Reason
 }
 
-// resends tells whether the attempt that follows is sent to the same owner again
-// with a fresh stamp, which is no new choice.
-func (x *exchange) resends() bool {
-	return x.refused == model.ReasonStale || x.refused == model.ReasonIncarnation
+// isResend reports whether the next attempt goes to the same owner again with a fresh
+// clock or incarnation, rather than to a newly chosen one.
+func (x *exchange) isResend() bool {
+	return x.lastRefusal == model.ReasonStale || x.lastRefusal == model.ReasonIncarnation
 }
 
-// receive takes a caller's request at this entry (server.Caller.ServeHTTP).
-func (l *life) receive(s *sending) {
-	l.arriving = slices.DeleteFunc(l.arriving, func(o *sending) bool { return o == s })
-	target, ok := l.core.Board.Bundles.Get().Match(s.route.method, s.route.path)
+// receive accepts a caller's request at this entry (server.CallerHandler.ServeHTTP).
+func (p *process) receive(s *submission) {
+	p.arriving = slices.DeleteFunc(p.arriving, func(o *submission) bool { return o == s })
+	target, ok := p.core.Board.Bundles.Get().Match(s.route.method, s.route.path)
 	if !ok {
-		l.unrouted(s)
+		p.refuseUnrouted(s)
 		return
 	}
 	req := entry.Request{
@@ -68,240 +69,241 @@
 	if target.Bundle.Tenant(s.tenant) != nil {
 		req.Tenant = s.tenant
 	}
-	x := &exchange{l: l, sending: s}
+	x := &exchange{proc: p, submission: s}
 	s.exchange = x
-	l.exchanges = append(l.exchanges, x)
-	x.call = l.core.Engine.Begin(l.w.now, req)
-	l.after(x.call.Deadline().Sub(l.w.now), x.expire)
+	p.exchanges = append(p.exchanges, x)
+	x.call = p.core.Engine.Begin(p.w.now, req)
+	p.after(x.call.Deadline().Sub(p.w.now), x.expire)
 	x.drive()
 }
 
-// unrouted stands for Caller.refuseUnrouted.
-func (l *life) unrouted(s *sending) {
-	ready := l.core.Board.Readiness.Get()
+// refuseUnrouted answers a request that no route matches (server.CallerHandler).
+func (p *process) refuseUnrouted(s *submission) {
+	ready := p.core.Board.Readiness.Get()
 	switch {
 	case ready != nil && ready.Ready:
-		l.w.ledger.told(s, model.OutcomeNotRun, model.ReasonNoRoute, nil)
+		p.w.ledger.recordOutcome(s, model.OutcomeNotRun, model.ReasonNoRoute, nil)
 	case s.keyed:
-		l.w.ledger.told(s, model.OutcomeUnknown, model.ReasonNotReady, nil)
+		p.w.ledger.recordOutcome(s, model.OutcomeUnknown, model.ReasonNotReady, nil)
 	default:
-		l.w.ledger.told(s, model.OutcomeNotRun, model.ReasonNotReady, nil)
+		p.w.ledger.recordOutcome(s, model.OutcomeNotRun, model.ReasonNotReady, nil)
 	}
 }
 
-// drive carries out the next step.
+// drive asks the call for its next step and carries it out.
 func (x *exchange) drive() {
-	if x.over {
+	if x.done {
 		return
 	}
 	x.turn++
 	turn := x.turn
-	step := x.call.Next(x.l.w.now)
+	step := x.call.Next(x.proc.w.now)
 	switch step.Kind {
 	case entry.StepSend:
 		x.send(step)
 	case entry.StepResolve:
-		x.settle(step)
+		x.resolve(step)
 	case entry.StepWait:
-		x.l.after(step.Until.Sub(x.l.w.now), func() {
+		x.proc.after(step.Until.Sub(x.proc.w.now), func() {
 			if x.turn == turn {
 				x.drive()
 			}
 		})
 	case entry.StepEnd:
-		x.end(step)
+		x.finish(step)
 	}
 }
 
-// send carries an attempt out.
+// send carries out an attempt.
 func (x *exchange) send(step entry.Step) {
-	l, turn := x.l, x.turn
-	x.held = nil
-	l.w.ledger.sent(x, step)
-	if step.To.ID == l.node.id {
-		x.local = &job{attempt: step.Attempt, sameNode: true, gaveUp: x.gone}
-		x.local.reply = func(r result) { x.arrived(turn, r) }
-		l.offer(x.local)
+	proc, turn := x.proc, x.turn
+	x.response = nil
+	proc.w.ledger.recordAttempt(x, step)
+	if step.To.ID == proc.node.id {
+		x.local = &job{attempt: step.Attempt, sameNode: true, cancelled: x.cancelled}
+		x.local.reply = func(r result) { x.attemptEnded(turn, r) }
+		proc.offer(x.local)
 		return
 	}
-	if x.gone {
-		x.arrived(turn, result{refusal: model.Refusal{Reason: model.ReasonWorkerUnreachable, NotRun: true}})
+	if x.cancelled {
+		x.attemptEnded(turn, result{refusal: model.Refusal{Reason: model.ReasonWorkerUnreachable, NotRun: true}})
 		return
 	}
 	x.current = newForward(x, step)
 	x.current.start(step.To.PeerAddress)
 }
 
-// arrived takes how an attempt ended. A result of an earlier turn belongs to a
-// connection that was given up.
-func (x *exchange) arrived(turn uint64, r result) {
-	if x.over || turn != x.turn {
+// attemptEnded takes the result of an attempt. A result of an earlier turn comes from an
+// abandoned connection and is dropped.
+func (x *exchange) attemptEnded(turn uint64, r result) {
+	if x.done || turn != x.turn {
 		return
 	}
 	x.turn++
 	x.current, x.local = nil, nil
-	x.refused = r.refusal.Reason
-	now := x.l.w.now
-	if r.heard {
-		x.l.core.Table.Observe(now, r.report)
-		x.l.saw(r.report.Owner, r.report.Bundle)
+	x.lastRefusal = r.refusal.Reason
+	now := x.proc.w.now
+	if r.hasReport {
+		x.proc.core.Table.Observe(now, r.report)
+		x.proc.observeVersion(r.report.Owner, r.report.Bundle)
 		x.call.Report(now, r.report)
 	}
 	switch {
-	case r.broken:
-		x.broke()
-	case r.answer == nil:
+	case r.interrupted:
+		x.interrupted()
+	case r.response == nil:
 		x.call.Refused(now, r.refusal)
 	default:
-		x.held = r.answer
+		x.response = r.response
 		x.call.SetOwnerTime(r.times)
-		x.call.Answered(now, r.answer.failed)
+		x.call.Answered(now, r.response.failed)
 	}
 	x.drive()
 }
 
-func (x *exchange) broke() {
-	if x.l.w.switches.brokenIsNotRun {
-		x.call.Refused(x.l.w.now, model.Refusal{Reason: model.ReasonWorkerUnreachable, NotRun: true})
+func (x *exchange) interrupted() {
+	if x.proc.w.options.brokenMeansNotRun {
+		x.call.Refused(x.proc.w.now, model.Refusal{Reason: model.ReasonWorkerUnreachable, NotRun: true})
 		return
 	}
-	x.call.Interrupted(x.l.w.now, false)
-	x.noteGone()
+	x.call.Interrupted(x.proc.w.now, false)
+	x.noteCancelled()
 }
 
-func (x *exchange) noteGone() {
-	if x.gone {
-		x.call.CallerCancelled(x.l.w.now)
+func (x *exchange) noteCancelled() {
+	if x.cancelled {
+		x.call.CallerCancelled(x.proc.w.now)
 	}
 }
 
-// expire is the end of the call's context at its deadline.
-func (x *exchange) expire() { x.contextEnds(true) }
+// expire ends the call's context at its deadline.
+func (x *exchange) expire() { x.contextDone(true) }
 
-// callerGone is the end of the caller's connection.
-func (x *exchange) callerGone() {
-	if x.over {
+// callerCancelled ends the call's context because the caller closed its connection.
+func (x *exchange) callerCancelled() {
+	if x.done {
 		return
 	}
-	x.gone = true
-	x.contextEnds(false)
+	x.cancelled = true
+	x.contextDone(false)
 }
 
-// contextEnds ends whatever the exchange waits for.
-func (x *exchange) contextEnds(expired bool) {
+// contextDone interrupts the operation that the exchange waits for.
+func (x *exchange) contextDone(expired bool) {
 	switch {
-	case x.over:
+	case x.done:
 		return
 	case x.local != nil:
-		x.local.giveUp(expired)
+		x.local.cancel(expired)
 		return
 	case x.current != nil:
-		x.current.close()
-		x.arrived(x.turn, result{broken: true})
+		x.current.abandon()
+		x.attemptEnded(x.turn, result{interrupted: true})
 		return
 	}
-	x.call.ResolveFailed(x.l.w.now)
-	x.noteGone()
+	x.call.ResolveFailed(x.proc.w.now)
+	x.noteCancelled()
 	x.drive()
 }
 
-// settle asks an owner what became of an attempt (package node, settler).
-func (x *exchange) settle(step entry.Step) {
-	l, turn := x.l, x.turn
-	l.w.ledger.count("settlements")
-	remaining := x.call.Deadline().Sub(l.w.now)
+// resolve asks an owner for the outcome of an attempt (package node).
+func (x *exchange) resolve(step entry.Step) {
+	proc, turn := x.proc, x.turn
+	proc.w.ledger.count("settlements")
+	remaining := x.call.Deadline().Sub(proc.w.now)
 	q := wire.Resolve{
 		Attempt:          step.Attempt.ID,
 		OwnerIncarnation: step.Attempt.OwnerIncarnation,
 		Request:          step.Attempt.Request,
 		Remaining:        remaining,
 	}
-	if l.w.switches.skipSettle {
-		x.settled(turn, wire.ResolveReply{Attempt: q.Attempt, State: model.AttemptNeverSeen,
+	if proc.w.options.skipResolve {
+		x.resolved(turn, wire.ResolveReply{Attempt: q.Attempt, State: model.AttemptNeverSeen,
 			Report: model.LoadReport{Owner: step.To.ID, Incarnation: q.OwnerIncarnation}})
 		return
 	}
-	if step.To.ID == l.node.id {
-		reply, ds := l.core.Owner.Resolve(l.w.now, q)
-		l.deliver(ds)
-		x.settled(turn, reply)
+	if step.To.ID == proc.node.id {
+		reply, ds := proc.core.Owner.Resolve(proc.w.now, q)
+		proc.deliver(ds)
+		x.resolved(turn, reply)
 		return
 	}
-	l.settling[q.Attempt] = &question{answer: func(r wire.ResolveReply) { x.settled(turn, r) }}
-	patience := min(settleTimeout, step.Until.Sub(l.w.now), remaining)
-	l.after(patience, func() { x.unsettled(turn) })
-	l.links.sendTo(step.To, q, func(ok bool) {
+	proc.pendingResolves[q.Attempt] = &pendingResolve{onReply: func(r wire.ResolveReply) { x.resolved(turn, r) }}
+	timeout := min(resolveTimeout, step.Until.Sub(proc.w.now), remaining)
+	proc.after(timeout, func() { x.resolveFailed(turn) })
+	proc.links.sendTo(step.To, q, func(ok bool) {
 		if !ok {
-			x.unsettled(turn)
+			x.resolveFailed(turn)
 		}
 	})
 }
 
-func (x *exchange) settled(turn uint64, r wire.ResolveReply) {
-	if x.over || turn != x.turn {
+func (x *exchange) resolved(turn uint64, r wire.ResolveReply) {
+	if x.done || turn != x.turn {
 		return
 	}
-	x.l.core.Table.Observe(x.l.w.now, r.Report)
-	x.l.w.trace.add(x.l.w, "settled", r.Attempt, r.State)
-	x.l.w.ledger.count("settled " + r.State.String())
-	x.call.Resolved(x.l.w.now, r)
+	x.proc.core.Table.Observe(x.proc.w.now, r.Report)
+	x.proc.w.trace.add(x.proc.w, "settled", r.Attempt, r.State)
+	x.proc.w.ledger.count("settled " + r.State.String())
+	x.call.Resolved(x.proc.w.now, r)
 	x.drive()
 }
 
-func (x *exchange) unsettled(turn uint64) {
-	if x.over || turn != x.turn {
+func (x *exchange) resolveFailed(turn uint64) {
+	if x.done || turn != x.turn {
 		return
 	}
-	x.call.ResolveFailed(x.l.w.now)
-	x.noteGone()
+	x.call.ResolveFailed(x.proc.w.now)
+	x.noteCancelled()
 	x.drive()
 }
 
-// end tells the request's home, then the caller.
-func (x *exchange) end(step entry.Step) {
-	x.over = true
+// finish notifies the request's home node, where the step names one, and then replies to
+// the caller.
+func (x *exchange) finish(step entry.Step) {
+	x.done = true
 	if step.Notify == nil {
-		x.tell(step)
+		x.reply(step)
 		return
 	}
-	l := x.l
-	if step.To.ID == l.node.id {
-		l.core.Owner.FinishDelegated(l.w.now, *step.Notify)
-		x.tell(step)
+	proc := x.proc
+	if step.To.ID == proc.node.id {
+		proc.core.Owner.FinishDelegated(proc.w.now, *step.Notify)
+		x.reply(step)
 		return
 	}
 	if step.Notify.Outcome != model.OutcomeNotRun {
-		l.links.sendTo(step.To, *step.Notify, func(bool) {})
-		x.tell(step)
+		proc.links.sendTo(step.To, *step.Notify, func(bool) {})
+		x.reply(step)
 		return
 	}
-	told := false
-	once := func() {
-		if !told {
-			told = true
-			x.tell(step)
+	replied := false
+	replyOnce := func() {
+		if !replied {
+			replied = true
+			x.reply(step)
 		}
 	}
-	l.after(notifyTimeout, once)
-	l.links.sendTo(step.To, *step.Notify, func(bool) { once() })
+	proc.after(notifyTimeout, replyOnce)
+	proc.links.sendTo(step.To, *step.Notify, func(bool) { replyOnce() })
 }
 
-// tell answers the caller.
-func (x *exchange) tell(step entry.Step) {
-	l := x.l
-	l.exchanges = slices.DeleteFunc(l.exchanges, func(o *exchange) bool { return o == x })
-	if step.Outcome == model.OutcomeAnswered && x.held != nil {
-		l.w.ledger.told(x.sending, step.Outcome, step.Reason, x.held)
+// reply records the outcome that the caller receives.
+func (x *exchange) reply(step entry.Step) {
+	proc := x.proc
+	proc.exchanges = slices.DeleteFunc(proc.exchanges, func(o *exchange) bool { return o == x })
+	if step.Outcome == model.OutcomeAnswered && x.response != nil {
+		proc.w.ledger.recordOutcome(x.submission, step.Outcome, step.Reason, x.response)
 		return
 	}
-	l.w.ledger.told(x.sending, step.Outcome, step.Reason, nil)
+	proc.w.ledger.recordOutcome(x.submission, step.Outcome, step.Reason, nil)
 }
 
-// lost is the end of the entry's process: the caller's connection breaks.
-func (x *exchange) lost() {
-	x.over = true
-	x.l.w.ledger.disconnected(x.sending)
+// processEnded breaks the caller's connection when the entry's process ends.
+func (x *exchange) processEnded() {
+	x.done = true
+	x.proc.w.ledger.recordDisconnect(x.submission)
 	if x.current != nil {
-		x.current.close()
+		x.current.abandon()
 	}
 }
--- a/internal/proof/executor.go
+++ b/internal/proof/executor.go
@@ -10,249 +10,250 @@
 	"gypsumstand/internal/wire"
 )
 
-// jobState is where an attempt stands at its owner.
+// jobState is the state of an attempt at its owner.
 type jobState uint8
 
 const (
-	jobWaiting jobState = iota
-	// jobAdmitted: may start; not yet confirmed.
+	jobQueued jobState = iota
+	// jobAdmitted: admitted by the owner, start not yet confirmed.
 	jobAdmitted
 	jobRunning
-	jobOver
+	jobDone
 )
 
-// job is one attempt in the hands of its owner's node; it stands for one call of
-// server.Executor.Do.
+// job is one attempt at its owner's node. It stands for one call of server.Executor.Do.
 type job struct {
-	l        *life
+	proc     *process
 	attempt  model.Attempt
 	sameNode bool
 	offered  time.Time
 	started  time.Time
 	state    jobState
-	// gaveUp: the entry no longer waits; expired: its deadline ended that.
-	gaveUp, expired bool
-	// forced: started by a switch, against the owner's word.
+	// cancelled: the entry no longer waits; expired: the attempt's deadline passed.
+	cancelled, expired bool
+	// forced: started by a mutation although the owner refused it.
 	forced bool
 	run    *run
-	// verdict is what the quarantine said of it.
-	verdict quarantine.Decision
-	// reply takes the result; nil when nobody waits for one.
+	// decision is the quarantine's latest decision about the job.
+	decision quarantine.Decision
+	// reply takes the result; nil when no entry waits for it.
 	reply func(result)
 }
 
-// result is what the entry hears of an attempt.
+// result is what the entry learns about an attempt.
 type result struct {
-	// broken: the way broke, or the answer was cut.
-	broken  bool
-	answer  *answer
-	refusal model.Refusal
-	// heard: report is the owner's.
-	heard  bool
-	report model.LoadReport
-	times  wire.AttemptTimes
+	// interrupted: the connection broke, or the response was truncated.
+	interrupted bool
+	response    *response
+	refusal     model.Refusal
+	// hasReport: report is set.
+	hasReport bool
+	report    model.LoadReport
+	times     wire.AttemptTimes
 }
 
-// offer begins a job.
-func (l *life) offer(j *job) {
-	j.l = l
-	j.offered = l.w.now
-	l.jobs = append(l.jobs, j)
-	knew := l.leaving()
-	verdict, refusal := l.decide(j)
-	l.w.trace.add(l.w, "offer", l.node.id, j.attempt.ID, verdict, refusal.Reason)
-	l.w.ledger.offered(j, knew, verdict, refusal)
-	switch verdict {
+// offer submits a job to the owner.
+func (p *process) offer(j *job) {
+	j.proc = p
+	j.offered = p.w.now
+	p.jobs = append(p.jobs, j)
+	wasLeaving := p.leaving()
+	kind, refusal := p.decide(j)
+	p.w.trace.add(p.w, "offer", p.node.id, j.attempt.ID, kind, refusal.Reason)
+	p.w.ledger.recordOffer(j, wasLeaving, kind, refusal)
+	switch kind {
 	case owner.Queue:
-		l.waiting[j.attempt.ID] = j
+		p.queued[j.attempt.ID] = j
 	case owner.Refuse:
 		j.refuse(refusal)
 	default:
-		j.admitted()
+		j.admit()
 	}
 }
 
-// decide asks the owner, or breaks it.
-func (l *life) decide(j *job) (owner.DecisionKind, model.Refusal) {
-	a := j.attempt
-	if l.w.switches.forgetKeys {
-		a.CallerKey = false
+// decide returns the owner's decision about a job, unless a mutation overrides it.
+func (p *process) decide(j *job) (owner.DecisionKind, model.Refusal) {
+	attempt := j.attempt
+	if p.w.options.ignoreKeys {
+		attempt.CallerKey = false
 	}
-	v := j.judge()
-	verdict, refusal := l.core.Owner.OfferSuspect(l.w.now, &a, j.sameNode, owner.Restrictions{
-		Crashes: int(a.Crashes), Exclusive: v.Exclusive(), Refusal: v.Refusal(), OnlyOwner: v.OnlyOwner, RetryAfter: v.RetryAfter,
+	decision := j.evaluate()
+	kind, refusal := p.core.Owner.OfferSuspect(p.w.now, &attempt, j.sameNode, owner.Restrictions{
+		Crashes: int(attempt.Crashes), Exclusive: decision.Exclusive(), Refusal: decision.Refusal(), OnlyOwner: decision.OnlyOwner, RetryAfter: decision.RetryAfter,
 	})
-	if l.w.switches.ignoreLeaving && l.leaving() && refusal.Reason == model.ReasonLeaving {
+	if p.w.options.ignoreLeaving && p.leaving() && refusal.Reason == model.ReasonLeaving {
 		j.forced = true
 		return owner.Start, model.Refusal{}
 	}
-	return verdict, refusal
+	return kind, refusal
 }
 
-// deliver hands on decisions (Executor.Deliver).
-func (l *life) deliver(ds []owner.Decision) {
+// deliver passes on the owner's decisions about queued jobs (server.Executor.Deliver).
+func (p *process) deliver(ds []owner.Decision) {
 	for _, d := range ds {
-		j := l.waiting[d.Attempt]
+		j := p.queued[d.Attempt]
 		if j == nil {
 			continue
 		}
-		delete(l.waiting, d.Attempt)
+		delete(p.queued, d.Attempt)
 		if d.Kind == owner.Refuse {
 			j.refuse(d.Refusal)
 			continue
 		}
-		j.admitted()
+		j.admit()
 	}
 }
 
-// admitted goes on after a short time, in which the process may be paused.
-func (j *job) admitted() {
+// admit confirms the job after up to 300 µs, during which the process may be paused.
+func (j *job) admit() {
 	j.state = jobAdmitted
-	j.l.after(j.l.w.between(0, 300*time.Microsecond), j.confirm)
+	j.proc.after(j.proc.w.between(0, 300*time.Microsecond), j.confirm)
 }
 
 func (j *job) confirm() {
-	l := j.l
-	if !j.verdict.Trial {
-		if refusal := j.judge().Refusal(); refusal.Reason != model.ReasonNone {
+	proc := j.proc
+	if !j.decision.Trial {
+		if refusal := j.evaluate().Refusal(); refusal.Reason != model.ReasonNone {
 			j.finish(owner.Completion{NotRun: true, Abandoned: true})
 			j.refuse(refusal)
 			return
 		}
 	}
-	j.started = l.w.now
-	if !j.forced && !l.core.Owner.Confirm(l.w.now, j.attempt.ID) {
+	j.started = proc.w.now
+	if !j.forced && !proc.core.Owner.Confirm(proc.w.now, j.attempt.ID) {
 		j.finish(owner.Completion{NotRun: true})
 		j.refuse(model.Refusal{Reason: model.ReasonExpired, NotRun: true})
 		return
 	}
 	j.attempt.Remaining -= j.started.Sub(j.offered)
 	j.state = jobRunning
-	if j.gaveUp || j.expired || j.attempt.Remaining <= 0 {
-		j.failed(true)
+	if j.cancelled || j.expired || j.attempt.Remaining <= 0 {
+		j.fail(true)
 		return
 	}
-	if l.node.worker.refusesConnections() {
-		j.failed(true)
-		l.traffic(true)
+	if proc.node.worker.refusesConnections() {
+		j.fail(true)
+		proc.observeTraffic(true)
 		return
 	}
-	j.run = l.node.worker.send(j)
-	l.after(j.attempt.Remaining, func() {
+	j.run = proc.node.worker.send(j)
+	proc.after(j.attempt.Remaining, func() {
 		if j.state == jobRunning {
 			j.expired = true
-			j.failed(false)
+			j.fail(false)
 		}
 	})
 }
 
-// responded takes what the worker sent.
-func (j *job) responded(a workerAnswer) {
+// handleResponse takes the worker's response.
+func (j *job) handleResponse(resp workerResponse) {
 	if j.state != jobRunning {
 		return
 	}
-	took := j.l.w.now.Sub(j.started)
-	if a.kind == answerClosed {
-		j.failed(false)
+	took := j.proc.w.now.Sub(j.started)
+	if resp.kind == responseClosed {
+		j.fail(false)
 		return
 	}
-	j.l.traffic(false)
+	j.proc.observeTraffic(false)
 	switch {
-	case a.kind == answerCrossed && !j.l.w.switches.acceptCrossed:
+	case resp.kind == responseCrossed && !j.proc.w.options.acceptCrossed:
 		j.finish(owner.Completion{ServiceTime: took, Failed: true})
 		j.refuse(model.Refusal{Reason: model.ReasonWorkerBroken})
-	case a.kind == answerShed:
+	case resp.kind == responseShed:
 		j.finish(owner.Completion{ServiceTime: took, NotRun: true, Delegate: true, Shed: true, Status: 503})
-		j.refuse(model.Refusal{Reason: delegated(&j.attempt, model.ReasonWorkerShed), NotRun: true, RetryAfter: time.Second})
-	case a.kind == answerCut && !j.l.w.switches.acceptCut:
+		j.refuse(model.Refusal{Reason: delegatedReason(&j.attempt, model.ReasonWorkerShed), NotRun: true, RetryAfter: time.Second})
+	case resp.kind == responseTruncated && !j.proc.w.options.acceptTruncated:
 		j.finish(owner.Completion{ServiceTime: took, Failed: true})
-		j.end(result{broken: true})
+		j.end(result{interrupted: true})
 	default:
-		j.finish(owner.Completion{ServiceTime: took, Failed: a.failed, Status: a.status()})
-		j.completed()
+		j.finish(owner.Completion{ServiceTime: took, Failed: resp.failed, Status: resp.status()})
+		j.runCompleted()
 		times := wire.AttemptTimes{Queued: j.started.Sub(j.offered), Worker: took}
-		j.end(result{answer: &answer{request: a.request, failed: a.failed, cut: a.kind == answerCut}, heard: true, report: j.l.report(), times: times})
+		j.end(result{response: &response{request: resp.request, failed: resp.failed, truncated: resp.kind == responseTruncated}, hasReport: true, report: j.proc.report(), times: times})
 	}
 }
 
-// delegated stands for the function of that name in package server.
-func delegated(a *model.Attempt, otherwise model.Reason) model.Reason {
+// delegatedReason returns ReasonDelegated for an attempt that registers a caller's own id at
+// its home node, and otherwise the given reason (package server).
+func delegatedReason(a *model.Attempt, otherwise model.Reason) model.Reason {
 	if a.CallerKey && !a.Idempotent && !a.Delegated {
 		return model.ReasonDelegated
 	}
 	return otherwise
 }
 
-// failed ends a job whose exchange with the worker failed (Executor.failed).
-func (j *job) failed(notRun bool) {
+// fail ends a job whose exchange with the worker failed (server.Executor). notRun means
+// that the worker never received the request.
+func (j *job) fail(notRun bool) {
 	if j.run != nil {
 		j.run.cancel()
 	}
 	j.finish(owner.Completion{
-		ServiceTime: j.l.w.now.Sub(j.started), NotRun: notRun,
-		Delegate: notRun && !j.gaveUp, Failed: !j.gaveUp, Expired: j.expired,
+		ServiceTime: j.proc.w.now.Sub(j.started), NotRun: notRun,
+		Delegate: notRun && !j.cancelled, Failed: !j.cancelled, Expired: j.expired,
 	})
 	reason := model.ReasonWorkerBroken
-	if !notRun && (j.gaveUp || j.expired) {
-		j.l.core.Quarantine.RunAbandoned(j.l.w.now, j.quarantined())
+	if !notRun && (j.cancelled || j.expired) {
+		j.proc.core.Quarantine.RunAbandoned(j.proc.w.now, j.quarantineRun())
 	}
 	switch {
 	case notRun:
-		reason = delegated(&j.attempt, model.ReasonWorkerUnreachable)
-	case j.gaveUp:
+		reason = delegatedReason(&j.attempt, model.ReasonWorkerUnreachable)
+	case j.cancelled:
 		reason = model.ReasonCancelled
 	case j.expired:
 		reason = model.ReasonExpired
-	case j.broke():
+	case j.detectCrash():
 		reason = model.ReasonWorkerCrashed
 	}
 	j.refuse(model.Refusal{Reason: reason, NotRun: notRun})
 }
 
-// giveUp tells the owner that the entry no longer waits.
-func (j *job) giveUp(expired bool) {
-	j.gaveUp, j.expired = !expired, expired
+// cancel tells the owner that the entry no longer waits; expired tells whether the
+// deadline was the cause.
+func (j *job) cancel(expired bool) {
+	j.cancelled, j.expired = !expired, expired
 	switch j.state {
-	case jobWaiting:
-		notRun, ds := j.l.core.Owner.Cancel(j.l.w.now, j.attempt.ID)
+	case jobQueued:
+		notRun, ds := j.proc.core.Owner.Cancel(j.proc.w.now, j.attempt.ID)
 		if notRun {
-			delete(j.l.waiting, j.attempt.ID)
+			delete(j.proc.queued, j.attempt.ID)
 		}
-		j.l.deliver(ds)
+		j.proc.deliver(ds)
 		if notRun {
 			j.refuse(model.Refusal{Reason: model.ReasonCancelled, NotRun: true})
 		}
 	case jobRunning:
-		j.failed(false)
+		j.fail(false)
 	}
 }
 
-// finish tells the owner; others may start.
+// finish reports the job's end to the owner, which may start queued jobs.
 func (j *job) finish(f owner.Completion) {
-	ds := j.l.core.Owner.Finish(j.l.w.now, j.attempt.ID, f)
-	j.state = jobOver
-	j.l.deliver(ds)
+	ds := j.proc.core.Owner.Finish(j.proc.w.now, j.attempt.ID, f)
+	j.state = jobDone
+	j.proc.deliver(ds)
 }
 
 func (j *job) refuse(r model.Refusal) {
-	j.end(result{refusal: r, heard: true, report: j.l.report()})
+	j.end(result{refusal: r, hasReport: true, report: j.proc.report()})
 }
 
 func (j *job) end(r result) {
-	j.state = jobOver
-	j.l.jobs = slices.DeleteFunc(j.l.jobs, func(o *job) bool { return o == j })
+	j.state = jobDone
+	j.proc.jobs = slices.DeleteFunc(j.proc.jobs, func(o *job) bool { return o == j })
 	if j.reply != nil {
 		j.reply(r)
 	}
 }
 
-// abandon is the end of the process with the job in hand: its connection to the
-// worker closes.
-func (j *job) abandon() {
+// abort ends the job with its process: the connection to the worker closes.
+func (j *job) abort() {
 	if j.run != nil && j.state == jobRunning {
 		j.run.cancel()
 	}
-	j.state = jobOver
+	j.state = jobDone
 }
 
-func (l *life) report() model.LoadReport { return l.core.Owner.Report(l.w.now) }
+func (p *process) report() model.LoadReport { return p.core.Owner.Report(p.w.now) }
--- a/internal/proof/fleet.go
+++ b/internal/proof/fleet.go
@@ -10,14 +10,14 @@
 	"gypsumstand/internal/model"
 )
 
-// place is one instance's fixed attributes.
-type place struct {
+// instanceSpec holds one instance's fixed attributes.
+type instanceSpec struct {
 	service    model.ServiceName
 	dataCentre model.DataCentre
 }
 
 // layout is the fleet: two services over three data centres.
-var layout = []place{
+var layout = []instanceSpec{
 	{"ledger", "dc1"},
 	{"ledger", "dc2"},
 	{"ledger", "dc3"},
@@ -27,10 +27,10 @@
 
 const bundleName model.BundleName = "vouchers"
 
-// measuringPerSecond is the bundle's budget per upstream.
+// measuringPerSecond is the bundle's measuring budget per upstream, in messages a second.
 const measuringPerSecond = 5
 
-// keyMemory is how long a home remembers an id after its end.
+// keyMemory is how long a home node remembers a request id after the request has ended.
 const keyMemory = 12 * time.Second
 
 // workerSlots is the number of requests that one worker runs at once.
@@ -92,7 +92,7 @@
 idempotent = false
 `
 
-// route is what a caller may ask for.
+// callerRoute is a route that callers request.
 type callerRoute struct {
 	method, path string
 	idempotent   bool
@@ -105,13 +105,13 @@
 	{"GET", "/balances", true},
 }
 
-// signerKey signs every bundle of the tests.
+// signerKey signs every bundle of the simulation.
 var signerKey = ed25519.NewKeyFromSeed([]byte(strings.Repeat("k", ed25519.SeedSize)))
 
 var trusted = []bundle.Signer{{Name: "Operator", Key: signerKey.Public().(ed25519.PublicKey)}}
 
-// signedBundle returns one version as the configuration service holds it, with more keys for
-// its services.
+// signedBundle returns one signed bundle version as the configuration service holds it.
+// warming holds additional settings for both services.
 func signedBundle(version uint64, warming string) []byte {
 	text := fmt.Appendf(nil, bundleText, version, measuringPerSecond,
 		workerSlots, keyMemory.Milliseconds(), warming, workerSlots, keyMemory.Milliseconds(), warming)
--- a/internal/proof/forward.go
+++ b/internal/proof/forward.go
@@ -8,20 +8,20 @@
 	"gypsumstand/internal/model"
 )
 
-// forward is one attempt on its way to another node and back; it stands for
-// server.Forwarder and server.Peer.
+// forward is one attempt that is forwarded to another node, with its reply. It stands for
+// server.Forwarder and server.PeerHandler.
 type forward struct {
 	x       *exchange
 	turn    uint64
 	attempt model.Attempt
-	// owner is the process that took the attempt; nil before.
-	owner *life
+	// owner is the process that received the attempt; nil before.
+	owner *process
 	job   *job
-	// closed: the connection has ended, at either side.
+	// closed: either side has closed the connection.
 	closed bool
-	// copied: the attempt may arrive more than once, so that its bytes have left
-	// whatever becomes of this connection.
-	copied bool
+	// duplicated: a copy of the attempt is in transit, so a failure of this connection
+	// doesn't prove that nothing was sent.
+	duplicated bool
 }
 
 func newForward(x *exchange, step entry.Step) *forward {
@@ -30,95 +30,96 @@
 
 // start opens or reuses a connection to address and sends the attempt.
 func (f *forward) start(address string) {
-	l, w := f.x.l, f.x.l.w
-	target := w.at(address)
+	proc, w := f.x.proc, f.x.proc.w
+	target := w.nodeByAddress(address)
 	switch {
 	case target == nil:
-		f.unreached(time.Millisecond)
+		f.failUnsent(time.Millisecond)
 		return
-	case w.net.isCut(l.node, target) && w.chance(0.5):
-		f.unreached(callTimeout)
+	case w.net.isCut(proc.node, target) && w.chance(0.5):
+		f.failUnsent(callTimeout)
 		return
 	case w.chance(w.net.broken):
-		f.breakUp(target)
+		f.breakConnection(target)
 		return
 	}
-	w.net.carry(l.node, target, func() { f.reach(target) })
-	if w.chance(w.net.copied) {
-		f.copyTo(target)
+	w.net.transmit(proc.node, target, func() { f.arrive(target) })
+	if w.chance(w.net.duplicated) {
+		f.sendDuplicate(target)
 	}
 }
 
-// unreached reports that no connection could be had: not a byte has left.
-func (f *forward) unreached(d time.Duration) {
-	f.x.l.after(d, func() {
-		f.answer(result{refusal: model.Refusal{Reason: model.ReasonWorkerUnreachable, NotRun: true}})
+// failUnsent reports after d that no connection was established, so nothing was sent.
+func (f *forward) failUnsent(d time.Duration) {
+	f.x.proc.after(d, func() {
+		f.complete(result{refusal: model.Refusal{Reason: model.ReasonWorkerUnreachable, NotRun: true}})
 	})
 }
 
-// breakUp ends the connection: before the attempt arrives, with the attempt late
-// on its way, or before the answer does.
-func (f *forward) breakUp(target *node) {
-	l, w := f.x.l, f.x.l.w
+// breakConnection breaks the connection at a random point: before anything is sent, with
+// the attempt still arriving late, or before the reply arrives.
+func (f *forward) breakConnection(target *node) {
+	proc, w := f.x.proc, f.x.proc.w
 	w.ledger.count("broken connections")
-	broken := func(d time.Duration) { l.after(d, func() { f.answer(result{broken: true}) }) }
+	interruptAfter := func(d time.Duration) { proc.after(d, func() { f.complete(result{interrupted: true}) }) }
 	switch w.rng.IntN(3) {
 	case 0:
-		broken(w.between(0, 20*time.Millisecond))
+		interruptAfter(w.between(0, 20*time.Millisecond))
 	case 1:
-		broken(w.between(0, 20*time.Millisecond))
-		f.copyTo(target)
+		interruptAfter(w.between(0, 20*time.Millisecond))
+		f.sendDuplicate(target)
 	default:
-		f.copyTo(target)
-		broken(w.between(2*time.Millisecond, 100*time.Millisecond))
+		f.sendDuplicate(target)
+		interruptAfter(w.between(2*time.Millisecond, 100*time.Millisecond))
 	}
 }
 
-// copyTo lets the attempt arrive at some time, with nobody who waits for it. An
-// attempt without a stamp, whose age its owner cannot bound, arrives in time if
-// at all: package owner (ledger) says so, as each attempt is sent but once.
-func (f *forward) copyTo(target *node) {
-	w := f.x.l.w
-	begun := w.now
-	f.copied = true
+// sendDuplicate lets a copy of the attempt arrive at a random time; no entry waits for
+// its reply. The owner can't bound the age of an attempt without its clock. Such an
+// attempt is sent only once (package owner), so it arrives within its remaining
+// time or not at all.
+func (f *forward) sendDuplicate(target *node) {
+	w := f.x.proc.w
+	sentAt := w.now
+	f.duplicated = true
 	w.ledger.count("late or repeated attempts")
-	late := w.between(0, 30*time.Millisecond)
+	delay := w.between(0, 30*time.Millisecond)
 	if w.chance(0.3) {
-		late = w.between(0, 3*time.Second)
+		delay = w.between(0, 3*time.Second)
 	}
-	w.after(late, func() {
-		if target.life == nil || target.life.peerClosed {
+	w.after(delay, func() {
+		if target.process == nil || target.process.peerClosed {
 			return
 		}
-		owner := target.life
-		owner.data(func() {
-			if f.attempt.OwnerClock > 0 || w.now.Sub(begun) < f.attempt.Remaining {
+		owner := target.process
+		owner.whenRunning(func() {
+			if f.attempt.OwnerClock > 0 || w.now.Sub(sentAt) < f.attempt.Remaining {
 				owner.offer(&job{attempt: f.attempt})
 			}
 		})
 	})
 }
 
-// reach is the attempt's arrival at its owner's node.
-func (f *forward) reach(target *node) {
-	owner := target.life
+// arrive hands the attempt to its owner's node.
+func (f *forward) arrive(target *node) {
+	owner := target.process
 	if owner == nil || owner.peerClosed {
-		// The port is closed: no connection, not a byte left.
-		if f.copied {
-			f.x.l.after(f.x.l.w.net.delay(f.x.l.node, target), func() { f.answer(result{broken: true}) })
+		// The port is closed: nothing was sent on this connection.
+		if f.duplicated {
+			f.x.proc.after(f.x.proc.w.net.delay(f.x.proc.node, target), func() { f.complete(result{interrupted: true}) })
 			return
 		}
-		f.unreached(f.x.l.w.net.delay(f.x.l.node, target))
+		f.failUnsent(f.x.proc.w.net.delay(f.x.proc.node, target))
 		return
 	}
 	f.owner = owner
-	owner.inbound = append(owner.inbound, f)
-	owner.data(func() {
+	owner.incoming = append(owner.incoming, f)
+	owner.whenRunning(func() {
 		if owner.peerClosed {
-			f.ownerDied()
+			f.ownerEnded()
 			return
 		}
-		owner.saw(f.attempt.ID.Entry, f.attempt.Bundle)
+		owner.observeVersion(f.attempt.ID.Entry, f.attempt.Bundle)
 		f.job = &job{attempt: f.attempt, reply: f.reply}
 		owner.offer(f.job)
 	})
@@ -126,29 +127,29 @@
 
 // reply carries the owner's result back.
 func (f *forward) reply(r result) {
-	f.leave()
-	w := f.x.l.w
-	w.net.carry(f.owner.node, f.x.l.node, func() {
-		f.x.l.data(func() { f.answer(r) })
+	f.detach()
+	w := f.x.proc.w
+	w.net.transmit(f.owner.node, f.x.proc.node, func() {
+		f.x.proc.whenRunning(func() { f.complete(r) })
 	})
 }
 
-// leave ends the owner's part.
-func (f *forward) leave() {
-	f.owner.inbound = slices.DeleteFunc(f.owner.inbound, func(o *forward) bool { return o == f })
+// detach removes the forward from the owner's incoming attempts.
+func (f *forward) detach() {
+	f.owner.incoming = slices.DeleteFunc(f.owner.incoming, func(o *forward) bool { return o == f })
 }
 
-// answer hands the result to the exchange unless the connection was given up.
-func (f *forward) answer(r result) {
+// complete hands the result to the exchange, unless the entry has closed the connection.
+func (f *forward) complete(r result) {
 	if f.closed {
 		return
 	}
 	f.closed = true
-	f.x.arrived(f.turn, r)
+	f.x.attemptEnded(f.turn, r)
 }
 
-// close is the entry's giving up; the owner sees its connection end.
-func (f *forward) close() {
+// abandon closes the connection at the entry; the owner then cancels the job.
+func (f *forward) abandon() {
 	if f.closed {
 		return
 	}
@@ -156,18 +157,18 @@
 	if f.owner == nil {
 		return
 	}
-	f.x.l.w.net.carry(f.x.l.node, f.owner.node, func() {
-		f.owner.data(func() {
-			if f.job != nil && f.job.state != jobOver {
-				f.job.giveUp(false)
+	f.x.proc.w.net.transmit(f.x.proc.node, f.owner.node, func() {
+		f.owner.whenRunning(func() {
+			if f.job != nil && f.job.state != jobDone {
+				f.job.cancel(false)
 			}
 		})
 	})
 }
 
-// ownerDied is the end of the owner's process: the connection breaks.
-func (f *forward) ownerDied() {
-	f.x.l.w.net.carry(f.owner.node, f.x.l.node, func() {
-		f.x.l.data(func() { f.answer(result{broken: true}) })
+// ownerEnded breaks the connection when the owner's process ends.
+func (f *forward) ownerEnded() {
+	f.x.proc.w.net.transmit(f.owner.node, f.x.proc.node, func() {
+		f.x.proc.whenRunning(func() { f.complete(result{interrupted: true}) })
 	})
 }
--- a/internal/proof/ledger.go
+++ b/internal/proof/ledger.go
@@ -12,24 +12,24 @@
 	"gypsumstand/internal/route"
 )
 
-// promise names what must always hold.
+// promise names a property that must always hold.
 type promise string
 
 const (
 	promiseBudget  promise = "measuring stays within the budget"
-	promiseAnswer  promise = "a caller gets the whole answer to its own request"
-	promiseNotRun  promise = "what a caller is told was not run was not run"
+	promiseAnswer  promise = "a caller gets the complete response to its own request"
+	promiseNotRun  promise = "a request reported as not run did not run"
 	promiseOnce    promise = "a non-idempotent request runs at most once"
 	promiseLeaving promise = "a leaving upstream receives no new work"
 	promiseStop    promise = "a planned stop cuts off no request"
-	promiseDeadly  promise = "a request that ends its workers is kept from them"
-	promiseWarming promise = "a warming worker gets no more than it may"
+	promiseDeadly  promise = "a request that crashes its workers is kept from them"
+	promiseWarming promise = "a warming worker receives no more than its limit"
 	promiseBundle  promise = "a bundle in force spreads and never reverts"
-	// recovery is no promise of its own: once faults stop, service is full.
-	recovery promise = "service returns once faults stop"
+	// promiseRecovery covers liveness: once faults stop, every node serves again.
+	promiseRecovery promise = "service returns once faults stop"
 )
 
-// violation is one breach that the oracle found.
+// violation is one broken promise that the oracle found.
 type violation struct {
 	promise promise
 	at      time.Time
@@ -47,90 +47,90 @@
 	counts     map[string]int
 
 	requests map[model.RequestID]*request
-	// sendings in the order in which callers made them; attempts by their ids.
-	sendings []*sending
-	attempts map[model.AttemptID]*attemptRecord
+	// submissions are in the order in which callers made them; attempts are by id.
+	submissions []*submission
+	attempts    map[model.AttemptID]*attemptRecord
 
-	lives    map[*life]*lifeRecord
-	measures map[*node][]time.Time
-	// disturbedAt is the last time at which nodes were kept from talking.
-	disturbedAt time.Time
+	processes    map[*process]*processRecord
+	measurements map[*node][]time.Time
+	// lastDisturbance is when communication between nodes was last disturbed.
+	lastDisturbance time.Time
 }
 
-// request is what callers mean by one id.
+// request collects the submissions and runs of one request id.
 type request struct {
-	id       model.RequestID
-	sendings []*sending
-	runs     []workerRun
+	id          model.RequestID
+	submissions []*submission
+	runs        []workerRun
 }
 
-// sending is one time that a caller sent a request.
-type sending struct {
+// submission is one arrival of a caller's request; a resubmission has the same id.
+type submission struct {
 	number  int
 	request model.RequestID
 	keyed   bool
 	route   callerRoute
 	tenant  model.TenantName
-	// deadly is set where the request ends its workers.
-	deadly   *deadlyRequest
-	begun    time.Time
-	exchange *exchange
-	// homes are the processes that were asked as the home of the sending's id;
-	// asked is the last attempt that asked one.
-	homes   map[*life]*homeRecord
-	asked   *attemptRecord
-	ended   bool
-	told    bool
-	outcome model.Outcome
-	toldAt  time.Time
+	// deadly is set when the request crashes its workers.
+	deadly      *deadlyRequest
+	submittedAt time.Time
+	exchange    *exchange
+	// homes are the processes that were asked as the home node of the request id;
+	// homeAttempt is the last attempt that asked one.
+	homes       map[*process]*homeRecord
+	homeAttempt *attemptRecord
+	ended       bool
+	hasOutcome  bool
+	outcome     model.Outcome
+	outcomeAt   time.Time
 }
 
-// homeRecord is what a sending had to do with a home of its id: registered is
-// when that process first took the id for it, zero when it never did, and word
-// when it last spoke.
-type homeRecord struct{ registered, word time.Time }
+// homeRecord describes a submission's contact with one home of its request id.
+// registeredAt is when that process first registered the id for this submission, zero
+// when it never did; lastReply is when it last decided on an attempt.
+type homeRecord struct{ registeredAt, lastReply time.Time }
 
-// attemptRecord is what the oracle knows of one attempt.
+// attemptRecord is what the oracle knows about one attempt.
 type attemptRecord struct {
-	sending *sending
-	// home is the process at which the sending's id is registered for this
-	// attempt; nil as long as it was not reached.
-	home *life
-	// to is the home that was asked, candidates are the upstreams among which the
-	// entry saw it.
-	to         model.InstanceID
+	submission *submission
+	// home is the process that registered the request id for this attempt; nil until a
+	// home was reached.
+	home *process
+	// asked is the home that the entry chose; candidates are the upstreams that it chose
+	// from.
+	asked      model.InstanceID
 	candidates string
 }
 
 // workerRun is one run of a request at a worker.
 type workerRun struct {
-	attempt model.AttemptID
-	record  *attemptRecord
-	sending *sending
-	worker  model.InstanceID
-	at      time.Time
+	attempt    model.AttemptID
+	record     *attemptRecord
+	submission *submission
+	worker     model.InstanceID
+	at         time.Time
 }
 
-// lifeRecord is what the oracle knows of one process.
-type lifeRecord struct {
-	born time.Time
-	// version is the bundle version in force since that time.
-	version uint64
-	since   time.Time
-	// leaves is when its upstream began to leave by its own word, listed when
-	// another process first saw it leaving; zero when it has not.
-	leaves, listed time.Time
-	// listedIn is the incarnation that was seen leaving.
-	listedIn model.Incarnation
-	// fleet is the number of changes of its view that were looked at.
-	fleet uint64
+// processRecord is what the oracle knows about one process.
+type processRecord struct {
+	startedAt time.Time
+	// version is the bundle version in force since versionSince.
+	version      uint64
+	versionSince time.Time
+	// leavingSince is when the process began to leave, seenLeavingAt when another process
+	// first saw it leaving; both are zero before that.
+	leavingSince, seenLeavingAt time.Time
+	// seenLeavingIncarnation is the incarnation that was seen leaving.
+	seenLeavingIncarnation model.Incarnation
+	// fleetChanges is the number of changes of its view that were already observed.
+	fleetChanges uint64
 }
 
 func newLedger(w *world) *ledger {
 	return &ledger{
 		w: w, counts: map[string]int{}, requests: map[model.RequestID]*request{},
-		attempts: map[model.AttemptID]*attemptRecord{}, lives: map[*life]*lifeRecord{},
-		measures: map[*node][]time.Time{}, disturbedAt: w.now,
+		attempts: map[model.AttemptID]*attemptRecord{}, processes: map[*process]*processRecord{},
+		measurements: map[*node][]time.Time{}, lastDisturbance: w.now,
 	}
 }
 
@@ -140,69 +140,69 @@
 	g.violations = append(g.violations, violation{promise: p, at: g.w.now, text: fmt.Sprintf(format, args...)})
 }
 
-// disturb notes that nodes have just been kept from talking.
-func (g *ledger) disturb() { g.disturbedAt = g.w.now }
+// recordDisturbance notes that communication between nodes is disturbed now.
+func (g *ledger) recordDisturbance() { g.lastDisturbance = g.w.now }
 
-// calmSince returns when nodes could last not talk freely.
-func (g *ledger) calmSince() time.Time {
+// undisturbedSince returns the time since which all nodes could communicate freely; now,
+// while a process is paused or a network fault is active.
+func (g *ledger) undisturbedSince() time.Time {
 	w := g.w
-	if len(w.net.cuts) > 0 || w.net.loss > 0 || w.net.slow > 1 {
+	if len(w.net.cuts) > 0 || w.net.loss > 0 || w.net.delayFactor > 1 {
 		return w.now
 	}
 	for _, n := range w.nodes {
-		if n.life != nil && n.life.paused {
+		if n.process != nil && n.process.paused {
 			return w.now
 		}
 	}
-	return g.disturbedAt
+	return g.lastDisturbance
 }
 
-func (g *ledger) born(l *life) { g.lives[l] = &lifeRecord{born: g.w.now} }
+func (g *ledger) recordStart(proc *process) { g.processes[proc] = &processRecord{startedAt: g.w.now} }
 
-// begin notes a caller's sending.
-func (g *ledger) begin(s *sending) {
-	s.number = len(g.sendings)
-	s.begun = g.w.now
-	s.homes = map[*life]*homeRecord{}
-	g.sendings = append(g.sendings, s)
+// recordSubmission records a caller's submission.
+func (g *ledger) recordSubmission(s *submission) {
+	s.number = len(g.submissions)
+	s.submittedAt = g.w.now
+	s.homes = map[*process]*homeRecord{}
+	g.submissions = append(g.submissions, s)
 	r := g.requests[s.request]
 	if r == nil {
 		r = &request{id: s.request}
 		g.requests[s.request] = r
 	}
-	r.sendings = append(r.sendings, s)
+	r.submissions = append(r.submissions, s)
 	g.count("sendings")
 }
 
-// bound tells whether the sending's id has a home.
-func (s *sending) bound() bool { return s.keyed && !s.route.idempotent }
+// hasHome reports whether the submission's request id has a home node.
+func (s *submission) hasHome() bool { return s.keyed && !s.route.idempotent }
 
-// sent notes an attempt that an entry makes.
-func (g *ledger) sent(x *exchange, step entry.Step) {
-	s := x.sending
-	rec := &attemptRecord{sending: s}
+// recordAttempt records an attempt that an entry makes.
+func (g *ledger) recordAttempt(x *exchange, step entry.Step) {
+	s := x.submission
+	rec := &attemptRecord{submission: s}
 	g.attempts[step.Attempt.ID] = rec
 	g.count("attempts")
-	g.w.trace.add(g.w, "sent", s.number, step.Attempt.ID, step.To.ID, step.Attempt.Delegated, candidates(x.l, step.Attempt.Service))
+	g.w.trace.add(g.w, "sent", s.number, step.Attempt.ID, step.To.ID, step.Attempt.Delegated, candidates(x.proc, step.Attempt.Service))
 	switch {
-	case !s.bound():
+	case !s.hasHome():
 	case step.Attempt.Delegated:
-		rec.home, rec.candidates = s.asked.home, s.asked.candidates
+		rec.home, rec.candidates = s.homeAttempt.home, s.homeAttempt.candidates
 	default:
-		rec.to, rec.candidates = step.To.ID, candidates(x.l, step.Attempt.Service)
-		if s.asked != nil && s.asked.to == rec.to && x.resends() {
-			rec.candidates = s.asked.candidates
+		rec.asked, rec.candidates = step.To.ID, candidates(x.proc, step.Attempt.Service)
+		if s.homeAttempt != nil && s.homeAttempt.asked == rec.asked && x.isResend() {
+			rec.candidates = s.homeAttempt.candidates
 		}
-		s.asked = rec
+		s.homeAttempt = rec
 	}
 }
 
-// candidates names the upstreams among which an entry sees an id's home: those
-// that are leaving neither by its view of the fleet nor by what their owners
-// said to it.
-func candidates(l *life, service model.ServiceName) string {
+// candidates names the upstreams among which an entry looks for the home node: those that
+// are leaving neither in its view of the fleet nor by their owners' reports.
+func candidates(proc *process, service model.ServiceName) string {
 	var ids []string
-	for _, e := range l.core.Table.Explain(l.w.now, &route.Query{Service: service}) {
+	for _, e := range proc.core.Table.Explain(proc.w.now, &route.Query{Service: service}) {
 		if !e.Leaving {
 			ids = append(ids, string(e.Instance.ID))
 		}
@@ -211,59 +211,59 @@
 	return strings.Join(ids, " ")
 }
 
-// offered notes an owner's verdict; knew tells whether it knew that its upstream
-// leaves.
-func (g *ledger) offered(j *job, knew bool, v owner.DecisionKind, r model.Refusal) {
-	if v == owner.Refuse {
+// recordOffer records an owner's decision. knewLeaving tells whether the owner knew that
+// its upstream is leaving.
+func (g *ledger) recordOffer(j *job, knewLeaving bool, kind owner.DecisionKind, r model.Refusal) {
+	if kind == owner.Refuse {
 		g.count("refused " + r.Reason.String())
 	}
-	if knew && v != owner.Refuse {
-		g.violate(promiseLeaving, "%s admitted %s although it knows that it leaves", j.l.node.id, j.attempt.ID)
+	if knewLeaving && kind != owner.Refuse {
+		g.violate(promiseLeaving, "%s admitted %s although it knows that it is leaving", j.proc.node.id, j.attempt.ID)
 	}
 	rec := g.attempts[j.attempt.ID]
-	s := rec.sending
-	if !s.bound() || j.attempt.Delegated {
+	s := rec.submission
+	if !s.hasHome() || j.attempt.Delegated {
 		return
 	}
-	registers := v != owner.Refuse || r.Reason == model.ReasonDelegated
+	registers := kind != owner.Refuse || r.Reason == model.ReasonDelegated
 	if registers || rec.home == nil {
-		rec.home = j.l
+		rec.home = j.proc
 	}
-	h := s.homes[j.l]
+	h := s.homes[j.proc]
 	if h == nil {
 		h = &homeRecord{}
-		s.homes[j.l] = h
+		s.homes[j.proc] = h
 	}
-	h.word = g.w.now
-	if registers && h.registered.IsZero() {
-		h.registered = g.w.now
+	h.lastReply = g.w.now
+	if registers && h.registeredAt.IsZero() {
+		h.registeredAt = g.w.now
 	}
 }
 
-// ran notes a run at a worker.
-func (g *ledger) ran(wk *worker, j *job) {
+// recordRun records a run at a worker.
+func (g *ledger) recordRun(wk *worker, j *job) {
 	rec := g.attempts[j.attempt.ID]
-	s := rec.sending
+	s := rec.submission
 	r := g.requests[s.request]
-	run := workerRun{attempt: j.attempt.ID, record: rec, sending: s, worker: wk.n.id, at: g.w.now}
-	g.w.trace.add(g.w, "ran", s.number, j.attempt.ID, wk.n.id)
+	run := workerRun{attempt: j.attempt.ID, record: rec, submission: s, worker: wk.node.id, at: g.w.now}
+	g.w.trace.add(g.w, "ran", s.number, j.attempt.ID, wk.node.id)
 	g.count("runs")
 	if s.deadly != nil {
-		g.ranDeadly(wk, j, s.deadly)
+		g.recordDeadlyRun(wk, j, s.deadly)
 	}
 	g.checkOnce(r, run)
 	r.runs = append(r.runs, run)
-	for _, other := range r.sendings {
+	for _, other := range r.submissions {
 		g.checkNotRun(other, run)
 	}
 }
 
-// told notes what a caller was told.
-func (g *ledger) told(s *sending, o model.Outcome, reason model.Reason, a *answer) {
-	s.ended, s.told, s.outcome, s.toldAt = true, true, o, g.w.now
+// recordOutcome records the outcome that a caller received.
+func (g *ledger) recordOutcome(s *submission, o model.Outcome, reason model.Reason, a *response) {
+	s.ended, s.hasOutcome, s.outcome, s.outcomeAt = true, true, o, g.w.now
 	g.w.trace.add(g.w, "told", s.number, s.request, o, reason)
 	g.count("told " + o.String())
-	g.checkInTime(s)
+	g.checkDeadline(s)
 	if o == model.OutcomeAnswered {
 		g.checkAnswer(s, a)
 	}
@@ -272,15 +272,15 @@
 	}
 }
 
-// disconnected notes that a caller's connection broke without an outcome.
-func (g *ledger) disconnected(s *sending) {
+// recordDisconnect records that a caller's connection broke without an outcome.
+func (g *ledger) recordDisconnect(s *submission) {
 	s.ended = true
 	g.count("callers disconnected")
 }
 
-// leaves notes that a process's upstream begins to leave.
-func (g *ledger) leaves(l *life) {
-	if r := g.lives[l]; r.leaves.IsZero() {
-		r.leaves = g.w.now
+// recordLeaving records that a process's upstream began to leave.
+func (g *ledger) recordLeaving(proc *process) {
+	if r := g.processes[proc]; r.leavingSince.IsZero() {
+		r.leavingSince = g.w.now
 	}
 }
--- a/internal/proof/link.go
+++ b/internal/proof/link.go
@@ -9,75 +9,76 @@
 	"gypsumstand/internal/wire"
 )
 
-// links are one life's control links; they stand for package link.
+// links are the control links of one process. They stand for package link.
 type links struct {
-	l      *life
+	proc   *process
 	byPeer map[model.InstanceID][]*linkEnd
 }
 
 // linkEnd is one side of a link.
 type linkEnd struct {
-	l        *life
+	proc     *process
 	peer     model.Instance
 	other    *linkEnd
 	outgoing bool
-	// brief marks a link for settlement only.
-	brief  bool
-	closed bool
-	// last is when the newest message of this end arrives, as a link keeps order.
-	last time.Time
+	// transient marks a link that carries outcome resolution only.
+	transient bool
+	closed    bool
+	// lastArrival is when the newest message of this end arrives; later messages don't
+	// overtake it, since a link keeps their order.
+	lastArrival time.Time
 }
 
-func newLinks(l *life) *links {
-	return &links{l: l, byPeer: map[model.InstanceID][]*linkEnd{}}
+func newLinks(proc *process) *links {
+	return &links{proc: proc, byPeer: map[model.InstanceID][]*linkEnd{}}
 }
 
 // open stands for Manager.Open.
 func (s *links) open(peer model.InstanceID, address string) {
 	s.dial(address, false, func(e *linkEnd) {
 		if e == nil {
-			s.l.event(control.LinkDown{Peer: peer, Failed: true})
+			s.proc.postEvent(control.LinkDown{Peer: peer, Failed: true})
 		}
 	})
 }
 
-// dial opens a link; done gets its end, or nil when it failed.
-func (s *links) dial(address string, brief bool, done func(*linkEnd)) {
-	l, w := s.l, s.l.w
-	target := w.at(address)
-	failed := func(d time.Duration) { l.after(d, func() { done(nil) }) }
+// dial opens a link. done receives this side of it, or nil after a failure.
+func (s *links) dial(address string, transient bool, done func(*linkEnd)) {
+	proc, w := s.proc, s.proc.w
+	target := w.nodeByAddress(address)
+	failAfter := func(d time.Duration) { proc.after(d, func() { done(nil) }) }
 	switch {
-	case target == nil || target == l.node:
-		failed(time.Millisecond)
+	case target == nil || target == proc.node:
+		failAfter(time.Millisecond)
 		return
-	case w.net.isCut(l.node, target):
-		failed(dialTimeout)
+	case w.net.isCut(proc.node, target):
+		failAfter(dialTimeout)
 		return
 	}
-	begun := w.now
-	w.after(w.net.delay(l.node, target), func() {
-		if target.life == nil || target.life.peerClosed {
-			failed(w.net.delay(l.node, target))
+	dialledAt := w.now
+	w.after(w.net.delay(proc.node, target), func() {
+		if target.process == nil || target.process.peerClosed {
+			failAfter(w.net.delay(proc.node, target))
 			return
 		}
-		// A process that stands still accepts and greets when it wakes.
-		target.life.data(func() { s.accepted(target.life, brief, begun, done) })
+		// A paused process completes the handshake after it resumes.
+		target.process.whenRunning(func() { s.accept(target.process, transient, dialledAt, done) })
 	})
 }
 
-// accepted makes both ends once the peer has greeted in time.
-func (s *links) accepted(peer *life, brief bool, begun time.Time, done func(*linkEnd)) {
-	l, w := s.l, s.l.w
-	if peer == nil || !l.alive || w.now.Sub(begun) > dialTimeout || w.net.isCut(l.node, peer.node) {
-		l.after(dialTimeout-w.now.Sub(begun), func() { done(nil) })
+// accept creates both ends once the peer has completed the handshake within dialTimeout.
+func (s *links) accept(peer *process, transient bool, dialledAt time.Time, done func(*linkEnd)) {
+	proc, w := s.proc, s.proc.w
+	if peer == nil || !proc.alive || w.now.Sub(dialledAt) > dialTimeout || w.net.isCut(proc.node, peer.node) {
+		proc.after(dialTimeout-w.now.Sub(dialledAt), func() { done(nil) })
 		return
 	}
-	mine := &linkEnd{l: l, peer: peer.instance(), outgoing: true, brief: brief}
-	theirs := &linkEnd{l: peer, peer: l.instance(), brief: brief, other: mine}
+	mine := &linkEnd{proc: proc, peer: peer.instance(), outgoing: true, transient: transient}
+	theirs := &linkEnd{proc: peer, peer: proc.instance(), transient: transient, other: mine}
 	mine.other = theirs
 	peer.links.add(theirs)
-	w.after(w.net.delay(l.node, peer.node), func() {
-		l.data(func() {
+	w.after(w.net.delay(proc.node, peer.node), func() {
+		proc.whenRunning(func() {
 			if mine.closed {
 				done(nil)
 				return
@@ -90,12 +91,12 @@
 
 func (s *links) add(e *linkEnd) {
 	s.byPeer[e.peer.ID] = append(s.byPeer[e.peer.ID], e)
-	if !e.brief {
-		s.l.event(control.LinkUp{Peer: e.peer, Outgoing: e.outgoing})
+	if !e.transient {
+		s.proc.postEvent(control.LinkUp{Peer: e.peer, Outgoing: e.outgoing})
 	}
 }
 
-// remove forgets e; the last peer link's end is told.
+// remove drops e and reports LinkDown when it was the last permanent link to its peer.
 func (s *links) remove(e *linkEnd, planned bool) {
 	if e.closed {
 		return
@@ -104,30 +105,30 @@
 	id := e.peer.ID
 	before := len(s.byPeer[id])
 	s.byPeer[id] = slices.DeleteFunc(s.byPeer[id], func(o *linkEnd) bool { return o == e })
-	if len(s.byPeer[id]) == before || e.brief {
+	if len(s.byPeer[id]) == before || e.transient {
 		return
 	}
-	if !slices.ContainsFunc(s.byPeer[id], func(o *linkEnd) bool { return !o.brief }) {
-		s.l.event(control.LinkDown{Peer: id, Failed: !planned})
+	if !slices.ContainsFunc(s.byPeer[id], func(o *linkEnd) bool { return !o.transient }) {
+		s.proc.postEvent(control.LinkDown{Peer: id, Failed: !planned})
 	}
 }
 
-// end closes this end and, after the delay, the other.
-func (e *linkEnd) end(planned bool) {
-	e.l.links.remove(e, planned)
-	e.l.w.net.carry(e.l.node, e.other.l.node, func() {
-		if e.other.l.alive {
-			e.other.l.links.remove(e.other, false)
+// shutdown closes this end and, after the network delay, the other one.
+func (e *linkEnd) shutdown(planned bool) {
+	e.proc.links.remove(e, planned)
+	e.proc.w.net.transmit(e.proc.node, e.other.proc.node, func() {
+		if e.other.proc.alive {
+			e.other.proc.links.remove(e.other, false)
 		}
 	})
 }
 
-// reset ends this side once the other has shown that it knows no such link, as
-// TCP does.
+// reset closes this end after the other side has shown that it has no such link, like a
+// TCP reset.
 func (e *linkEnd) reset() {
-	e.l.w.net.carry(e.other.l.node, e.l.node, func() {
-		if e.l.alive {
-			e.l.links.remove(e, false)
+	e.proc.w.net.transmit(e.other.proc.node, e.proc.node, func() {
+		if e.proc.alive {
+			e.proc.links.remove(e, false)
 		}
 	})
 }
@@ -135,29 +136,30 @@
 // close stands for Manager.CloseLink.
 func (s *links) close(peer model.InstanceID) {
 	for _, e := range slices.Clone(s.byPeer[peer]) {
-		if e.outgoing && !e.brief {
-			e.end(true)
+		if e.outgoing && !e.transient {
+			e.shutdown(true)
 		}
 	}
 }
 
-// breakAll ends all links to peer at this side, as TCP does in the end.
+// breakAll closes this side of all links to peer, as TCP does after its retransmission
+// timeout.
 func (s *links) breakAll(peer model.InstanceID) {
 	for _, e := range slices.Clone(s.byPeer[peer]) {
 		s.remove(e, false)
 	}
 }
 
-// closeAll ends all links as the process ends.
+// closeAll closes all links when the process ends.
 func (s *links) closeAll() {
-	for _, n := range s.l.w.nodes {
+	for _, n := range s.proc.w.nodes {
 		for _, e := range slices.Clone(s.byPeer[n.id]) {
-			e.end(true)
+			e.shutdown(true)
 		}
 	}
 }
 
-// send stands for Manager.Send: false when there is no link.
+// send stands for Manager.Send. It returns false when there is no link.
 func (s *links) send(to model.InstanceID, m wire.Message) bool {
 	ends := s.byPeer[to]
 	if len(ends) == 0 {
@@ -167,11 +169,11 @@
 	return true
 }
 
-// sendTo stands for Manager.SendTo: it opens a brief link when there is none.
-// sent is told whether the message is on its way.
-func (s *links) sendTo(to model.Instance, m wire.Message, sent func(ok bool)) {
+// sendTo stands for Manager.SendTo: it opens a transient link when there is none. onSent
+// learns whether the message was sent.
+func (s *links) sendTo(to model.Instance, m wire.Message, onSent func(ok bool)) {
 	if s.send(to.ID, m) {
-		sent(true)
+		onSent(true)
 		return
 	}
 	s.dial(to.PeerAddress, true, func(e *linkEnd) {
@@ -179,13 +181,13 @@
 		if ok {
 			e.send(m)
 		}
-		sent(ok)
+		onSent(ok)
 	})
 }
 
-// send carries a message in its wire form, with the network's faults.
+// send encodes a message and sends it subject to the network's faults.
 func (e *linkEnd) send(m wire.Message) {
-	w := e.l.w
+	w := e.proc.w
 	data, err := wire.Encode(m)
 	if err != nil {
 		panic(err)
@@ -194,16 +196,16 @@
 		return
 	}
 	e.deliver(data)
-	if w.chance(w.net.repeat) {
+	if w.chance(w.net.duplicate) {
 		e.deliver(data)
 	}
 }
 
 func (e *linkEnd) deliver(data []byte) {
-	w := e.l.w
+	w := e.proc.w
 	to := e.other
 	arrive := func() {
-		if to.closed || !to.l.alive {
+		if to.closed || !to.proc.alive {
 			e.reset()
 			return
 		}
@@ -211,24 +213,24 @@
 		if err != nil {
 			panic(err)
 		}
-		w.trace.add(w, "message", e.l.node.id, to.l.node.id, m.Kind(), len(data))
+		w.trace.add(w, "message", e.proc.node.id, to.proc.node.id, m.Kind(), len(data))
 		if _, probe := m.(wire.LoadProbe); probe {
 			w.ledger.count("probes arrived")
 		}
-		to.l.event(control.Received{From: e.l.node.id, Message: m})
+		to.proc.postEvent(control.Received{From: e.proc.node.id, Message: m})
 	}
-	if w.net.isCut(e.l.node, to.l.node) {
-		w.net.carry(e.l.node, to.l.node, arrive)
+	if w.net.isCut(e.proc.node, to.proc.node) {
+		w.net.transmit(e.proc.node, to.proc.node, arrive)
 		return
 	}
 	if w.chance(w.net.reorder) {
 		w.after(w.between(0, 300*time.Millisecond), arrive)
 		return
 	}
-	at := w.now.Add(w.net.delay(e.l.node, to.l.node))
-	if at.Before(e.last) {
-		at = e.last
+	at := w.now.Add(w.net.delay(e.proc.node, to.proc.node))
+	if at.Before(e.lastArrival) {
+		at = e.lastArrival
 	}
-	e.last = at
+	e.lastArrival = at
 	w.after(at.Sub(w.now), arrive)
 }
--- a/internal/proof/network.go
+++ b/internal/proof/network.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// Times of the network between nodes.
+// Delays and timeouts of the network between nodes.
 const (
 	nearDelay = 200 * time.Microsecond
 	farDelay  = time.Millisecond
-	// dialTimeout is package link's, callTimeout package server's bound of
-	// opening a connection.
+	// dialTimeout is package link's timeout, callTimeout package server's for opening a
+	// connection.
 	dialTimeout = 3 * time.Second
 	callTimeout = time.Second
-	// holdLimit is how long bytes that were sent into a cut may come out of it.
-	holdLimit = 10 * time.Second
+	// maxRetransmitDelay is how long TCP may hold bytes that were sent into a partition
+	// and still deliver them when it heals.
+	maxRetransmitDelay = 10 * time.Second
 )
 
-// network carries messages and attempts between nodes, with faults.
+// network carries control messages and attempts between nodes and applies faults.
 type network struct {
 	w *world
-	// loss, repeat and reorder are shares of the control messages.
-	loss, repeat, reorder float64
-	// broken is the share of attempts whose connection breaks, copied of those
-	// that arrive a second time.
-	broken, copied float64
-	// slow multiplies delays.
-	slow float64
-	cuts map[pair]bool
-	// held is what was sent into a cut, in the order of sending.
-	held map[pair][]heldBytes
+	// loss, duplicate and reorder are shares of the control messages.
+	loss, duplicate, reorder float64
+	// broken is the share of attempts whose connection breaks; duplicated is the share of
+	// attempts that arrive a second time.
+	broken, duplicated float64
+	// delayFactor multiplies delays.
+	delayFactor float64
+	cuts        map[pair]bool
+	// delayed holds what was sent into a cut, in the order of sending.
+	delayed map[pair][]delayedDelivery
 }
 
 // pair names two nodes, the smaller index first.
@@ -36,80 +37,80 @@
 	return pair{min(a.index, b.index), max(a.index, b.index)}
 }
 
-type heldBytes struct {
+type delayedDelivery struct {
 	since   time.Time
 	deliver func()
 }
 
 func newNetwork(w *world) *network {
-	return &network{w: w, slow: 1, cuts: map[pair]bool{}, held: map[pair][]heldBytes{}}
+	return &network{w: w, delayFactor: 1, cuts: map[pair]bool{}, delayed: map[pair][]delayedDelivery{}}
 }
 
-// isCut tells whether nothing passes between a and b.
+// isCut reports whether the connection between a and b is cut.
 func (n *network) isCut(a, b *node) bool { return n.cuts[pairOf(a, b)] }
 
-// delay draws the time one way.
+// delay draws a one-way delay.
 func (n *network) delay(a, b *node) time.Duration {
 	base := farDelay
 	if a.dataCentre == b.dataCentre {
 		base = nearDelay
 	}
 	base += n.w.between(0, base/2)
-	return time.Duration(float64(base) * n.slow)
+	return time.Duration(float64(base) * n.delayFactor)
 }
 
-// carry delivers bytes that were sent from a to b: at once, or, when sent into a
-// cut, after it has healed, if that is soon enough for the senders to try still.
-func (n *network) carry(a, b *node, deliver func()) {
+// transmit delivers bytes that a sent to b. Bytes that were sent into a cut are delivered
+// after it heals, if that happens within maxRetransmitDelay.
+func (n *network) transmit(a, b *node, deliver func()) {
 	if !n.isCut(a, b) {
 		n.w.after(n.delay(a, b), deliver)
 		return
 	}
 	p := pairOf(a, b)
-	n.held[p] = append(n.held[p], heldBytes{since: n.w.now, deliver: deliver})
+	n.delayed[p] = append(n.delayed[p], delayedDelivery{since: n.w.now, deliver: deliver})
 }
 
-// cut parts a and b.
+// cut stops all traffic between a and b.
 func (n *network) cut(a, b *node) {
 	if a == b || n.isCut(a, b) {
 		return
 	}
 	n.cuts[pairOf(a, b)] = true
-	n.breakConns(a, b)
+	n.breakLinks(a, b)
 }
 
-// breakConns ends the links of a cut pair when the cut outlasts TCP's patience,
-// at each end at a time of its own.
-func (n *network) breakConns(a, b *node) {
+// breakLinks closes the links of a cut pair if the cut outlasts TCP's retransmissions, at
+// each end after 2 to 15 s.
+func (n *network) breakLinks(a, b *node) {
 	for _, end := range [...]*node{a, b} {
 		other := a
 		if end == a {
 			other = b
 		}
 		n.w.after(n.w.between(2*time.Second, 15*time.Second), func() {
-			if end.life != nil && n.isCut(a, b) {
-				end.life.links.breakAll(other.id)
+			if end.process != nil && n.isCut(a, b) {
+				end.process.links.breakAll(other.id)
 			}
 		})
 	}
 }
 
-// heal joins a and b; what was held arrives.
+// heal ends a cut and delivers what was delayed.
 func (n *network) heal(p pair) {
 	if !n.cuts[p] {
 		return
 	}
 	delete(n.cuts, p)
-	held := n.held[p]
-	delete(n.held, p)
+	held := n.delayed[p]
+	delete(n.delayed, p)
 	for _, h := range held {
-		if n.w.now.Sub(h.since) < holdLimit {
+		if n.w.now.Sub(h.since) < maxRetransmitDelay {
 			n.w.after(n.w.between(0, 200*time.Millisecond), h.deliver)
 		}
 	}
 }
 
-// split cuts every pair whose ends are on different sides.
+// split cuts every pair whose nodes are on different sides.
 func (n *network) split(sideOf func(*node) int) {
 	for i, a := range n.w.nodes {
 		for _, b := range n.w.nodes[i+1:] {
@@ -120,7 +121,7 @@
 	}
 }
 
-// healAll joins all pairs.
+// healAll ends all cuts.
 func (n *network) healAll() {
 	for i, a := range n.w.nodes {
 		for _, b := range n.w.nodes[i+1:] {
@@ -129,8 +130,8 @@
 	}
 }
 
-// calm ends all faults.
-func (n *network) calm() {
+// clearFaults ends all network faults.
+func (n *network) clearFaults() {
 	n.healAll()
-	n.loss, n.repeat, n.reorder, n.broken, n.copied, n.slow = 0, 0, 0, 0, 0, 1
+	n.loss, n.duplicate, n.reorder, n.broken, n.duplicated, n.delayFactor = 0, 0, 0, 0, 0, 1
 }
--- a/internal/proof/oracle.go
+++ b/internal/proof/oracle.go
@@ -6,47 +6,48 @@
 	"gypsumstand/internal/model"
 )
 
-// Bounds of the promises.
+// Time bounds of the promises.
 const (
-	// leavingTime is the brief's "a few seconds".
+	// leavingTime is how long an upstream may still receive work after it began to leave.
 	leavingTime = 3 * time.Second
-	// spreadTime is how long a bundle in force anywhere takes to every process.
-	spreadTime = 7 * time.Second
+	// propagationTime is how long a bundle that is in force anywhere takes to reach every
+	// process.
+	propagationTime = 7 * time.Second
 )
 
-// checkOnce holds a new run against the earlier ones of its request. Runs of two
-// sendings of a caller's own id are excused only as docs/DESIGN.md, "At most
-// once", says: the home's memory was lost with its process or lapsed, or two views
-// named different homes.
+// checkOnce compares a new run with the earlier runs of its request. Two runs for
+// different submissions of a caller's own id are excused only in the cases of
+// docs/DESIGN.md, "At most once": the home's memory was lost with its process or expired,
+// or two views led to different homes.
 func (g *ledger) checkOnce(r *request, run workerRun) {
-	if run.sending.route.idempotent {
+	if run.submission.route.idempotent {
 		return
 	}
-	for _, before := range r.runs {
+	for _, earlier := range r.runs {
 		switch {
-		case before.sending == run.sending:
+		case earlier.submission == run.submission:
 			g.violate(promiseOnce, "%s ran at %s (%s) and again at %s (%s)",
-				r.id, before.worker, before.attempt, run.worker, run.attempt)
-		case run.at.Sub(before.at) > keyMemory:
+				r.id, earlier.worker, earlier.attempt, run.worker, run.attempt)
+		case run.at.Sub(earlier.at) > keyMemory:
 			g.count("excused: the memory lapsed")
-		case before.record.home == run.record.home:
-			g.violate(promiseOnce, "%s ran for sendings %d (%s) and %d (%s), both registered at %s",
-				r.id, before.sending.number, before.attempt, run.sending.number, run.attempt, run.record.home.node.id)
+		case earlier.record.home == run.record.home:
+			g.violate(promiseOnce, "%s ran for submissions %d (%s) and %d (%s), both registered at %s",
+				r.id, earlier.submission.number, earlier.attempt, run.submission.number, run.attempt, run.record.home.node.id)
 		default:
-			g.excuse(promiseOnce, before.record, run.record)
+			g.excuse(promiseOnce, earlier.record, run.record)
 		}
 	}
 }
 
-// excuse counts a breach that the design names, by its cause, and reports one
-// that it does not name: equal views with different homes.
+// excuse counts a violation that the design allows, by its cause. It reports the one case
+// that the design doesn't allow: equal views that led to different homes.
 func (g *ledger) excuse(p promise, a, b *attemptRecord) {
 	switch {
 	case a.home.node == b.home.node:
 		g.count("excused: the home restarted")
 	case a.candidates == b.candidates:
-		g.violate(p, "sendings %d and %d of %s had the homes %s and %s under equal views (%s)",
-			a.sending.number, b.sending.number, a.sending.request, a.home.node.id, b.home.node.id, a.candidates)
+		g.violate(p, "submissions %d and %d of %s had the homes %s and %s under equal views (%s)",
+			a.submission.number, b.submission.number, a.submission.request, a.home.node.id, b.home.node.id, a.candidates)
 	case !a.home.alive || !b.home.alive:
 		g.count("excused: the home was lost")
 	case a.home.leaving() || b.home.leaving():
@@ -56,207 +57,208 @@
 	}
 }
 
-// checkNotRun holds a caller's "not run" against a run. For a caller's own id it
-// speaks of all sendings that the home knew of when it gave its word.
-func (g *ledger) checkNotRun(s *sending, run workerRun) {
-	if !s.told || s.outcome != model.OutcomeNotRun {
+// checkNotRun compares a "not run" outcome with a run. For a caller's own id the outcome
+// covers all submissions that the home had registered by its last reply.
+func (g *ledger) checkNotRun(s *submission, run workerRun) {
+	if !s.hasOutcome || s.outcome != model.OutcomeNotRun {
 		return
 	}
-	a := run.sending
+	ran := run.submission
 	switch {
-	case a == s:
-		g.violate(promiseNotRun, "sending %d of %s was told not-run at %v; %s ran at %s at %v",
-			s.number, s.request, s.toldAt.Sub(epoch), run.attempt, run.worker, run.at.Sub(epoch))
-	case !s.bound() || a.begun.After(s.toldAt):
-		// An idempotent request's outcome speaks of its own sending.
-	case s.asked == nil || s.asked.home == nil:
-		if run.at.Before(s.toldAt) {
-			g.violate(promiseNotRun, "sending %d of %s was told not-run without the home's word; sending %d ran",
-				s.number, s.request, a.number)
+	case ran == s:
+		g.violate(promiseNotRun, "submission %d of %s got not-run at %v, but %s ran at %s at %v",
+			s.number, s.request, s.outcomeAt.Sub(epoch), run.attempt, run.worker, run.at.Sub(epoch))
+	case !s.hasHome() || ran.submittedAt.After(s.outcomeAt):
+		// The outcome of an idempotent request covers its own submission only.
+	case s.homeAttempt == nil || s.homeAttempt.home == nil:
+		if run.at.Before(s.outcomeAt) {
+			g.violate(promiseNotRun, "submission %d of %s got not-run without a reply of its home, but submission %d ran",
+				s.number, s.request, ran.number)
 		}
-	case s.toldAt.Sub(run.at) > keyMemory:
+	case s.outcomeAt.Sub(run.at) > keyMemory:
 		g.count("excused: the memory lapsed")
-	case s.asked.home != run.record.home:
-		g.excuse(promiseNotRun, run.record, s.asked)
-	case !a.homes[run.record.home].registered.After(s.homes[s.asked.home].word):
-		g.violate(promiseNotRun, "sending %d of %s was told not-run; sending %d, which %s knew of, ran",
-			s.number, s.request, a.number, s.asked.home.node.id)
+	case s.homeAttempt.home != run.record.home:
+		g.excuse(promiseNotRun, run.record, s.homeAttempt)
+	case !ran.homes[run.record.home].registeredAt.After(s.homes[s.homeAttempt.home].lastReply):
+		g.violate(promiseNotRun, "submission %d of %s got not-run, but submission %d, registered at %s, ran",
+			s.number, s.request, ran.number, s.homeAttempt.home.node.id)
 	}
 }
 
-// checkAnswer holds an answer against its caller's request.
-func (g *ledger) checkAnswer(s *sending, a *answer) {
+// checkAnswer compares a response with its caller's request.
+func (g *ledger) checkAnswer(s *submission, a *response) {
 	switch {
 	case a == nil:
-		g.violate(promiseAnswer, "sending %d was told answered without an answer", s.number)
-	case a.cut:
-		g.violate(promiseAnswer, "sending %d of %s got a part of its answer for the whole", s.number, s.request)
+		g.violate(promiseAnswer, "submission %d got outcome answered without a response", s.number)
+	case a.truncated:
+		g.violate(promiseAnswer, "submission %d of %s got a truncated response as complete", s.number, s.request)
 	case a.request != s.request:
-		g.violate(promiseAnswer, "sending %d of %s got the answer to %s", s.number, s.request, a.request)
+		g.violate(promiseAnswer, "submission %d of %s got the response to %s", s.number, s.request, a.request)
 	}
 }
 
-// checkLeaving holds work that comes to a worker, which may refuse it, against its
-// upstream's leaving.
+// checkLeaving checks that a request reaches a worker, which may still shed it, no later
+// than leavingTime after the upstream began to leave.
 func (g *ledger) checkLeaving(j *job) {
-	r := g.lives[j.l]
-	if !r.leaves.IsZero() && j.offered.Sub(r.leaves) > leavingTime {
-		g.violate(promiseLeaving, "%s sent its worker %s, which arrived %v after it began to leave",
-			j.l.node.id, j.attempt.ID, j.offered.Sub(r.leaves))
+	r := g.processes[j.proc]
+	if !r.leavingSince.IsZero() && j.offered.Sub(r.leavingSince) > leavingTime {
+		g.violate(promiseLeaving, "%s sent %s to its worker, %v after it began to leave",
+			j.proc.node.id, j.attempt.ID, j.offered.Sub(r.leavingSince))
 	}
-	if r.listed.IsZero() || r.listedIn != j.l.instance().Incarnation {
-		// Never, or taken back by the list since.
+	if r.seenLeavingAt.IsZero() || r.seenLeavingIncarnation != j.proc.instance().Incarnation {
+		// Never seen leaving, or the list has since withdrawn it.
 		return
 	}
-	if since := latest(r.listed, g.calmSince()); j.offered.Sub(since) > leavingTime {
-		g.violate(promiseLeaving, "%s sent its worker %s, which arrived %v after others saw it leave",
-			j.l.node.id, j.attempt.ID, j.offered.Sub(r.listed))
+	if since := latest(r.seenLeavingAt, g.undisturbedSince()); j.offered.Sub(since) > leavingTime {
+		g.violate(promiseLeaving, "%s sent %s to its worker, %v after others saw it leaving",
+			j.proc.node.id, j.attempt.ID, j.offered.Sub(r.seenLeavingAt))
 	}
 }
 
-// lookAtFleet notes which processes l sees leaving.
-func (g *ledger) lookAtFleet(l *life) {
-	r, fleet := g.lives[l], &l.core.Board.Fleet
-	if r.fleet == fleet.Changes() {
+// observeFleet records which processes proc sees leaving.
+func (g *ledger) observeFleet(proc *process) {
+	r, fleet := g.processes[proc], &proc.core.Board.Fleet
+	if r.fleetChanges == fleet.Changes() {
 		return
 	}
-	r.fleet = fleet.Changes()
+	r.fleetChanges = fleet.Changes()
 	for _, in := range fleet.Get().Instances {
-		n := g.w.node(in.ID)
-		if in.State != model.StateLeaving || n == nil || n.life == nil || n.life.instance().Incarnation != in.Incarnation {
+		n := g.w.nodeByID(in.ID)
+		if in.State != model.StateLeaving || n == nil || n.process == nil || n.process.instance().Incarnation != in.Incarnation {
 			continue
 		}
-		if seen := g.lives[n.life]; seen.listedIn != in.Incarnation {
-			seen.listed, seen.listedIn = g.w.now, in.Incarnation
+		if seen := g.processes[n.process]; seen.seenLeavingIncarnation != in.Incarnation {
+			seen.seenLeavingAt, seen.seenLeavingIncarnation = g.w.now, in.Incarnation
 		}
 	}
 }
 
-// checkInTime holds the time of an outcome against the caller's deadline; only a
-// pause of the entry makes it late.
-func (g *ledger) checkInTime(s *sending) {
+// checkDeadline checks that an outcome is not later than the caller's deadline. Only a
+// pause of the entry excuses a late outcome.
+func (g *ledger) checkDeadline(s *submission) {
 	x := s.exchange
-	if x == nil || x.l.woke.After(s.begun) {
+	if x == nil || x.proc.resumedAt.After(s.submittedAt) {
 		return
 	}
 	if late := g.w.now.Sub(x.call.Deadline()); late > notifyTimeout {
-		g.violate(recovery, "sending %d was told %v after its deadline", s.number, late)
+		g.violate(promiseRecovery, "submission %d got its outcome %v after its deadline", s.number, late)
 	}
 }
 
-// measured counts a measuring message at a worker.
-func (g *ledger) measured(n *node) {
+// recordMeasurement records a measuring message at a worker and checks the budget.
+func (g *ledger) recordMeasurement(n *node) {
 	g.count("measuring messages")
-	kept := g.measures[n][:0]
-	for _, at := range g.measures[n] {
+	kept := g.measurements[n][:0]
+	for _, at := range g.measurements[n] {
 		if g.w.now.Sub(at) < time.Second {
 			kept = append(kept, at)
 		}
 	}
 	kept = append(kept, g.w.now)
-	g.measures[n] = kept
+	g.measurements[n] = kept
 	if len(kept) > measuringPerSecond {
 		g.violate(promiseBudget, "%s received %d measuring messages within a second", n.id, len(kept))
 	}
 }
 
-// stopped checks the end of a planned stop.
-func (g *ledger) stopped(l *life) {
+// checkStop checks the end of a planned stop.
+func (g *ledger) checkStop(proc *process) {
 	g.count("planned stops")
-	if l.stop.disturbed {
+	if proc.stop.paused {
 		return
 	}
-	if len(l.exchanges) > 0 || l.busy() {
+	if len(proc.exchanges) > 0 || proc.hasAttempts() {
 		g.violate(promiseStop, "%s stopped with %d calls and %d attempts in flight",
-			l.node.id, len(l.exchanges), len(l.jobs))
+			proc.node.id, len(proc.exchanges), len(proc.jobs))
 	}
 }
 
-// looked checks a process's bundle after each event of its loop.
-func (g *ledger) looked(l *life) {
-	g.lookAtFleet(l)
-	r := g.lives[l]
-	version := l.version()
+// checkProcess checks a process's bundle version after each event of its loop.
+func (g *ledger) checkProcess(proc *process) {
+	g.observeFleet(proc)
+	r := g.processes[proc]
+	version := proc.version()
 	switch {
 	case version < r.version:
-		g.violate(promiseBundle, "%s went from version %d back to %d", l.node.id, r.version, version)
+		g.violate(promiseBundle, "%s went from version %d back to %d", proc.node.id, r.version, version)
 	case r.version == 0 && version > 0:
-		g.checkFirst(l, r, version)
+		g.checkFirstVersion(proc, r, version)
 	}
 	if version != r.version {
-		r.version, r.since = version, g.w.now
+		r.version, r.versionSince = version, g.w.now
 	}
 }
 
-// checkFirst holds what a fresh process puts in force against what was in force
-// everywhere at its start.
-func (g *ledger) checkFirst(l *life, r *lifeRecord, version uint64) {
-	calm := g.calmSince()
+// checkFirstVersion compares the first version that a new process puts in force with the
+// versions in force elsewhere when it started.
+func (g *ledger) checkFirstVersion(proc *process, r *processRecord, version uint64) {
+	undisturbed := g.undisturbedSince()
 	for _, n := range g.w.nodes {
-		if n.life == nil || g.lives[n.life].version <= version {
+		if n.process == nil || g.processes[n.process].version <= version {
 			continue
 		}
-		theirs := g.lives[n.life]
-		if r.born.Sub(latest(calm, theirs.since)) <= spreadTime {
+		theirs := g.processes[n.process]
+		if r.startedAt.Sub(latest(undisturbed, theirs.versionSince)) <= propagationTime {
 			g.count("excused: a fresh node began with an older version")
 			continue
 		}
-		g.violate(promiseBundle, "%s began with version %d; %s had %d in force", l.node.id, version, n.id, theirs.version)
+		g.violate(promiseBundle, "%s started with version %d; %s had %d in force", proc.node.id, version, n.id, theirs.version)
 	}
 }
 
 // version returns the bundle version in force; zero for none.
-func (l *life) version() uint64 {
-	b := l.core.Board.Bundles.Get().Bundle(bundleName)
+func (p *process) version() uint64 {
+	b := p.core.Board.Bundles.Get().Bundle(bundleName)
 	if b == nil {
 		return 0
 	}
 	return b.Version
 }
 
-// checkSpread holds every process against the versions that others have in force.
-func (g *ledger) checkSpread() {
-	calm := g.calmSince()
+// checkPropagation checks that no process stays behind the versions that others have in
+// force.
+func (g *ledger) checkPropagation() {
+	undisturbed := g.undisturbedSince()
 	for _, n := range g.w.nodes {
-		if n.life == nil || n.life.knowsNobody() {
+		if n.process == nil || n.process.hasNoBundleSource() {
 			continue
 		}
 		for _, other := range g.w.nodes {
-			if other.life != nil {
-				g.checkBehind(n.life, other.life, calm)
+			if other.process != nil {
+				g.checkBehind(n.process, other.process, undisturbed)
 			}
 		}
 	}
 }
 
-// checkBehind reports l when it has been behind other for too long.
-func (g *ledger) checkBehind(l, other *life, calm time.Time) {
-	mine, theirs := g.lives[l], g.lives[other]
-	since := latest(calm, theirs.since, mine.born)
-	if mine.version < theirs.version && g.w.now.Sub(since) > spreadTime {
+// checkBehind reports proc when it has been behind other for longer than propagationTime.
+func (g *ledger) checkBehind(proc, other *process, undisturbed time.Time) {
+	mine, theirs := g.processes[proc], g.processes[other]
+	since := latest(undisturbed, theirs.versionSince, mine.startedAt)
+	if mine.version < theirs.version && g.w.now.Sub(since) > propagationTime {
 		g.violate(promiseBundle, "%s has version %d; %s has had %d in force since %v; missing: %v",
-			l.node.id, mine.version, other.node.id, theirs.version, theirs.since.Sub(epoch), l.missing())
+			proc.node.id, mine.version, other.node.id, theirs.version, theirs.versionSince.Sub(epoch), proc.missing())
 	}
 }
 
-// knowsNobody tells whether a process can ask nobody who holds a bundle: the
-// platform, which would name others, is down, and whom it knows has none either.
-func (l *life) knowsNobody() bool {
-	if !l.w.platform.down {
+// hasNoBundleSource reports whether a process can reach no bundle: the platform, which
+// would name other nodes, is down, and no node that it knows has a bundle.
+func (p *process) hasNoBundleSource() bool {
+	if !p.w.platform.down {
 		return false
 	}
-	for _, in := range l.core.Board.Fleet.Get().Instances {
-		n := l.w.node(in.ID)
-		if n != nil && n.life != nil && n.life.version() > 0 {
+	for _, in := range p.core.Board.Fleet.Get().Instances {
+		n := p.w.nodeByID(in.ID)
+		if n != nil && n.process != nil && n.process.version() > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// missing is what a process says that it lacks to be ready.
-func (l *life) missing() []string {
-	if r := l.core.Board.Readiness.Get(); r != nil {
+// missing returns what the process lacks to be ready, by its own report.
+func (p *process) missing() []string {
+	if r := p.core.Board.Readiness.Get(); r != nil {
 		return r.Missing
 	}
 	return nil
--- a/internal/proof/platform.go
+++ b/internal/proof/platform.go
@@ -9,111 +9,111 @@
 	"gypsumstand/internal/model"
 )
 
-var errOutage = errors.New("the platform does not answer")
+var errOutage = errors.New("platform outage")
 
-// platform is a stand-in for the configuration service and the list.
+// platform stands in for the configuration service and the instance list.
 type platform struct {
 	w *world
-	// down: nothing is answered; listLag is how late the list shows changes;
-	// frozen: the configuration service shows no change.
+	// down: no read is answered. listLag is the delay after which the list shows changes.
+	// frozen: the configuration service shows no new version.
 	down    bool
 	listLag time.Duration
 	frozen  bool
-	// list holds the newest entry per instance, revisions all lists so far.
+	// list holds the newest entry of each instance; revisions holds all lists so far.
 	list      map[model.InstanceID]model.Instance
 	revisions []listRevision
-	// versions counts the sign-offs; shown is the version that is served.
+	// versions counts the published versions; served is the one that readers get.
 	versions uint64
-	shown    uint64
+	served   uint64
 	values   map[uint64][]byte
 	index    uint64
 }
 
 type listRevision struct {
-	at        time.Time
-	revision  uint64
-	instances []model.Instance
+	publishedAt time.Time
+	revision    uint64
+	instances   []model.Instance
 }
 
 func newPlatform(w *world) *platform {
 	return &platform{w: w, list: map[model.InstanceID]model.Instance{}, values: map[uint64][]byte{}}
 }
 
-// put lists an instance in a life stage.
+// put lists an instance with state s.
 func (p *platform) put(n *node, s model.UpstreamState) {
 	p.list[n.id] = model.Instance{ID: n.id, Service: n.service, DataCentre: n.dataCentre, PeerAddress: n.address, State: s}
-	p.revise()
+	p.addRevision()
 }
 
-// remove takes an instance off the list.
+// remove removes an instance from the list.
 func (p *platform) remove(n *node) {
 	delete(p.list, n.id)
-	p.revise()
+	p.addRevision()
 }
 
-func (p *platform) revise() {
+func (p *platform) addRevision() {
 	var all []model.Instance
 	for _, n := range p.w.nodes {
 		if in, ok := p.list[n.id]; ok {
 			all = append(all, in)
 		}
 	}
-	p.revisions = append(p.revisions, listRevision{at: p.w.now, revision: uint64(len(p.revisions) + 1), instances: all})
+	p.revisions = append(p.revisions, listRevision{publishedAt: p.w.now, revision: uint64(len(p.revisions) + 1), instances: all})
 }
 
-// lagged returns the list as readers see it now.
-func (p *platform) lagged() listRevision {
-	seen := p.w.now.Add(-p.listLag)
+// visibleList returns the list that readers see now.
+func (p *platform) visibleList() listRevision {
+	visibleAt := p.w.now.Add(-p.listLag)
 	for _, r := range slices.Backward(p.revisions) {
-		if !r.at.After(seen) {
+		if !r.publishedAt.After(visibleAt) {
 			return r
 		}
 	}
 	return p.revisions[0]
 }
 
-// signOff publishes the next version.
-func (p *platform) signOff() {
+// publish signs and publishes the next version.
+func (p *platform) publish() {
 	p.versions++
-	p.values[p.versions] = signedBundle(p.versions, p.w.switches.warmingKeys())
+	p.values[p.versions] = signedBundle(p.versions, p.w.options.warmingSettings())
 	if !p.frozen {
-		p.show(p.versions)
+		p.serve(p.versions)
 	}
 }
 
-// show makes version the one that is served.
-func (p *platform) show(version uint64) {
-	if p.shown != version {
-		p.shown = version
+// serve makes version the one that readers get.
+func (p *platform) serve(version uint64) {
+	if p.served != version {
+		p.served = version
 		p.index++
 	}
 }
 
-// calm ends all faults.
-func (p *platform) calm() {
+// clearFaults ends all faults and serves the newest version.
+func (p *platform) clearFaults() {
 	if p.down {
-		// Processes that knew nobody begin to know others only now.
-		p.w.ledger.disturb()
+		// Processes that knew no peer only learn of others from now on.
+		p.w.ledger.recordDisturbance()
 	}
 	p.down, p.frozen, p.listLag = false, false, 0
-	p.show(p.versions)
+	p.serve(p.versions)
 }
 
-// read answers a process after the platform's few milliseconds.
-func (p *platform) read(l *life, answered func() control.Event, failed control.Event) {
+// read posts the result of a read to a process after 2 to 10 ms.
+func (p *platform) read(proc *process, answered func() control.Event, failed control.Event) {
 	p.w.ledger.count("platform reads")
 	p.w.after(p.w.between(2*time.Millisecond, 10*time.Millisecond), func() {
 		ev := failed
 		if !p.down {
 			ev = answered()
 		}
-		l.event(ev)
+		proc.postEvent(ev)
 	})
 }
 
-func (p *platform) readList(l *life, since uint64) {
-	p.read(l, func() control.Event {
-		r := p.lagged()
+func (p *platform) readList(proc *process, since uint64) {
+	p.read(proc, func() control.Event {
+		r := p.visibleList()
 		if since == 0 || since > r.revision {
 			return control.ListRead{Revision: r.revision, Full: true, Instances: slices.Clone(r.instances)}
 		}
@@ -121,7 +121,8 @@
 	}, control.ListReadFailed{Err: errOutage})
 }
 
-// changes lists what differs between two revisions; what was removed is gone.
+// changes returns the entries that differ between two revisions; removed instances have
+// StateGone.
 func (p *platform) changes(since uint64, now listRevision) []model.Instance {
 	old := map[model.InstanceID]model.Instance{}
 	for _, in := range p.revisions[since-1].instances {
@@ -142,14 +143,14 @@
 	return out
 }
 
-func (p *platform) readIndex(l *life) {
-	p.read(l, func() control.Event {
-		return control.IndexRead{Revision: p.index, Versions: []model.BundleVersion{{Name: bundleName, Version: p.shown}}}
+func (p *platform) readIndex(proc *process) {
+	p.read(proc, func() control.Event {
+		return control.IndexRead{Revision: p.index, Versions: []model.BundleVersion{{Name: bundleName, Version: p.served}}}
 	}, control.IndexReadFailed{Err: errOutage})
 }
 
-func (p *platform) readValue(l *life, name model.BundleName) {
-	p.read(l, func() control.Event {
-		return control.ValueRead{Name: name, Data: p.values[p.shown]}
+func (p *platform) readValue(proc *process, name model.BundleName) {
+	p.read(proc, func() control.Event {
+		return control.ValueRead{Name: name, Data: p.values[p.served]}
 	}, control.ValueReadFailed{Name: name, Err: errOutage})
 }
--- a/internal/proof/promises_test.go
+++ b/internal/proof/promises_test.go
@@ -12,13 +12,13 @@
 	"gypsumstand/internal/rapidflags"
 )
 
-// fuzzTime, when set, fuzzes with fresh seeds for that long (make fuzz).
+// fuzzTime, when set, runs checks with fresh seeds for that long (make fuzz).
 var fuzzTime = flag.Duration("proof.fuzz", 0, "fuzz with fresh seeds for this long")
 
-// showTrace prints what happens, to look into one failure.
+// showTrace prints the trace, for debugging one failure.
 var showTrace = flag.Bool("proof.trace", false, "print what happens")
 
-// Fixed seeds, so that the same test has the same verdict each time.
+// Fixed seeds make the result of a test reproducible.
 const (
 	fixedSeed   = "20250301"
 	fixedChecks = "8"
@@ -33,38 +33,38 @@
 	rapidflags.Main(m, flags)
 }
 
-// rapidChooser draws a plan's choices by rapid, which can then shrink them.
+// rapidChooser draws a plan's choices with rapid, which can shrink them.
 type rapidChooser struct{ t *rapid.T }
 
 func (r rapidChooser) pick(what string, n int) int { return rapid.IntRange(0, n-1).Draw(r.t, what) }
 
-// sound returns the switches of a world that breaks nothing.
-func sound() switches {
+// unmutated returns options without mutations.
+func unmutated() options {
 	if *showTrace {
-		return switches{trace: os.Stdout}
+		return options{trace: os.Stdout}
 	}
-	return switches{}
+	return options{}
 }
 
-// TestPromisesHoldUnderFaults draws plans of actions and checks the oracle after
-// each, and that service returns once faults stop.
+// Draws plans of actions, checks the oracle after each action and checks that service
+// recovers once faults stop.
 func TestPromisesHoldUnderFaults(t *testing.T) {
 	t.Parallel()
 	counts := map[string]int{}
-	fuzz(t, func(rt *rapid.T) { runDrawnPlan(rt, counts, actions) })
-	report(t, counts)
+	checkRepeatedly(t, func(rt *rapid.T) { runDrawnPlan(rt, counts, actions) })
+	logCounts(t, counts)
 }
 
-// TestPromisesHoldBesideDeadlyRequests is the same with callers whose requests end workers.
+// Runs the same check with callers whose requests crash workers.
 func TestPromisesHoldBesideDeadlyRequests(t *testing.T) {
 	t.Parallel()
 	counts := map[string]int{}
-	fuzz(t, func(rt *rapid.T) { runDrawnPlan(rt, counts, append(slices.Clone(actions), deadlyAction)) })
-	report(t, counts)
+	checkRepeatedly(t, func(rt *rapid.T) { runDrawnPlan(rt, counts, append(slices.Clone(actions), deadlyAction)) })
+	logCounts(t, counts)
 }
 
-// fuzz checks once, or with fresh seeds for as long as was asked for.
-func fuzz(t *testing.T, check func(*rapid.T)) {
+// checkRepeatedly runs a check once, or with fresh seeds until fuzzTime has passed.
+func checkRepeatedly(t *testing.T, check func(*rapid.T)) {
 	end := time.Now().Add(*fuzzTime)
 	for {
 		rapid.Check(t, check)
@@ -76,30 +76,30 @@
 
 func runDrawnPlan(rt *rapid.T, counts map[string]int, actions []action) {
 	c := rapidChooser{rt}
-	w := newWorld(uint64(c.pick("seed", 1<<20)), sound())
+	w := newWorld(uint64(c.pick("seed", 1<<20)), unmutated())
 	w.start(c)
-	steps := map[string]func(*rapid.T){"": func(rt *rapid.T) { failOn(rt, w) }}
+	steps := map[string]func(*rapid.T){"": func(rt *rapid.T) { reportViolations(rt, w) }}
 	for _, a := range actions {
 		steps[a.name] = func(rt *rapid.T) { w.step(rapidChooser{rt}, a) }
 	}
 	rt.Repeat(steps)
 	w.recover()
-	failOn(rt, w)
+	reportViolations(rt, w)
 	for what, n := range w.ledger.counts {
 		counts[what] += n
 	}
 }
 
-// failOn fails the check with all that the oracle found.
-func failOn(rt *rapid.T, w *world) {
-	w.ledger.checkSpread()
+// reportViolations fails the check with everything that the oracle found.
+func reportViolations(rt *rapid.T, w *world) {
+	w.ledger.checkPropagation()
 	for _, v := range w.ledger.violations {
 		rt.Errorf("%v", v)
 	}
 }
 
-// report prints what the plans brought about.
-func report(t *testing.T, counts map[string]int) {
+// logCounts logs how often each kind of thing happened in the plans.
+func logCounts(t *testing.T, counts map[string]int) {
 	names := make([]string, 0, len(counts))
 	for name := range counts {
 		names = append(names, name)
--- a/internal/proof/recover.go
+++ b/internal/proof/recover.go
@@ -6,80 +6,80 @@
 	"gypsumstand/internal/model"
 )
 
-// Bounds of recovery.
+// Time bounds of recovery.
 const (
-	// recoveryTime is how long after the last fault service is full again.
+	// recoveryTime is how long after the last fault service must be complete again.
 	recoveryTime = 15 * time.Second
-	// lastCalls is how long the calls then made take.
-	lastCalls = 3 * time.Second
-	// replaceRounds is how often leaving processes are replaced: a stop that was
-	// under way may have been followed by a start beside a worker that drains.
+	// probeTime is the time allowed for the probes that follow.
+	probeTime = 3 * time.Second
+	// replaceRounds is how often leaving processes are replaced. One round isn't enough:
+	// a process may have been started after a stop beside a worker that still drains.
 	replaceRounds = 2
 )
 
-// recover ends all faults, lets the stated time pass and checks that every
-// process serves every route on the newest version.
+// recover ends all faults, waits for recoveryTime and checks that every process serves
+// every route on the newest version.
 func (w *world) recover() {
-	w.endFaults()
+	w.clearAllFaults()
 	w.advance(recoveryTime)
 	w.checkViews()
-	probes := w.probe()
-	w.advance(lastCalls)
-	w.checkEnded(probes)
-	w.ledger.checkSpread()
+	probes := w.sendProbes()
+	w.advance(probeTime)
+	w.checkProbes(probes)
+	w.ledger.checkPropagation()
 }
 
-// endFaults ends what is under way; processes that are leaving or gone, and
-// workers that drain, are replaced.
-func (w *world) endFaults() {
-	w.quiet = true
-	w.net.calm()
-	w.platform.calm()
+// clearAllFaults ends all faults and replaces processes that are leaving or gone and
+// workers that drain.
+func (w *world) clearAllFaults() {
+	w.stopDeadly = true
+	w.net.clearFaults()
+	w.platform.clearFaults()
 	for range replaceRounds {
 		for _, n := range w.nodes {
-			n.worker.calm()
-			if l := n.life; l != nil && (n.worker.draining || l.leaving()) {
-				l.data(l.leave)
+			n.worker.clearFaults()
+			if proc := n.process; proc != nil && (n.worker.draining || proc.leaving()) {
+				proc.whenRunning(proc.beginStop)
 			}
 		}
 		w.advance(stopTimeout + 4*time.Second)
 		for _, n := range w.nodes {
-			if n.life == nil {
+			if n.process == nil {
 				n.worker.replace()
 				n.boot()
 			}
 		}
 	}
-	w.ledger.disturb()
+	w.ledger.recordDisturbance()
 }
 
 func (w *world) checkViews() {
 	for _, n := range w.nodes {
-		if n.life == nil {
-			w.ledger.violate(recovery, "%s does not run", n.id)
+		if n.process == nil {
+			w.ledger.violate(promiseRecovery, "%s has no running process", n.id)
 			continue
 		}
-		fleet := n.life.core.Board.Fleet.Get()
+		fleet := n.process.core.Board.Fleet.Get()
 		if len(fleet.Instances) != len(w.nodes) {
-			w.ledger.violate(recovery, "%s sees %d instances of %d", n.id, len(fleet.Instances), len(w.nodes))
+			w.ledger.violate(promiseRecovery, "%s sees %d instances of %d", n.id, len(fleet.Instances), len(w.nodes))
 		}
 		for _, in := range fleet.Instances {
 			if in.State != model.StateLive {
-				w.ledger.violate(recovery, "%s sees %s as %s", n.id, in.ID, in.State)
+				w.ledger.violate(promiseRecovery, "%s sees %s as %s", n.id, in.ID, in.State)
 			}
 		}
 	}
 }
 
-// probe sends a request of every route, with and without the caller's own id, to
-// every entry.
-func (w *world) probe() []*sending {
-	var out []*sending
+// sendProbes sends a request of every route to every entry, with and without a caller's
+// own id.
+func (w *world) sendProbes() []*submission {
+	var out []*submission
 	for i, n := range w.nodes {
 		for kind := range 2 * len(callerRoutes) {
-			s := w.newSending(fixedChooser(kind))
+			s := w.newSubmission(fixedChooser(kind))
 			s.tenant = "nobody"
-			w.after(time.Duration(i*2*len(callerRoutes)+kind)*20*time.Millisecond, func() { s.to(n) })
+			w.after(time.Duration(i*2*len(callerRoutes)+kind)*20*time.Millisecond, func() { s.sendTo(n) })
 			out = append(out, s)
 		}
 	}
@@ -90,16 +90,16 @@
 
 func (f fixedChooser) pick(string, int) int { return int(f) }
 
-// checkEnded checks that probes were answered and that no caller waits still.
-func (w *world) checkEnded(probes []*sending) {
+// checkProbes checks that all probes were answered and that no caller still waits.
+func (w *world) checkProbes(probes []*submission) {
 	for _, s := range probes {
-		if !s.told || s.outcome != model.OutcomeAnswered {
-			w.ledger.violate(recovery, "sending %d (%s) ended as: %s", s.number, s.route.path, s.state())
+		if !s.hasOutcome || s.outcome != model.OutcomeAnswered {
+			w.ledger.violate(promiseRecovery, "probe, submission %d (%s): outcome %s, want answered", s.number, s.route.path, s.describeOutcome())
 		}
 	}
-	for _, s := range w.ledger.sendings {
+	for _, s := range w.ledger.submissions {
 		if !s.ended {
-			w.ledger.violate(recovery, "sending %d of %v was never told anything", s.number, s.begun.Sub(epoch))
+			w.ledger.violate(promiseRecovery, "submission %d, made at %v, got no outcome", s.number, s.submittedAt.Sub(epoch))
 		}
 	}
 }
--- a/internal/proof/run.go
+++ b/internal/proof/run.go
@@ -7,41 +7,42 @@
 	"time"
 )
 
-// Times between the steps of a plan, at the most.
+// Longest times between the steps of a plan.
 const (
-	startWait = 5 * time.Second
-	stepWait  = 400 * time.Millisecond
+	maxStartWait = 5 * time.Second
+	maxStepWait  = 400 * time.Millisecond
 )
 
-// Plan is a course of random steps. The same plan has the same course each time.
+// Plan is a reproducible sequence of random steps: the same plan always runs in the same
+// way.
 type Plan struct {
 	Seed uint64
-	// Steps is the number of requests, faults and the like.
+	// Steps is the number of steps: requests, faults and passing time.
 	Steps int
-	// Deadly: callers send requests under which workers end, too.
+	// Deadly adds requests that crash their workers.
 	Deadly bool
-	// Warming: workers bear little for a while, at any moment.
+	// Warming lets workers warm up at random moments, with a limited request rate.
 	Warming bool
-	// Trace is told what happens, a line each; nil means none.
+	// Trace receives one line for each thing that happens; nil disables it.
 	Trace io.Writer
 }
 
-// Report is what one plan brought about.
+// Report is the result of one plan.
 type Report struct {
 	Plan Plan
-	// Violations holds what the oracle found, a line each, none when all promises
-	// were kept and service returned once faults had stopped.
+	// Violations holds one line for each violation that the oracle found. It is empty
+	// when all promises held and service recovered after the faults.
 	Violations []string
-	// Counts is how often things came to pass, by their names.
+	// Counts holds how often each kind of thing happened, by its name.
 	Counts map[string]int
-	// Hash differs when two runs of a plan differ.
+	// Hash is a hash of the trace: it differs when two runs of a plan differ.
 	Hash uint64
 }
 
-// Run plays a plan, ends all faults and checks that service returns.
+// Run plays a plan, then ends all faults and checks that service recovers.
 func Run(p Plan) Report {
 	c := seededChooser{rand.New(rand.NewPCG(p.Seed, 1))}
-	w := newWorld(p.Seed, switches{trace: p.Trace, warming: p.Warming})
+	w := newWorld(p.Seed, options{trace: p.Trace, warming: p.Warming})
 	steps := slices.Clone(actions)
 	if p.Deadly {
 		steps = append(steps, deadlyAction)
@@ -70,13 +71,13 @@
 	return r
 }
 
-// start lets the processes run for a moment before the first step.
-func (w *world) start(c chooser) { w.advance(w.wait(c, "start", startWait)) }
+// start lets the processes run for up to maxStartWait before the first step.
+func (w *world) start(c chooser) { w.advance(w.pickDuration(c, "start", maxStartWait)) }
 
-// step takes one step and lets some time pass.
+// step takes one step and lets up to maxStepWait pass.
 func (w *world) step(c chooser, a action) {
 	a.do(w, c)
-	w.advance(w.wait(c, "then", stepWait))
+	w.advance(w.pickDuration(c, "then", maxStepWait))
 }
 
 // seededChooser draws a plan's choices from a seed.
--- a/internal/proof/run_test.go
+++ b/internal/proof/run_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestAPlanHasTheSameCourseEachTime(t *testing.T) {
+func TestPlanIsDeterministic(t *testing.T) {
 	t.Parallel()
 	play := func(seed uint64) Report { return Run(Plan{Seed: seed, Steps: 15}) }
 	first, again, other := play(3), play(3), play(4)
@@ -14,34 +14,34 @@
 		t.Errorf("two runs of one plan (-first +again):\n%s", diff)
 	}
 	if first.Hash == other.Hash {
-		t.Error("plans of two seeds have the same course")
+		t.Error("plans of two seeds have the same hash")
 	}
-	for _, breach := range append(first.Violations, other.Violations...) {
-		t.Error(breach)
+	for _, violation := range append(first.Violations, other.Violations...) {
+		t.Error(violation)
 	}
 }
 
-// Plans that once showed a fault, by their seeds.
+// Seeds of plans that once found a fault:
 //
-//	6334: two nodes asked for a version and declined it without end
-func TestPlansThatOnceFailedHold(t *testing.T) {
+//	6334: two nodes kept requesting a version from each other and rejecting it
+func TestRegressionSeeds(t *testing.T) {
 	for _, seed := range []uint64{6334} {
-		for _, breach := range Run(Plan{Seed: seed, Steps: 60, Deadly: true}).Violations {
-			t.Errorf("seed %d: %s", seed, breach)
+		for _, violation := range Run(Plan{Seed: seed, Steps: 60, Deadly: true}).Violations {
+			t.Errorf("seed %d: %s", seed, violation)
 		}
 	}
 }
 
-func TestWarmingWorkersGetNoMoreThanTheyMayBesideAllFaults(t *testing.T) {
+func TestWarmingLimitHoldsUnderFaults(t *testing.T) {
 	requests := 0
 	for seed := range uint64(12) {
 		report := Run(Plan{Seed: seed, Steps: 60, Warming: true, Deadly: seed%2 == 0})
 		requests += report.Counts["requests at warming workers"]
-		for _, breach := range report.Violations {
-			t.Errorf("seed %d: %s", seed, breach)
+		for _, violation := range report.Violations {
+			t.Errorf("seed %d: %s", seed, violation)
 		}
 	}
 	if requests < 100 {
-		t.Errorf("%d requests at warming workers: the plans do not test the bound", requests)
+		t.Errorf("%d requests at warming workers, want at least 100: the plans do not test the limit", requests)
 	}
 }
--- a/internal/proof/stop.go
+++ b/internal/proof/stop.go
@@ -7,67 +7,67 @@
 	"gypsumstand/internal/model"
 )
 
-// plannedStop is a graceful stop under way (package node, Node.stop).
+// plannedStop is a graceful stop in progress (package node).
 type plannedStop struct {
-	begun time.Time
-	// disturbed: the process was paused meanwhile, so the bound may not hold.
-	disturbed bool
+	startedAt time.Time
+	// paused: the process was paused during the stop, so its time limit may not hold.
+	paused bool
 }
 
-// stopPoll is how often a stop looks whether requests are still in flight.
+// stopPoll is the interval at which a stop checks for requests in flight.
 const stopPoll = 10 * time.Millisecond
 
-// leave begins the process's planned stop.
-func (l *life) leave() {
-	if l.stop != nil || !l.alive {
+// beginStop begins the process's planned stop.
+func (p *process) beginStop() {
+	if p.stop != nil || !p.alive {
 		return
 	}
-	l.stop = &plannedStop{begun: l.w.now}
-	l.w.platform.put(l.node, model.StateLeaving)
-	l.w.ledger.leaves(l)
-	l.event(control.SelfStateChanged{State: model.StateLeaving})
-	if l.w.switches.cutOff {
-		l.after(leaveGrace, l.exit)
+	p.stop = &plannedStop{startedAt: p.w.now}
+	p.w.platform.put(p.node, model.StateLeaving)
+	p.w.ledger.recordLeaving(p)
+	p.postEvent(control.SelfStateChanged{State: model.StateLeaving})
+	if p.w.options.skipDrain {
+		p.after(leaveGrace, p.exit)
 		return
 	}
-	l.after(leaveGrace, func() {
-		l.callerClosed = true
-		l.drainCallers()
+	p.after(leaveGrace, func() {
+		p.callerClosed = true
+		p.drainCallers()
 	})
 }
 
-// drainCallers waits for the calls in flight, then for the attempts.
-func (l *life) drainCallers() {
-	if len(l.exchanges) > 0 && !l.stopEnds() {
-		l.after(stopPoll, l.drainCallers)
+// drainCallers waits for the calls in flight and then closes the peer port.
+func (p *process) drainCallers() {
+	if len(p.exchanges) > 0 && !p.stopExpired() {
+		p.after(stopPoll, p.drainCallers)
 		return
 	}
-	l.peerClosed = true
-	l.drainPeers()
+	p.peerClosed = true
+	p.drainPeers()
 }
 
-func (l *life) drainPeers() {
-	if l.busy() && !l.stopEnds() {
-		l.after(stopPoll, l.drainPeers)
+func (p *process) drainPeers() {
+	if p.hasAttempts() && !p.stopExpired() {
+		p.after(stopPoll, p.drainPeers)
 		return
 	}
-	l.exit()
+	p.exit()
 }
 
-// busy tells whether attempts of peers are in flight here.
-func (l *life) busy() bool {
-	for _, f := range l.inbound {
+// hasAttempts reports whether attempts of peers or jobs are in flight here.
+func (p *process) hasAttempts() bool {
+	for _, f := range p.incoming {
 		if f.job != nil && !f.closed {
 			return true
 		}
 	}
-	return len(l.jobs) > 0
+	return len(p.jobs) > 0
 }
 
-func (l *life) stopEnds() bool { return l.w.now.Sub(l.stop.begun) >= stopTimeout }
+func (p *process) stopExpired() bool { return p.w.now.Sub(p.stop.startedAt) >= stopTimeout }
 
 // exit ends the process after its planned stop.
-func (l *life) exit() {
-	l.w.ledger.stopped(l)
-	l.crash()
+func (p *process) exit() {
+	p.w.ledger.checkStop(p)
+	p.crash()
 }
--- a/internal/proof/worker.go
+++ b/internal/proof/worker.go
@@ -12,32 +12,32 @@
 const (
 	shortestService = 3 * time.Millisecond
 	longestService  = 20 * time.Millisecond
-	hopToWorker     = 100 * time.Microsecond
+	workerDelay     = 100 * time.Microsecond
 )
 
-// worker is the upstream beside a node, in the terms that its owner sees.
+// worker is the upstream beside a node, as its owner sees it.
 type worker struct {
-	n *node
-	// cold: connections are refused; draining: new requests are shed and the
-	// health endpoint says leaving, both for good until the worker is replaced.
+	node *node
+	// cold: connections are refused. draining: new requests are shed and the health
+	// endpoint reports leaving, until the worker is replaced.
 	cold, draining bool
-	// Faults. Shares are of the requests.
-	slow                        float64
-	fail, shed, cut, cross, hup float64
-	paused                      bool
-	waiting                     []func()
-	running                     int
-	// inHand are the runs that are not over.
-	inHand []*run
-	// reported is what the health endpoint says; it lags.
-	reported health.Poll
-	lag      time.Duration
-	// warmingUntil is until when the worker warms up, warmArrivals the requests of the last
-	// second that came meanwhile.
-	warmingUntil time.Time
-	warmArrivals []time.Time
-	// last is the newest request that was answered.
-	last model.RequestID
+	// Faults; fail, shed, truncate, crossed and hangup are shares of the requests.
+	slowdown                            float64
+	fail, shed, truncate, cross, hangup float64
+	paused                              bool
+	pending                             []func()
+	running                             int
+	// inFlight are the unfinished runs.
+	inFlight []*run
+	// reported is what the health endpoint reports; it lags by reportLag.
+	reported  health.Poll
+	reportLag time.Duration
+	// warmingUntil is when the warm-up ends; warmingArrivals are the requests of the last
+	// second that arrived during it.
+	warmingUntil    time.Time
+	warmingArrivals []time.Time
+	// lastRequest is the request that was answered last.
+	lastRequest model.RequestID
 }
 
 // run is one request at a worker.
@@ -45,28 +45,28 @@
 	wk        *worker
 	j         *job
 	cancelled bool
-	over      bool
+	done      bool
 }
 
-// answerKind tells the ways in which a worker answers.
-type answerKind uint8
+// responseKind is the way in which a worker responds.
+type responseKind uint8
 
 const (
-	answerWhole answerKind = iota
-	answerCut
-	answerCrossed
-	answerShed
-	// answerClosed: the connection ends without an answer.
-	answerClosed
+	responseComplete responseKind = iota
+	responseTruncated
+	responseCrossed
+	responseShed
+	// responseClosed: the connection closes without a response.
+	responseClosed
 )
 
-type workerAnswer struct {
-	kind    answerKind
+type workerResponse struct {
+	kind    responseKind
 	request model.RequestID
 	failed  bool
 }
 
-func (a workerAnswer) status() int {
+func (a workerResponse) status() int {
 	if a.failed {
 		return 500
 	}
@@ -74,15 +74,15 @@
 }
 
 func newWorker(n *node) *worker {
-	return &worker{n: n, slow: 1, reported: health.Poll{Answered: true, OK: true}}
+	return &worker{node: n, slowdown: 1, reported: health.Poll{Answered: true, OK: true}}
 }
 
 func (wk *worker) refusesConnections() bool { return wk.cold }
 
-// data runs f once the worker runs.
-func (wk *worker) data(f func()) {
+// whenRunning runs f now, or after the worker's pause.
+func (wk *worker) whenRunning(f func()) {
 	if wk.paused {
-		wk.waiting = append(wk.waiting, f)
+		wk.pending = append(wk.pending, f)
 		return
 	}
 	f()
@@ -94,13 +94,13 @@
 		return
 	}
 	wk.paused = true
-	wk.n.w.after(d, wk.wake)
+	wk.node.w.after(d, wk.resume)
 }
 
-func (wk *worker) wake() {
+func (wk *worker) resume() {
 	wk.paused = false
-	waiting := wk.waiting
-	wk.waiting = nil
+	waiting := wk.pending
+	wk.pending = nil
 	for _, f := range waiting {
 		f()
 	}
@@ -109,111 +109,111 @@
 // send takes a request from the owner.
 func (wk *worker) send(j *job) *run {
 	r := &run{wk: wk, j: j}
-	wk.n.w.after(hopToWorker, func() {
-		wk.arrived()
-		wk.data(r.begin)
+	wk.node.w.after(workerDelay, func() {
+		wk.recordArrival()
+		wk.whenRunning(r.begin)
 	})
-	if wk.n.w.switches.replay && wk.n.w.chance(0.1) {
-		again := &run{wk: wk, j: &job{l: j.l, attempt: j.attempt, state: jobOver}}
-		wk.n.w.after(2*hopToWorker, func() { wk.data(again.begin) })
+	if wk.node.w.options.replay && wk.node.w.chance(0.1) {
+		replayed := &run{wk: wk, j: &job{proc: j.proc, attempt: j.attempt, state: jobDone}}
+		wk.node.w.after(2*workerDelay, func() { wk.whenRunning(replayed.begin) })
 	}
 	return r
 }
 
-// begin runs the request, unless the worker sheds it.
+// begin starts the request, unless the worker sheds it.
 func (r *run) begin() {
-	wk, w := r.wk, r.wk.n.w
+	wk, w := r.wk, r.wk.node.w
 	w.ledger.checkLeaving(r.j)
 	switch {
 	case wk.cold:
-		r.respond(workerAnswer{kind: answerClosed})
+		r.respond(workerResponse{kind: responseClosed})
 		return
 	case wk.draining || w.chance(wk.shed):
-		r.respond(workerAnswer{kind: answerShed})
+		r.respond(workerResponse{kind: responseShed})
 		return
 	}
 	wk.running++
-	wk.inHand = append(slices.DeleteFunc(wk.inHand, func(o *run) bool { return o.over }), r)
-	w.ledger.ran(wk, r.j)
-	if r.j.sending().deadly != nil {
-		// Its worker's end is its own.
+	wk.inFlight = append(slices.DeleteFunc(wk.inFlight, func(o *run) bool { return o.done }), r)
+	w.ledger.recordRun(wk, r.j)
+	if r.j.submission().deadly != nil {
+		// The crash of its worker ends this run.
 		return
 	}
-	took := time.Duration(float64(w.between(shortestService, longestService)) * wk.slow)
+	took := time.Duration(float64(w.between(shortestService, longestService)) * wk.slowdown)
 	fails := w.chance(wk.fail)
 	if fails {
 		took = time.Millisecond
 	}
-	w.after(took, func() { wk.data(func() { r.finish(fails) }) })
+	w.after(took, func() { wk.whenRunning(func() { r.finish(fails) }) })
 }
 
 func (r *run) finish(fails bool) {
-	wk, w := r.wk, r.wk.n.w
-	if r.over {
+	wk, w := r.wk, r.wk.node.w
+	if r.done {
 		return
 	}
-	r.over = true
+	r.done = true
 	wk.running--
-	a := workerAnswer{request: r.j.attempt.Request, failed: fails}
+	resp := workerResponse{request: r.j.attempt.Request, failed: fails}
 	switch {
-	case wk.cold || w.chance(wk.hup):
-		a = workerAnswer{kind: answerClosed}
-	case wk.last != "" && wk.last != a.request && w.chance(wk.cross):
-		a = workerAnswer{kind: answerCrossed, request: wk.last}
-	case w.chance(wk.cut):
-		a.kind = answerCut
+	case wk.cold || w.chance(wk.hangup):
+		resp = workerResponse{kind: responseClosed}
+	case wk.lastRequest != "" && wk.lastRequest != resp.request && w.chance(wk.cross):
+		resp = workerResponse{kind: responseCrossed, request: wk.lastRequest}
+	case w.chance(wk.truncate):
+		resp.kind = responseTruncated
 	}
-	wk.last = r.j.attempt.Request
-	r.respond(a)
+	wk.lastRequest = r.j.attempt.Request
+	r.respond(resp)
 }
 
-// respond sends an answer to the owner's process that sent the request.
-func (r *run) respond(a workerAnswer) {
+// respond sends a response to the owner's process that sent the request.
+func (r *run) respond(resp workerResponse) {
 	if r.cancelled {
 		return
 	}
-	l := r.j.l
-	l.after(hopToWorker, func() { r.j.responded(a) })
+	proc := r.j.proc
+	proc.after(workerDelay, func() { r.j.handleResponse(resp) })
 }
 
-// cancel closes the connection to the worker, which may stop its work.
+// cancel closes the connection to the worker, which stops the run in half of the cases.
 func (r *run) cancel() {
 	r.cancelled = true
-	if r.over || r.wk.n.w.chance(0.5) {
+	if r.done || r.wk.node.w.chance(0.5) {
 		return
 	}
-	r.wk.n.w.after(hopToWorker, func() {
-		r.wk.data(func() {
-			if !r.over && r.wk.running > 0 {
-				r.over = true
+	r.wk.node.w.after(workerDelay, func() {
+		r.wk.whenRunning(func() {
+			if !r.done && r.wk.running > 0 {
+				r.done = true
 				r.wk.running--
 			}
 		})
 	})
 }
 
-// report changes what the health endpoint says, after its lag.
-func (wk *worker) report() {
+// publishHealth updates what the health endpoint reports, after reportLag.
+func (wk *worker) publishHealth() {
 	poll := health.Poll{Answered: true, OK: !wk.draining, Leaving: wk.draining}
-	wk.n.w.after(wk.lag, func() { wk.reported = poll })
+	wk.node.w.after(wk.reportLag, func() { wk.reported = poll })
 }
 
-// drain lets the worker finish what it runs and take nothing new; then it ends.
+// drain makes the worker finish its runs and shed new requests, until it is replaced.
 func (wk *worker) drain() {
 	wk.draining = true
-	wk.report()
+	wk.publishHealth()
 }
 
-// replace puts a new worker in this one's place.
+// replace replaces this worker with a new one.
 func (wk *worker) replace() {
-	wk.calm()
+	wk.clearFaults()
 	wk.cold = false
 	wk.draining = false
-	wk.report()
+	wk.publishHealth()
 }
 
-// calm ends the worker's passing faults.
-func (wk *worker) calm() {
-	wk.slow, wk.lag = 1, 0
-	wk.fail, wk.shed, wk.cut, wk.cross, wk.hup = 0, 0, 0, 0, 0
+// clearFaults ends the worker's temporary faults.
+func (wk *worker) clearFaults() {
+	wk.slowdown, wk.reportLag = 1, 0
+	wk.fail, wk.shed, wk.truncate, wk.cross, wk.hangup = 0, 0, 0, 0, 0
 }
--- a/internal/proof/world.go
+++ b/internal/proof/world.go
@@ -12,38 +12,38 @@
 	"gypsumstand/internal/model"
 )
 
-// epoch is the fake clock's start.
+// epoch is the start of the fake clock.
 var epoch = time.Date(2025, time.March, 1, 8, 0, 0, 0, time.UTC)
 
-// world is a fleet of simulated processes, their workers and callers, and the
-// platform. One goroutine runs all of it.
+// world simulates a fleet: its processes, workers, callers and the platform. A single
+// goroutine runs everything.
 type world struct {
-	now      time.Time
-	queue    eventqueue.Queue[func()]
-	rng      *rand.Rand
-	switches switches
+	now     time.Time
+	queue   eventqueue.Queue[func()]
+	rng     *rand.Rand
+	options options
 
 	net      *network
 	platform *platform
 	nodes    []*node
 	ledger   *ledger
-	// quiet: callers of deadly requests do not come back any more.
-	quiet bool
-	// events counts those of the second.
-	events int
-	second int64
+	// stopDeadly makes callers of deadly requests stop.
+	stopDeadly bool
+	// eventsInSecond counts the events within second, in Unix time.
+	eventsInSecond int
+	second         int64
 	// trace hashes what happened, so that two runs can be compared.
 	trace trace
 }
 
 // newWorld returns a fleet whose processes have just started.
-func newWorld(seed uint64, s switches) *world {
-	w := &world{now: epoch, rng: rand.New(rand.NewPCG(seed, 0)), switches: s}
+func newWorld(seed uint64, s options) *world {
+	w := &world{now: epoch, rng: rand.New(rand.NewPCG(seed, 0)), options: s}
 	w.trace = trace{hash: xxhash.New(), out: s.trace}
 	w.ledger = newLedger(w)
 	w.net = newNetwork(w)
 	w.platform = newPlatform(w)
-	w.platform.signOff()
+	w.platform.publish()
 	for i, p := range layout {
 		w.nodes = append(w.nodes, newNode(w, i, p))
 	}
@@ -53,7 +53,7 @@
 	return w
 }
 
-// after runs f once d has passed.
+// after runs f when d has passed.
 func (w *world) after(d time.Duration, f func()) {
 	w.queue.Add(w.now.Add(max(d, 0)), f)
 }
@@ -69,32 +69,32 @@
 	w.now = end
 }
 
-// stormEvents is the number of events within a second that no sound fleet of
-// this size comes near.
-const stormEvents = 100_000
+// maxEventsPerSecond detects an endless loop: a healthy fleet of this size stays far
+// below it.
+const maxEventsPerSecond = 100_000
 
-// countEvent ends the world's run in a storm of events.
+// countEvent ends the run when there are too many events within a second.
 func (w *world) countEvent() {
 	if second := w.now.Unix(); second != w.second {
-		w.second, w.events = second, 0
+		w.second, w.eventsInSecond = second, 0
 	}
-	w.events++
-	if w.events == stormEvents {
-		w.ledger.violate(recovery, "a storm of events")
+	w.eventsInSecond++
+	if w.eventsInSecond == maxEventsPerSecond {
+		w.ledger.violate(promiseRecovery, "too many events within a second")
 		w.queue.Clear()
 	}
 }
 
-// chance reports true with probability p.
+// chance returns true with probability p.
 func (w *world) chance(p float64) bool { return p > 0 && w.rng.Float64() < p }
 
-// between draws a time from low up to high.
+// between draws a duration from low to high, both included.
 func (w *world) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.rng.Int64N(int64(high-low)+1))
 }
 
-// node returns the place of that name, or nil.
-func (w *world) node(id model.InstanceID) *node {
+// nodeByID returns the node with that id, or nil.
+func (w *world) nodeByID(id model.InstanceID) *node {
 	for _, n := range w.nodes {
 		if n.id == id {
 			return n
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// at returns the place with that peer address, or nil.
-func (w *world) at(address string) *node {
+// nodeByAddress returns the node with that peer address, or nil.
+func (w *world) nodeByAddress(address string) *node {
 	for _, n := range w.nodes {
 		if n.address == address {
 			return n
@@ -113,13 +113,13 @@
 	return nil
 }
 
-// trace is a running hash of what happened, which is also written to out.
+// trace is a running hash of what happened; out also receives the text.
 type trace struct {
 	hash *xxhash.Digest
 	out  io.Writer
 }
 
-// add mixes the text of values in.
+// add adds one line, with the time since epoch, to the trace.
 func (t *trace) add(w *world, what string, values ...any) {
 	text := fmt.Sprintln(w.now.Sub(epoch), what, fmt.Sprint(values...))
 	_, _ = t.hash.WriteString(text)
@@ -128,5 +128,5 @@
 	}
 }
 
-// seeds are the peer addresses that every process's settings name.
-func (w *world) seeds() []string { return []string{w.nodes[0].address, w.nodes[1].address} }
+// seedAddresses returns the seed peer addresses in every process's settings.
+func (w *world) seedAddresses() []string { return []string{w.nodes[0].address, w.nodes[1].address} }
