--- a/internal/failure/callers_test.go
+++ b/internal/failure/callers_test.go
@@ -23,16 +23,16 @@
 	method string
 	path   string
 	id     model.RequestID
-	// body of an answered POST is checked by its hash.
+	// body is sent with a POST; the response to it contains its hash.
 	body    string
 	timeout time.Duration
-	// once marks a request that must not run twice.
-	once bool
+	// atMostOnce marks a request that must not run twice.
+	atMostOnce bool
 }
 
-// told is what a caller got for one sending.
-type told struct {
-	// err is set when there was no whole response.
+// result is what a caller received for one submission.
+type result struct {
+	// err is set when the caller got no complete response.
 	err      error
 	status   int
 	outcome  string
@@ -40,27 +40,27 @@
 	upstream model.InstanceID
 	bundle   string
 	body     []byte
-	// goAway tells that the node wants no more requests on the connection.
-	goAway bool
+	// closesConnection: the node accepts no more requests on the connection.
+	closesConnection bool
 }
 
-func (a told) answered() bool { return a.err == nil && a.outcome == answered }
+func (a result) answered() bool { return a.err == nil && a.outcome == answered }
 
-// The outcomes, as headers name them.
+// Outcomes, as they are written in the outcome header.
 var (
 	answered = model.OutcomeAnswered.String()
 	notRun   = model.OutcomeNotRun.String()
 	unknown  = model.OutcomeUnknown.String()
 )
 
-// sending is one request with what came of it.
-type sending struct {
+// submission is one request with its result.
+type submission struct {
 	request
-	told
+	result
 }
 
-// maxRuns bounds the runs of an idempotent request: the first attempt and the
-// default retry budget of a path.
+// maxRuns bounds the runs of an idempotent request: the first attempt and the default
+// retry budget of a path.
 const maxRuns = 3
 
 // nextID numbers the requests of all tests.
@@ -70,23 +70,23 @@
 	return model.RequestID(prefix + "-" + strconv.FormatUint(nextID.Add(1), 10))
 }
 
-// payout is a request that must run once at most.
+// payout returns a request that must run at most once.
 func payout(path string) request {
 	id := newID("payout")
-	return request{method: http.MethodPost, path: path, id: id, body: "pay " + string(id), once: true, timeout: 10 * time.Second}
+	return request{method: http.MethodPost, path: path, id: id, body: "pay " + string(id), atMostOnce: true, timeout: 10 * time.Second}
 }
 
-// view is an idempotent request.
+// view returns an idempotent request.
 func view(path string) request {
 	return request{method: http.MethodGet, path: path, id: newID("view"), timeout: 10 * time.Second}
 }
 
-// callers send requests and remember what they were told.
+// callers sends requests and records their results. It is safe for concurrent use.
 type callers struct {
 	client *http.Client
 
 	mu   sync.Mutex
-	sent []sending
+	sent []submission
 }
 
 // newCallers returns callers that open a connection for each request.
@@ -94,7 +94,7 @@
 	return callersWith(t, &http.Transport{DisableKeepAlives: true, DisableCompression: true})
 }
 
-// newKeepAliveCallers returns callers that use connections again.
+// newKeepAliveCallers returns callers that reuse connections.
 func newKeepAliveCallers(t *testing.T) *callers {
 	return callersWith(t, &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 64})
 }
@@ -104,20 +104,20 @@
 	return &callers{client: &http.Client{Transport: transport}}
 }
 
-// send sends r once and remembers the outcome.
-func (c *callers) send(ctx context.Context, address string, r request) told {
+// send sends r once and records the result.
+func (c *callers) send(ctx context.Context, address string, r request) result {
 	got := c.do(ctx, address, r)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sent = append(c.sent, sending{r, got})
+	c.sent = append(c.sent, submission{r, got})
 	return got
 }
 
-func (c *callers) do(ctx context.Context, address string, r request) told {
-	// net/http can't rewind this body, so it never sends the request twice by itself.
+func (c *callers) do(ctx context.Context, address string, r request) result {
+	// net/http can't rewind this body, so it never resends the request by itself.
 	req, err := http.NewRequestWithContext(ctx, r.method, "http://"+address+r.path, io.NopCloser(strings.NewReader(r.body)))
 	if err != nil {
-		return told{err: err}
+		return result{err: err}
 	}
 	req.ContentLength = int64(len(r.body))
 	req.Header.Set(wire.HeaderIdempotencyKey, string(r.id))
@@ -126,34 +126,34 @@
 	}
 	resp, err := c.client.Do(req)
 	if err != nil {
-		return told{err: err}
+		return result{err: err}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return told{
-		err:      err,
-		status:   resp.StatusCode,
-		outcome:  resp.Header.Get(wire.HeaderOutcome),
-		reason:   resp.Header.Get(wire.HeaderReason),
-		upstream: model.InstanceID(resp.Header.Get(wire.HeaderUpstream)),
-		bundle:   resp.Header.Get(wire.HeaderBundle),
-		body:     body,
-		goAway:   resp.Close,
+	return result{
+		err:              err,
+		status:           resp.StatusCode,
+		outcome:          resp.Header.Get(wire.HeaderOutcome),
+		reason:           resp.Header.Get(wire.HeaderReason),
+		upstream:         model.InstanceID(resp.Header.Get(wire.HeaderUpstream)),
+		bundle:           resp.Header.Get(wire.HeaderBundle),
+		body:             body,
+		closesConnection: resp.Close,
 	}
 }
 
-// sendings returns all sendings so far.
-func (c *callers) sendings() []sending {
+// submissions returns all submissions so far.
+func (c *callers) submissions() []submission {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]sending(nil), c.sent...)
+	return append([]submission(nil), c.sent...)
 }
 
-// count returns how many sendings were told outcome; "" counts those that got no
-// whole response.
+// count returns the number of submissions with the given outcome; "" counts those without
+// a complete response.
 func (c *callers) count(outcome string) int {
 	n := 0
-	for _, s := range c.sendings() {
+	for _, s := range c.submissions() {
 		if s.err != nil && outcome == "" || s.err == nil && s.outcome == outcome {
 			n++
 		}
@@ -161,21 +161,21 @@
 	return n
 }
 
-// check holds what callers were told against the runs. Each id must have been
-// sent once.
+// check compares the results with the runs that the workers counted. Each id must have
+// been submitted once.
 func (c *callers) check(t *testing.T, ledger *worker.Ledger) {
 	t.Helper()
-	for _, s := range c.sendings() {
-		if fault := s.fault(ledger.Runs(s.id)); fault != "" {
-			t.Errorf("%s %s %s: %s (told %d %s %s, %v)", s.method, s.path, s.id, fault, s.status, s.outcome, s.reason, s.err)
+	for _, s := range c.submissions() {
+		if broken := s.violation(ledger.Runs(s.id)); broken != "" {
+			t.Errorf("%s %s %s: %s (got %d %s %s, %v)", s.method, s.path, s.id, broken, s.status, s.outcome, s.reason, s.err)
 		}
 	}
 }
 
-// fault says which promise was broken, or nothing.
-func (s *sending) fault(runs int) string {
+// violation names the promise that was broken; empty when none was.
+func (s *submission) violation(runs int) string {
 	limit := maxRuns
-	if s.once {
+	if s.atMostOnce {
 		limit = 1
 	}
 	switch {
@@ -184,30 +184,30 @@
 	case s.err != nil:
 		return ""
 	case s.outcome == notRun && runs > 0:
-		return "told not-run, and ran"
+		return "outcome not-run, but it ran"
 	case s.outcome == answered && runs == 0:
 		return "answered without a run"
 	case s.outcome == answered && s.status == http.StatusOK:
-		return s.answerFault()
+		return s.responseViolation()
 	case s.outcome != answered && s.status < http.StatusBadRequest:
-		return "an outcome without an answer has a status of success"
+		return "no answer, but a status of success"
 	case s.outcome != answered && s.outcome != notRun && s.outcome != unknown:
-		return "no outcome"
+		return "no valid outcome"
 	}
 	return ""
 }
 
-func (s *sending) answerFault() string {
+func (s *submission) responseViolation() string {
 	want := answer.Request{ID: s.id, Target: s.path, BodyHash: answer.Hash([]byte(s.request.body))}
-	if err := answer.Check(s.told.body, want); err != nil {
-		return "not its own whole answer: " + err.Error()
+	if err := answer.Check(s.result.body, want); err != nil {
+		return "not the complete response to its own request: " + err.Error()
 	}
 	return ""
 }
 
-// together sends n requests that next makes to the addresses in turn, width at
-// once, and returns when all have ended.
-func (c *callers) together(ctx context.Context, addresses []string, n, width int, next func(i int) request) {
+// sendAll sends n requests, which next returns, to the addresses in turn. It keeps width
+// requests in flight and returns when all have ended.
+func (c *callers) sendAll(ctx context.Context, addresses []string, n, width int, next func(i int) request) {
 	var wg sync.WaitGroup
 	var at atomic.Int64
 	for range width {
@@ -220,16 +220,16 @@
 	wg.Wait()
 }
 
-// keepCalling sends requests to address until stop is closed or the node sends
-// the caller away.
-func (c *callers) keepCalling(ctx context.Context, stop <-chan struct{}, address string, next func() request) {
+// sendUntil sends requests to address until stop is closed or the node closes the
+// connection.
+func (c *callers) sendUntil(ctx context.Context, stop <-chan struct{}, address string, next func() request) {
 	for {
 		select {
 		case <-stop:
 			return
 		default:
 		}
-		if got := c.send(ctx, address, next()); got.goAway {
+		if got := c.send(ctx, address, next()); got.closesConnection {
 			return
 		}
 	}
--- a/internal/failure/deadly_test.go
+++ b/internal/failure/deadly_test.go
@@ -17,61 +17,65 @@
 	"gypsumstand/internal/status"
 )
 
-// Callers of one service were refused for most of 20 s, three times in a day: one caller
-// came back every now and then with a request under which the worker that ran it ended, at
-// any entry. Each return was a new request to every node; its owner carried it to the
-// worker, which ended with all that was in hand there, and entries then took it on to the
-// next. Nobody remembered what a worker had ended under.
+// The tests of deadly requests guard against this failure: a caller submits a request
+// that crashes its worker again and again, at any entry and with a new id each time. Each
+// submission is a new request to every node. Its owner runs it, the worker crashes with
+// everything in flight there, and entries retry it at the next worker. While no node
+// remembered which content crashed workers, most requests of the service were refused for
+// as long as the caller went on.
 //
-// Evidence: the same content was in hand at every end, under another id each time, and the
-// ends went on for as long as the caller came (event 514). Ends came also one by one, each
-// from a sending of its own, so that it was not one sending's retries alone; and workers
-// with slots to spare ended, so that it was not the load on those that came back.
+// In the log (event 514), the same content was in flight at every crash, under another id
+// each time. Crashes also came one at a time, each from its own submission, so retries of
+// a single submission were not the only cause. Workers with free slots crashed too, so
+// overload after a crash was not the cause either.
 
 // Times of the tests of deadly requests.
 const (
-	// deadlyEvery is the time between two sendings of one deadly request.
-	deadlyEvery = 150 * time.Millisecond
-	deadlyFor   = 8 * time.Second
-	// backAfter is how long a worker is away.
-	backAfter = 700 * time.Millisecond
-	// mustKnowAfter is how long after the third end the fleet must have learned.
-	mustKnowAfter = 3 * time.Second
-	// usualEvery is the time between two usual calls.
-	usualEvery = 20 * time.Millisecond
+	// deadlyInterval is the time between two submissions of one deadly request.
+	deadlyInterval = 150 * time.Millisecond
+	deadlyDuration = 8 * time.Second
+	// restartDelay is how long a crashed worker is down.
+	restartDelay = 700 * time.Millisecond
+	// learnTime is how long after the third deadly run the fleet must have quarantined
+	// the request.
+	learnTime = 3 * time.Second
+	// normalInterval is the time between two normal calls.
+	normalInterval = 20 * time.Millisecond
 )
 
-// deaths records when deadly requests began to run.
-type deaths struct {
+// deadlyRuns records when deadly requests began to run. It is safe for concurrent use.
+type deadlyRuns struct {
 	mu   sync.Mutex
 	runs []time.Time
 }
 
-func (d *deaths) ran() {
+func (d *deadlyRuns) record() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.runs = append(d.runs, time.Now())
 }
 
-// after returns the runs in all, and those later than mustKnowAfter after the third.
-func (d *deaths) after() (all, late int) {
+// counts returns the number of all runs and of those later than learnTime after the
+// third.
+func (d *deadlyRuns) counts() (all, late int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i, at := range d.runs {
-		if i >= 3 && at.Sub(d.runs[2]) > mustKnowAfter {
+		if i >= 3 && at.Sub(d.runs[2]) > learnTime {
 			late++
 		}
 	}
 	return len(d.runs), late
 }
 
-// deadlyFleet is a fleet of four workers that end under the requests that deadly picks.
-func deadlyFleet(t *testing.T, d *deaths, deadly func(answer.Request) bool) *local.Fleet {
+// deadlyFleet starts a fleet of four workers that crash under the requests that deadly
+// selects.
+func deadlyFleet(t *testing.T, d *deadlyRuns, deadly func(answer.Request) bool) *local.Fleet {
 	t.Helper()
-	return deadlyFleetOf(t, 4, d, deadly)
+	return deadlyFleetWith(t, 4, d, deadly)
 }
 
-func deadlyFleetOf(t *testing.T, workers int, d *deaths, deadly func(answer.Request) bool) *local.Fleet {
+func deadlyFleetWith(t *testing.T, workers int, d *deadlyRuns, deadly func(answer.Request) bool) *local.Fleet {
 	t.Helper()
 	cfg := config(workers)
 	s := &cfg.Services[0]
@@ -79,14 +83,15 @@
 		if !deadly(r) {
 			return false
 		}
-		d.ran()
+		d.record()
 		return true
 	}
-	s.EndsAfter, s.BackAfter = 30*time.Millisecond, backAfter
+	s.EndsAfter, s.BackAfter = 30*time.Millisecond, restartDelay
 	return startFleet(t, cfg)
 }
 
-// sendEvery sends requests to the nodes in turn until ctx ends, and waits for all answers.
+// sendEvery sends requests to the nodes in turn until ctx ends, and waits for all
+// responses.
 func (c *callers) sendEvery(ctx context.Context, f *local.Fleet, every time.Duration, next func() request) {
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
@@ -104,61 +109,61 @@
 	}
 }
 
-// playDeadly sends a deadly request again and again beside usual ones. It fails the test
-// unless the deadly one is kept from the workers in time, and returns the callers of the
-// usual ones once it should have been.
-func playDeadly(t *testing.T, f *local.Fleet, d *deaths, deadly, usual func() request) *callers {
+// runDeadlyLoad submits a deadly request again and again beside normal ones. The test
+// fails unless the deadly request is quarantined in time. The returned callers hold the
+// normal calls that were made after learnTime.
+func runDeadlyLoad(t *testing.T, f *local.Fleet, d *deadlyRuns, deadly, normal func() request) *callers {
 	t.Helper()
-	before, after, bad := newCallers(t), newCallers(t), newCallers(t)
-	ctx, cancel := context.WithTimeout(t.Context(), deadlyFor)
+	before, after, deadlyCallers := newCallers(t), newCallers(t), newCallers(t)
+	ctx, cancel := context.WithTimeout(t.Context(), deadlyDuration)
 	defer cancel()
 	var wg sync.WaitGroup
-	wg.Go(func() { bad.sendEvery(ctx, f, deadlyEvery, deadly) })
-	settled, stop := context.WithTimeout(ctx, mustKnowAfter+time.Second)
-	defer stop()
-	before.sendEvery(settled, f, usualEvery, usual)
-	after.sendEvery(ctx, f, usualEvery, usual)
+	wg.Go(func() { deadlyCallers.sendEvery(ctx, f, deadlyInterval, deadly) })
+	learning, cancelLearning := context.WithTimeout(ctx, learnTime+time.Second)
+	defer cancelLearning()
+	before.sendEvery(learning, f, normalInterval, normal)
+	after.sendEvery(ctx, f, normalInterval, normal)
 	wg.Wait()
-	all, late := d.after()
+	all, late := d.counts()
 	if all < 2 {
-		t.Fatalf("%d deadly runs: the fault was not brought about", all)
+		t.Fatalf("%d deadly runs: the fault was not injected", all)
 	}
 	if all > 3 || late > 0 {
 		t.Errorf("a deadly request reached workers %d times, %d of them later than %s after the third; want 3 at most",
-			all, late, mustKnowAfter)
+			all, late, learnTime)
 	}
-	for _, c := range []*callers{before, after, bad} {
+	for _, c := range []*callers{before, after, deadlyCallers} {
 		c.check(t, f.Ledger)
 	}
-	wantToldPutAside(t, f, bad)
-	t.Logf("%d deadly runs, %d late; usual calls answered: %d of %d before, %d of %d after",
-		all, late, before.count(answered), len(before.sendings()), after.count(answered), len(after.sendings()))
+	wantQuarantined(t, f, deadlyCallers)
+	t.Logf("%d deadly runs, %d late; normal calls answered: %d of %d before, %d of %d after",
+		all, late, before.count(answered), len(before.submissions()), after.count(answered), len(after.submissions()))
 	return after
 }
 
-// wantToldPutAside fails the test unless the last sending of a deadly request was told that
-// it has not run, and every node shows operators why.
-func wantToldPutAside(t *testing.T, f *local.Fleet, c *callers) {
+// wantQuarantined fails the test unless the last submission of a deadly request had
+// outcome not-run and every node reports the request as quarantined to operators.
+func wantQuarantined(t *testing.T, f *local.Fleet, c *callers) {
 	t.Helper()
-	sent := c.sendings()
+	sent := c.submissions()
 	last := sent[len(sent)-1]
-	if last.outcome != notRun || last.reason != model.ReasonQuarantined.String() || last.told.status != http.StatusServiceUnavailable {
-		t.Errorf("the last sending of the deadly request: told %d %s %s", last.told.status, last.outcome, last.reason)
+	if last.outcome != notRun || last.reason != model.ReasonQuarantined.String() || last.result.status != http.StatusServiceUnavailable {
+		t.Errorf("the last deadly submission: got %d %s %s", last.result.status, last.outcome, last.reason)
 	}
 	for _, m := range f.Members() {
-		aside := asideAt(t, m)
-		if len(aside.Requests) == 0 {
-			t.Errorf("%s shows nothing that is put aside", m.ID)
+		quarantined := quarantineStatus(t, m)
+		if len(quarantined.Requests) == 0 {
+			t.Errorf("%s shows no quarantined request", m.ID)
 			continue
 		}
-		if first := aside.Requests[0]; !first.PutAside || len(first.Ends) < 2 || first.NextTrial == nil {
+		if first := quarantined.Requests[0]; !first.PutAside || len(first.Ends) < 2 || first.NextTrial == nil {
 			t.Errorf("%s shows %+v first; want the deadly request", m.ID, first)
 		}
 	}
 }
 
-// asideAt reads what a node shows operators.
-func asideAt(t *testing.T, m *local.Member) status.Aside {
+// quarantineStatus reads a node's list of quarantined requests from its operator port.
+func quarantineStatus(t *testing.T, m *local.Member) status.Aside {
 	t.Helper()
 	resp, err := http.Get("http://" + m.Node.OperatorAddress() + status.AsidePath)
 	if err != nil {
@@ -172,72 +177,72 @@
 	return out
 }
 
-// wantAllAnswered fails the test unless all were answered.
+// wantAllAnswered fails the test unless all submissions were answered.
 func wantAllAnswered(t *testing.T, c *callers) {
 	t.Helper()
-	for _, s := range c.sendings() {
+	for _, s := range c.submissions() {
 		if !s.answered() {
-			t.Errorf("%s %s: told %d %s %s, %v; want answered", s.method, s.path, s.told.status, s.outcome, s.reason, s.err)
+			t.Errorf("%s %s: got %d %s %s, %v; want answered", s.method, s.path, s.result.status, s.outcome, s.reason, s.err)
 		}
 	}
 }
 
-func TestALookupThatEndsItsWorkersIsKeptFromThem(t *testing.T) {
+func TestDeadlyLookupIsQuarantined(t *testing.T) {
 	t.Parallel()
 	const path = "/deadly?of=7"
-	var d deaths
+	var d deadlyRuns
 	f := deadlyFleet(t, &d, func(r answer.Request) bool { return r.Target == path })
 	n := 0
-	usual := func() request {
+	normal := func() request {
 		n++
-		// One in two is of one popular path, the others are all different; one path differs
-		// from the deadly one in its query only.
+		// Every second call is of one popular path, the others all differ; their paths
+		// differ from the deadly one only in the query.
 		return view([]string{"/popular", fmt.Sprintf("/deadly?of=%d", 1000+n)}[n%2])
 	}
-	wantAllAnswered(t, playDeadly(t, f, &d, func() request { return view(path) }, usual))
+	wantAllAnswered(t, runDeadlyLoad(t, f, &d, func() request { return view(path) }, normal))
 }
 
-func TestAPayoutThatEndsItsWorkersIsKeptFromThem(t *testing.T) {
+func TestDeadlyPayoutIsQuarantined(t *testing.T) {
 	t.Parallel()
-	var d deaths
+	var d deadlyRuns
 	f := deadlyFleet(t, &d, func(r answer.Request) bool { return r.BodyHash == answer.Hash([]byte(deadlyBody)) })
-	wantAllAnswered(t, playDeadly(t, f, &d, deadlyPayout, func() request { return payout("/payouts") }))
+	wantAllAnswered(t, runDeadlyLoad(t, f, &d, deadlyPayout, func() request { return payout("/payouts") }))
 }
 
-// Eight of eleven listed nodes, a data centre, never answer and are never declared gone. Who
-// put a request aside told its neighbours only, and where all of these were silent the next
-// two sendings ended the other two workers once more.
-func TestADeadlyRequestIsKeptFromWorkersThoughMostListedNodesNeverAnswer(t *testing.T) {
+// Eight of eleven listed nodes, a whole data centre, never answer and are never declared
+// gone. When a node sent a suspect update to its neighbours only, and all of these were
+// silent, the next two submissions crashed the other two workers as well.
+func TestDeadlyRequestIsQuarantinedWhenMostListedNodesAreSilent(t *testing.T) {
 	for first := range 3 {
 		t.Run(fmt.Sprintf("first at node %d", first+1), func(t *testing.T) {
 			t.Parallel()
-			var d deaths
-			f := deadlyFleetOf(t, 3, &d, func(r answer.Request) bool { return r.BodyHash == answer.Hash([]byte(deadlyBody)) })
-			listSilent(f, "statements", 4)
-			listSilent(f, "voucher-viewing", 4)
+			var d deadlyRuns
+			f := deadlyFleetWith(t, 3, &d, func(r answer.Request) bool { return r.BodyHash == answer.Hash([]byte(deadlyBody)) })
+			listSilentNodes(f, "statements", 4)
+			listSilentNodes(f, "voucher-viewing", 4)
 			awaitMembers(t, f, "all listed", func(m *local.Member) bool { return len(m.Node.Core().Board.Fleet.Get().Instances) == 11 })
-			bad := newCallers(t)
+			deadlyCallers := newCallers(t)
 			for n := range 30 {
-				bad.send(t.Context(), f.Callers()[(first+n)%3], deadlyPayout())
-				pause.For(t.Context(), deadlyEvery)
+				deadlyCallers.send(t.Context(), f.Callers()[(first+n)%3], deadlyPayout())
+				pause.For(t.Context(), deadlyInterval)
 			}
-			if all, late := d.after(); all > 3 || late != 0 {
+			if all, late := d.counts(); all > 3 || late != 0 {
 				t.Errorf("a deadly request reached workers %d times, %d of them late; want 3 and 0 at most", all, late)
 			}
 		})
 	}
 }
 
-// mostDown returns the most workers that were away at one moment, each from endsAfter after a
-// run began for backAfter.
-func (d *deaths) mostDown() int {
+// maxDown returns the largest number of workers that were down at the same time. Each is
+// taken as down for restartDelay from the start of its run.
+func (d *deadlyRuns) maxDown() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	most := 0
 	for i, at := range d.runs {
 		down := 1
 		for _, before := range d.runs[:i] {
-			if at.Sub(before) < backAfter {
+			if at.Sub(before) < restartDelay {
 				down++
 			}
 		}
@@ -246,49 +251,50 @@
 	return most
 }
 
-// All three workers of a service whose slots are mostly in use were away together: a request
-// went on to the next one while the first was not back.
-func TestADeadlyRequestLeavesABusyServiceAllWorkersButOne(t *testing.T) {
+// When a deadly request was retried at the next worker before the first one had
+// restarted, all three workers of a busy service were down at the same time.
+func TestDeadlyRequestTakesDownAtMostOneWorkerOfBusyService(t *testing.T) {
 	t.Parallel()
 	const path = "/deadly?of=9"
-	var d deaths
-	f := deadlyFleetOf(t, 3, &d, func(r answer.Request) bool { return r.Target == path })
-	ctx, cancel := context.WithTimeout(t.Context(), deadlyFor)
+	var d deadlyRuns
+	f := deadlyFleetWith(t, 3, &d, func(r answer.Request) bool { return r.Target == path })
+	ctx, cancel := context.WithTimeout(t.Context(), deadlyDuration)
 	defer cancel()
-	usual, bad := newCallers(t), newCallers(t)
+	normalCallers, deadlyCallers := newCallers(t), newCallers(t)
 	var wg sync.WaitGroup
 	n := 0
-	// Nine are in hand at once, where three workers have twelve slots.
+	// Nine are in flight at once; three workers have twelve slots.
 	wg.Go(func() {
-		usual.sendEvery(ctx, f, 33*time.Millisecond, func() request { n++; return view(fmt.Sprintf("/slow/usual?of=%d", n)) })
+		normalCallers.sendEvery(ctx, f, 33*time.Millisecond, func() request { n++; return view(fmt.Sprintf("/slow/usual?of=%d", n)) })
 	})
 	pause.For(ctx, 2*time.Second)
-	bad.sendEvery(ctx, f, deadlyEvery, func() request { return view(path) })
+	deadlyCallers.sendEvery(ctx, f, deadlyInterval, func() request { return view(path) })
 	wg.Wait()
-	all, late := d.after()
+	all, late := d.counts()
 	if all < 2 {
-		t.Fatalf("%d deadly runs: the fault was not brought about", all)
+		t.Fatalf("%d deadly runs: the fault was not injected", all)
 	}
-	if down := d.mostDown(); down > 1 || all > 3 || late > 0 {
-		t.Errorf("%d deadly runs, %d late, up to %d workers away at one moment; want 3, 0 and 1 at most", all, late, down)
+	if down := d.maxDown(); down > 1 || all > 3 || late > 0 {
+		t.Errorf("%d deadly runs, %d late, up to %d workers down at the same time; want 3, 0 and 1 at most", all, late, down)
 	}
-	t.Logf("%d deadly runs, up to %d workers away; usual calls answered: %d of %d", all, d.mostDown(), usual.count(answered), len(usual.sendings()))
-	usual.check(t, f.Ledger)
-	bad.check(t, f.Ledger)
+	t.Logf("%d deadly runs, up to %d workers down; normal calls answered: %d of %d", all, d.maxDown(), normalCallers.count(answered), len(normalCallers.submissions()))
+	normalCallers.check(t, f.Ledger)
+	deadlyCallers.check(t, f.Ledger)
 }
 
-// deadlyBody is the body of a payout that ends its worker.
+// deadlyBody is the body of a payout that crashes its worker.
 const deadlyBody = "pay the one that ends workers"
 
-// deadlyPayout has the path and the caller of all payouts, and a new key.
+// deadlyPayout returns a payout with the usual path and caller, deadlyBody and a new id.
 func deadlyPayout() request {
 	r := payout("/payouts")
 	r.body = deadlyBody
 	return r
 }
 
-// listSilent lists nodes of a service at a data centre of their own, which never answer.
-func listSilent(f *local.Fleet, service model.ServiceName, n int) {
+// listSilentNodes lists n nodes of a service in a separate data centre; they never
+// answer.
+func listSilentNodes(f *local.Fleet, service model.ServiceName, n int) {
 	for i := range n {
 		f.Platform.Put(model.Instance{
 			ID: model.InstanceID(fmt.Sprintf("%s-%d", service, i+1)), Service: service, DataCentre: "silent",
@@ -297,12 +303,13 @@
 	}
 }
 
-// The worker ends 30 ms after the run began, when the caller has been told that its time is
-// over and the run's connection is closed: no run breaks. Workers ended for as long as it came.
-func TestADeadlyRequestIsKeptFromWorkersAlsoWhenItsCallerDoesNotWait(t *testing.T) {
+// The worker crashes 30 ms after the run began, when the caller has already received a
+// timeout and the run's connection is closed. No run fails, so the crash could not be
+// linked to the request, and workers crashed for as long as the caller went on.
+func TestDeadlyRequestIsQuarantinedWhenCallerTimesOutFirst(t *testing.T) {
 	t.Parallel()
 	const path = "/deadly?of=8"
-	var d deaths
+	var d deadlyRuns
 	f := deadlyFleet(t, &d, func(r answer.Request) bool { return r.Target == path })
 	deadly := func() request {
 		r := view(path)
@@ -310,23 +317,23 @@
 		return r
 	}
 	n := 0
-	usual := func() request {
+	normal := func() request {
 		n++
 		return view(fmt.Sprintf("/usual?of=%d", n))
 	}
-	wantAllAnswered(t, playDeadly(t, f, &d, deadly, usual))
+	wantAllAnswered(t, runDeadlyLoad(t, f, &d, deadly, normal))
 }
 
-// A popular request is in hand at each end of workers that end by themselves: it must be
-// served as if nothing had happened.
-func TestAPopularRequestIsServedBesideWorkersThatEndByThemselves(t *testing.T) {
+// A popular request is in flight at each of several unrelated crashes. It must not be
+// quarantined.
+func TestPopularRequestIsServedDuringUnrelatedCrashes(t *testing.T) {
 	t.Parallel()
-	var d deaths
+	var d deadlyRuns
 	f := deadlyFleet(t, &d, func(answer.Request) bool { return false })
 	ctx, cancel := context.WithCancel(t.Context())
 	c := newCallers(t)
 	var wg sync.WaitGroup
-	// Six are in hand at once, where three workers have twelve slots.
+	// Six are in flight at once; three workers have twelve slots.
 	wg.Go(func() { c.sendEvery(ctx, f, 50*time.Millisecond, func() request { return view("/slow/popular") }) })
 	for i := range 11 {
 		m := f.Members()[i%4]
--- a/internal/failure/doc.go
+++ b/internal/failure/doc.go
@@ -1,6 +1,6 @@
-// Package failure holds tests of failures on real sockets: killed and stopped
-// processes, spoilt answers, slow readers, floods, malformed input, planned stops
-// under load, mutual TLS, repeated request ids and a platform that fails. Each
-// test holds what callers were told against the runs that workers counted by
-// request id; none asserts an elapsed time. The package has no other code.
+// Package failure tests failures over real sockets: killed and paused processes, corrupt
+// responses, slow readers, connection floods, malformed input, planned stops under load,
+// mutual TLS, repeated request ids and platform outages. Each test compares the outcomes
+// that callers received with the runs that workers counted by request id; none asserts an
+// elapsed time. The package has no other code.
 package failure
--- a/internal/failure/fleet_test.go
+++ b/internal/failure/fleet_test.go
@@ -13,17 +13,17 @@
 	"gypsumstand/internal/model"
 )
 
-// waitLimit bounds the wait for a state; reaching it fails the test.
+// waitLimit bounds the wait for a state; a test that reaches it fails.
 const waitLimit = 30 * time.Second
 
-// pollInterval is the pace of waiting.
+// pollInterval is the interval at which a state is checked.
 const pollInterval = 10 * time.Millisecond
 
 // bundleName is the name of the tests' bundle.
 const bundleName = "failure"
 
-// bundleText is the bundle in one version. The services differ in whether a
-// worker must echo; "raw" has workers that tests write themselves.
+// bundleText is the bundle, with a placeholder for its version. The services differ in
+// whether workers must echo the attempt id; "raw" has workers that the tests implement.
 const bundleText = `
 name = "failure"
 version = %d
@@ -87,14 +87,14 @@
 
 func bundleOf(version int) []byte { return fmt.Appendf(nil, bundleText, version) }
 
-// Sizes of answers.
+// Sizes of responses.
 const (
 	smallAnswer = 4 << 10
-	// bigAnswer is more than the sockets on the way hold.
+	// bigAnswer exceeds what the sockets on the path can buffer.
 	bigAnswer = 32 << 20
 )
 
-// profiles are the stand-in workers' paths.
+// profiles are the paths of the stand-in workers.
 var profiles = []worker.Profile{
 	{Path: "/", MeanMs: 2, SizeBytes: smallAnswer},
 	{Path: "/slow", MeanMs: 300, SizeBytes: smallAnswer},
@@ -102,10 +102,11 @@
 	{Path: "/big", SizeBytes: bigAnswer},
 }
 
-// slots of each stand-in worker, as in the bundle.
+// slots is the number of slots of each stand-in worker, as in the bundle.
 const slots = 4
 
-// config is a fleet with n workers of the service "ledger".
+// config returns a fleet with n workers of the service "ledger", each in its own data
+// centre.
 func config(n int) local.Config {
 	return local.Config{
 		Bundle:      bundleOf(1),
@@ -165,16 +166,16 @@
 	}
 }
 
-// await polls until ok; it fails the test when that does not come.
+// await polls until ok returns true; the test fails after waitLimit.
 func await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	limit := time.NewTimer(waitLimit)
 	defer limit.Stop()
-	pace := time.NewTicker(pollInterval)
-	defer pace.Stop()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for !ok() {
 		select {
-		case <-pace.C:
+		case <-ticker.C:
 		case <-limit.C:
 			t.Fatalf("still not: %s", what)
 		}
@@ -182,9 +183,9 @@
 }
 
 // awaitAnswer sends views to address until one is answered.
-func awaitAnswer(t *testing.T, c *callers, address, path string) told {
+func awaitAnswer(t *testing.T, c *callers, address, path string) result {
 	t.Helper()
-	var got told
+	var got result
 	await(t, "answered at "+address, func() bool {
 		got = c.send(t.Context(), address, view(path))
 		return got.answered()
@@ -192,7 +193,7 @@
 	return got
 }
 
-// awaitIdle waits until the owner of m holds no attempt.
+// awaitIdle waits until the owner of m has no attempt in flight or queued.
 func awaitIdle(t *testing.T, m *local.Member) {
 	t.Helper()
 	await(t, string(m.ID)+" idle", func() bool {
--- a/internal/failure/flood_test.go
+++ b/internal/failure/flood_test.go
@@ -8,12 +8,12 @@
 	"gypsumstand/internal/local"
 )
 
-// floodSize is the number of connections of one kind.
+// floodSize is the number of connections of each kind.
 const floodSize = 100
 
-func TestAFloodOfConnectionsLeavesTheNodeServing(t *testing.T) {
+func TestConnectionFloodDoesNotStopServing(t *testing.T) {
 	f := sharedFleet(t)
-	node, other := of(f, "raw")[0], of(f, "ledger")[0]
+	node, other := membersOf(f, "raw")[0], membersOf(f, "ledger")[0]
 	ports := []string{node.Node.CallerAddress(), node.Node.PeerAddress(), node.Node.OperatorAddress()}
 	texts := []string{
 		"",
@@ -36,14 +36,15 @@
 		conn.Close()
 	}
 	await(t, "operators served after the flood", func() bool { return operatorStatus(node, "/readyz") == http.StatusOK })
-	for _, s := range c.sendings() {
+	for _, s := range c.submissions() {
 		if s.path == "/a" && f.Ledger.Runs(s.id) > maxRuns {
 			t.Errorf("%s ran %d times", s.id, f.Ledger.Runs(s.id))
 		}
 	}
 }
 
-// operatorStatus gets path from the operators' port; zero means no answer.
+// operatorStatus gets path from the operator port and returns the status code; zero when
+// there is no response.
 func operatorStatus(m *local.Member, path string) int {
 	resp, err := http.Get("http://" + m.Node.OperatorAddress() + path)
 	if err != nil {
@@ -53,10 +54,10 @@
 	return resp.StatusCode
 }
 
-func TestABodyThatNeverComesEndsWithTheDeadline(t *testing.T) {
+func TestMissingBodyEndsAtDeadline(t *testing.T) {
 	f := sharedFleet(t)
 	cases := map[string]string{
-		"held whole":                   "POST /hasty HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf",
+		"buffered":                     "POST /hasty HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf",
 		"chunked":                      "POST /hasty HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf",
 		"streamed":                     "POST /hasty HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\nhalf",
 		"streamed, to another service": "POST /strict HTTP/1.1\r\nHost: x\r\nGypsum-Timeout-Ms: 500\r\nContent-Length: 100000\r\n\r\nhalf",
@@ -64,10 +65,10 @@
 	started := startedRuns(f)
 	for name, text := range cases {
 		t.Run(name, func(t *testing.T) {
-			conn := connect(t, of(f, "ledger")[0].Node.CallerAddress(), text)
+			conn := connect(t, membersOf(f, "ledger")[0].Node.CallerAddress(), text)
 			got := readResponse(t, conn)
 			if got.outcome != notRun && got.outcome != unknown {
-				t.Errorf("told %d %q", got.status, got.outcome)
+				t.Errorf("got %d %q, want not-run or unknown", got.status, got.outcome)
 			}
 		})
 	}
@@ -75,6 +76,6 @@
 		awaitIdle(t, m)
 	}
 	if now := startedRuns(f); now != started {
-		t.Errorf("%d requests without a whole body ran", now-started)
+		t.Errorf("%d requests without a complete body ran", now-started)
 	}
 }
--- a/internal/failure/input_test.go
+++ b/internal/failure/input_test.go
@@ -19,8 +19,8 @@
 	"gypsumstand/internal/wire"
 )
 
-// readResponse reads one response; it fails the test when none comes.
-func readResponse(t *testing.T, conn net.Conn) told {
+// readResponse reads one response; the test fails when none arrives.
+func readResponse(t *testing.T, conn net.Conn) result {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(waitLimit)); err != nil {
 		t.Fatal(err)
@@ -31,7 +31,7 @@
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return told{
+	return result{
 		err:     err,
 		status:  resp.StatusCode,
 		outcome: resp.Header.Get(wire.HeaderOutcome),
@@ -40,7 +40,7 @@
 	}
 }
 
-// startedRuns returns the number of runs of all stand-in workers so far.
+// startedRuns returns the number of runs that all stand-in workers have started.
 func startedRuns(f *local.Fleet) uint64 {
 	var n uint64
 	for _, m := range standIns(f) {
@@ -49,7 +49,7 @@
 	return n
 }
 
-func TestMalformedCallersAreToldSoAndNothingRuns(t *testing.T) {
+func TestMalformedRequestsAreRefused(t *testing.T) {
 	f := sharedFleet(t)
 	head := func(lines ...string) string {
 		return "GET /a HTTP/1.1\r\nHost: x\r\n" + strings.Join(lines, "\r\n") + "\r\n\r\n"
@@ -70,25 +70,25 @@
 		{"an opaque target", "GET http:a HTTP/1.1\r\nHost: x\r\n\r\n", 404},
 		{"a target without a path", "GET * HTTP/1.1\r\nHost: x\r\n\r\n", 404},
 		{"a header without a name", head(": v"), 400},
-		{"a header over the bound", head("X-Big: " + strings.Repeat("x", 1<<20)), 431},
-		{"many headers over the bound", head(strings.Repeat("X-Many: 1\r\n", 10_000) + "X: 1"), 431},
+		{"a header over the limit", head("X-Big: " + strings.Repeat("x", 1<<20)), 431},
+		{"many headers over the limit", head(strings.Repeat("X-Many: 1\r\n", 10_000) + "X: 1"), 431},
 		{"a long target", "GET /" + strings.Repeat("a", 1<<20) + " HTTP/1.1\r\nHost: x\r\n\r\n", 431},
 		{"two lengths", head("Content-Length: 1", "Content-Length: 2"), 400},
 		{"a negative length", head("Content-Length: -1"), 400},
 		{"a length and chunks", "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n\r\n", 400},
 		{"an unknown coding", head("Transfer-Encoding: gzip"), 501},
 		{"a bad chunk", "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
-		{"a body over the bound", "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 9999999\r\n\r\n", 413},
+		{"a body over the limit", "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 9999999\r\n\r\n", 413},
 		{"an unknown expectation", head("Expect: miracles"), 417},
 		{"two ids", head("Idempotency-Key: a", "Idempotency-Key: b"), 400},
-		{"an id over the bound", head("Idempotency-Key: " + strings.Repeat("x", 300)), 400},
+		{"an id over the limit", head("Idempotency-Key: " + strings.Repeat("x", 300)), 400},
 		{"an id that is no text", head("Idempotency-Key: \xff\xfe"), 400},
 		{"an empty id", head("Idempotency-Key: "), 400},
 		{"a bad timeout", head("Gypsum-Timeout-Ms: -1"), 400},
 		{"a timeout out of range", head("Gypsum-Timeout-Ms: 99999999999999999999"), 400},
 		{"a bad retry budget", head("Gypsum-Retry-Budget: many"), 400},
 		{"a bad claim of idempotence", head("Gypsum-Idempotent: maybe"), 400},
-		{"a tenant over the bound", head("Gypsum-Tenant: " + strings.Repeat("x", 200)), 400},
+		{"a tenant over the limit", head("Gypsum-Tenant: " + strings.Repeat("x", 200)), 400},
 	}
 	started := startedRuns(f)
 	t.Cleanup(func() {
@@ -99,34 +99,34 @@
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			got := readResponse(t, connect(t, of(f, "ledger")[0].Node.CallerAddress(), tt.text))
+			got := readResponse(t, connect(t, membersOf(f, "ledger")[0].Node.CallerAddress(), tt.text))
 			if got.status != tt.status {
-				t.Errorf("status %d %s %s, want %d", got.status, got.outcome, got.reason, tt.status)
+				t.Errorf("got %d %s %s, want status %d", got.status, got.outcome, got.reason, tt.status)
 			}
 			if got.outcome != notRun && got.outcome != "" {
-				t.Errorf("told %q", got.outcome)
+				t.Errorf("outcome %q, want not-run or none", got.outcome)
 			}
 		})
 	}
 }
 
-func TestTheLargestHeaderOfACallerReachesEveryOwner(t *testing.T) {
+func TestLargestHeaderReachesEveryOwner(t *testing.T) {
 	f := sharedFleet(t)
-	// net/http adds 4096 bytes to the bound of 32768.
+	// net/http adds 4096 bytes to the limit of 32768.
 	big := strings.Repeat("x", 36_750)
 	for _, path := range []string{"/a", "/strict/a"} {
 		for _, m := range f.Members() {
 			conn := connect(t, m.Node.CallerAddress(), "GET "+path+" HTTP/1.1\r\nHost: x\r\nX-Big: "+big+"\r\n\r\n")
 			if got := readResponse(t, conn); got.outcome != answered {
-				t.Errorf("%s at %s: told %d %s %s", path, m.ID, got.status, got.outcome, got.reason)
+				t.Errorf("%s at %s: got %d %s %s, want answered", path, m.ID, got.status, got.outcome, got.reason)
 			}
 		}
 	}
 }
 
-func TestMalformedAttemptsAreRefusedAndNothingRuns(t *testing.T) {
+func TestMalformedAttemptsAreRefused(t *testing.T) {
 	f := sharedFleet(t)
-	owner := of(f, "ledger")[0]
+	owner := membersOf(f, "ledger")[0]
 	incarnation := owner.Node.Core().Board.Self.Get().Instance.Incarnation
 	good := model.Attempt{
 		ID:      model.AttemptID{Entry: "stranger", Incarnation: 1, Sequence: 1},
@@ -149,7 +149,7 @@
 		{"none", "", 400},
 		{"no base64", "%%%", 400},
 		{"no CBOR", base64.RawURLEncoding.EncodeToString([]byte("junk")), 400},
-		{"over the bound", strings.Repeat("A", wire.MaxOfferBytes+4), 400},
+		{"over the limit", strings.Repeat("A", wire.MaxOfferBytes+4), 400},
 		{"nested", base64.RawURLEncoding.EncodeToString([]byte(strings.Repeat("\x81", 1000))), 400},
 		{"no id", with(func(a *model.Attempt) { a.ID = model.AttemptID{} }), 400},
 		{"negative time", with(func(a *model.Attempt) { a.Remaining = -1 }), 400},
@@ -179,14 +179,14 @@
 		t.Errorf("%d malformed attempts ran", now-started)
 	}
 	if got := stateAt(owner, owner.ID); got != model.StateLive {
-		t.Errorf("malformed attempts made the worker %s", got)
+		t.Errorf("worker is %s after malformed attempts, want live", got)
 	}
 	awaitAnswer(t, newCallers(t), owner.Node.CallerAddress(), "/a")
 }
 
-func TestMalformedMessagesOnALinkLeaveTheNodeServing(t *testing.T) {
+func TestMalformedLinkMessagesDoNotStopServing(t *testing.T) {
 	f := sharedFleet(t)
-	owner := of(f, "ledger")[0]
+	owner := membersOf(f, "ledger")[0]
 	hello, err := wire.Encode(wire.Hello{Instance: model.Instance{ID: "stranger"}, Transient: true})
 	if err != nil {
 		t.Fatal(err)
@@ -196,13 +196,13 @@
 		messages [][]byte
 	}{
 		{"no hello", [][]byte{[]byte("junk")}},
-		{"a hello of nobody", [][]byte{mustEncode(t, wire.Hello{})}},
+		{"a hello without an instance", [][]byte{mustEncode(t, wire.Hello{})}},
 		{"another message first", [][]byte{mustEncode(t, wire.Resolve{})}},
 		{"junk after the hello", [][]byte{hello, []byte("junk"), nil, []byte(strings.Repeat("\x81", 1000))}},
 		{"an unknown kind", [][]byte{hello, {0xa3, 1, 1, 2, 0x19, 0x7f, 0xff, 3, 0xa0}}},
 		{"an unknown version", [][]byte{hello, {0xa3, 1, 0x18, 99, 2, 10, 3, 0xa0}}},
-		{"a message over the bound", [][]byte{hello, make([]byte, wire.MaxMessageBytes+1)}},
-		{"a settlement of nothing", [][]byte{hello, mustEncode(t, wire.Resolve{}), mustEncode(t, wire.ResolveReply{}), mustEncode(t, wire.KeyResult{})}},
+		{"a message over the limit", [][]byte{hello, make([]byte, wire.MaxMessageBytes+1)}},
+		{"a resolution of nothing", [][]byte{hello, mustEncode(t, wire.Resolve{}), mustEncode(t, wire.ResolveReply{}), mustEncode(t, wire.KeyResult{})}},
 	}
 	for _, tt := range cases {
 		t.Run(tt.name, func(t *testing.T) {
@@ -214,7 +214,7 @@
 			}
 			defer ws.CloseNow()
 			for _, m := range tt.messages {
-				// The node may have closed the link by then.
+				// The node may already have closed the link.
 				_ = ws.Write(ctx, websocket.MessageBinary, m)
 			}
 			awaitAnswer(t, newCallers(t), owner.Node.CallerAddress(), "/a")
@@ -236,9 +236,9 @@
 	return data
 }
 
-func TestMalformedOperatorsAreToldSo(t *testing.T) {
+func TestMalformedOperatorRequestsAreRefused(t *testing.T) {
 	f := sharedFleet(t)
-	m := of(f, "ledger")[0]
+	m := membersOf(f, "ledger")[0]
 	cases := []struct {
 		text   string
 		status int
@@ -257,6 +257,6 @@
 		}
 	}
 	if got := operatorStatus(m, "/healthz"); got != http.StatusOK {
-		t.Errorf("health: status %d", got)
+		t.Errorf("/healthz: status %d, want 200", got)
 	}
 }
--- a/internal/failure/key_test.go
+++ b/internal/failure/key_test.go
@@ -7,17 +7,17 @@
 	"gypsumstand/internal/fake/worker"
 )
 
-func TestTheSameIDAtTwoNodesAtOnceRunsOnce(t *testing.T) {
+func TestConcurrentSubmissionsOfOneIDRunOnce(t *testing.T) {
 	f := sharedFleet(t)
 	entries := f.Callers()
 	for range 20 {
 		r := payout("/payouts")
 		c := newCallers(t)
-		var sending sync.WaitGroup
+		var calls sync.WaitGroup
 		for _, address := range entries {
-			sending.Go(func() { c.send(t.Context(), address, r) })
+			calls.Go(func() { c.send(t.Context(), address, r) })
 		}
-		sending.Wait()
+		calls.Wait()
 		if runs := f.Ledger.Runs(r.id); runs != 1 || c.count(answered) != 1 || c.count(unknown) != len(entries)-1 {
 			t.Errorf("%s: %d runs, %d answered, %d unknown, %d not-run; want one run, one answer and unknown for the rest",
 				r.id, runs, c.count(answered), c.count(unknown), c.count(notRun))
@@ -26,10 +26,10 @@
 	}
 }
 
-func TestAnIDToldNotRunRunsOnceWhenItIsSentAgain(t *testing.T) {
+func TestResubmissionAfterNotRunRunsOnce(t *testing.T) {
 	f := sharedFleet(t)
 	shed := func(share float64) {
-		for _, m := range of(f, "ledger") {
+		for _, m := range membersOf(f, "ledger") {
 			if err := m.Worker.ChangeFaults(func(f *worker.Faults) { f.ShedShare = share }); err != nil {
 				t.Fatal(err)
 			}
@@ -39,30 +39,30 @@
 	c := newCallers(t)
 	var requests []request
 	shed(1)
-	var sending sync.WaitGroup
+	var calls sync.WaitGroup
 	for i := range 6 {
 		r := payout("/payouts")
 		requests = append(requests, r)
-		sending.Go(func() {
+		calls.Go(func() {
 			got := c.send(t.Context(), f.Callers()[i%len(f.Callers())], r)
 			if got.err != nil || got.outcome != notRun {
-				t.Errorf("told %d %s %s, %v by workers that shed all", got.status, got.outcome, got.reason, got.err)
+				t.Errorf("got %d %s %s, %v from workers that shed all; want not-run", got.status, got.outcome, got.reason, got.err)
 			}
 			if runs := f.Ledger.Runs(r.id); runs != 0 {
 				t.Errorf("%s ran %d times", r.id, runs)
 			}
 		})
 	}
-	sending.Wait()
+	calls.Wait()
 	shed(0)
 	for i, r := range requests {
-		var got told
-		await(t, "answered when sent again", func() bool {
+		var got result
+		await(t, "answered when resubmitted", func() bool {
 			got = c.send(t.Context(), f.Callers()[(i+1)%len(f.Callers())], r)
 			return got.outcome != notRun
 		})
 		if !got.answered() || f.Ledger.Runs(r.id) != 1 {
-			t.Errorf("%s: told %d %s %s after %d runs", r.id, got.status, got.outcome, got.reason, f.Ledger.Runs(r.id))
+			t.Errorf("%s: got %d %s %s after %d runs", r.id, got.status, got.outcome, got.reason, f.Ledger.Runs(r.id))
 		}
 	}
 }
--- a/internal/failure/sigstop_test.go
+++ b/internal/failure/paused_test.go
@@ -12,14 +12,14 @@
 	"gypsumstand/internal/model"
 )
 
-// Timeouts of calls that end while the node is stopped, and of calls that are
-// still wanted when it wakes.
+// shortTimeout ends calls while the node is paused; longTimeout keeps calls alive until
+// it resumes.
 const (
-	endsStopped = 700 * time.Millisecond
-	endsAwake   = 6 * time.Second
+	shortTimeout = 700 * time.Millisecond
+	longTimeout  = 6 * time.Second
 )
 
-func TestANodeStoppedPastDeadlinesRunsNothingThatWasToldNotRun(t *testing.T) {
+func TestNodePausedPastDeadlinesRunsNothingReportedNotRun(t *testing.T) {
 	t.Parallel()
 	d := startProcesses(t, 2)
 	entry, stopped := d.nodes[0], d.nodes[1]
@@ -28,8 +28,8 @@
 		awaitAnswer(t, c, p.Caller, "/a")
 	}
 
-	// More than both workers can run at once: attempts wait at the stopped node's
-	// worker, in its queue and in its socket buffers.
+	// Send more requests than both workers can run at once, so that attempts wait at the
+	// paused node's worker, in its queue and in its socket buffers.
 	var short, long sync.WaitGroup
 	burst := func(calling *sync.WaitGroup, timeout time.Duration) {
 		for i := range 8 * slots {
@@ -40,9 +40,9 @@
 			})
 		}
 	}
-	burst(&short, endsStopped)
-	burst(&long, endsAwake)
-	await(t, "attempts queued at the node that is to stop, and a hopeless one refused", func() bool {
+	burst(&short, shortTimeout)
+	burst(&long, longTimeout)
+	await(t, "attempts queued at the node to pause, and a hopeless one refused", func() bool {
 		hopeless := view("/slow")
 		hopeless.timeout = time.Millisecond
 		c.send(t.Context(), entry.Caller, hopeless)
@@ -52,24 +52,24 @@
 	if err := stopped.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	burst(&short, endsStopped)
-	burst(&long, endsAwake)
-	// A caller of the stopped node itself, which gives up.
+	burst(&short, shortTimeout)
+	burst(&long, longTimeout)
+	// A caller of the paused node itself, whose deadline passes during the pause.
 	held := connect(t, stopped.Caller, "POST /payouts HTTP/1.1\r\nHost: x\r\nIdempotency-Key: held\r\nGypsum-Timeout-Ms: 700\r\nContent-Length: 0\r\n\r\n")
 	short.Wait()
 	awaitAnswer(t, c, entry.Caller, "/a")
-	// The workers are not stopped: what has not run by now was held by the node.
-	over := map[model.RequestID]int{}
-	for _, s := range c.sendings() {
-		over[s.id] = d.ledger.Runs(s.id)
+	// The workers are not paused, so what has not run by now is held by the node.
+	runsBefore := map[model.RequestID]int{}
+	for _, s := range c.submissions() {
+		runsBefore[s.id] = d.ledger.Runs(s.id)
 	}
 	if err := stopped.cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
 	if got := readResponse(t, held); got.status == http.StatusOK && d.ledger.Runs("held") != 1 {
-		t.Errorf("answered after %d runs", d.ledger.Runs("held"))
+		t.Errorf("the held payout was answered after %d runs, want 1", d.ledger.Runs("held"))
 	} else if got.outcome == notRun && d.ledger.Runs("held") != 0 {
-		t.Errorf("told not-run after %d runs", d.ledger.Runs("held"))
+		t.Errorf("the held payout got not-run after %d runs", d.ledger.Runs("held"))
 	}
 	long.Wait()
 	for _, p := range d.nodes {
@@ -81,16 +81,16 @@
 	}
 	d.stop(t)
 	c.check(t, d.ledger)
-	for id, runs := range over {
+	for id, runs := range runsBefore {
 		if now := d.ledger.Runs(id); now != runs {
-			t.Errorf("%s: %d runs when its call had ended, %d after the node woke", id, runs, now)
+			t.Errorf("%s: %d runs when its call had ended, %d after the node resumed", id, runs, now)
 		}
 	}
 	if runs := d.ledger.Runs("held"); runs > 1 {
 		t.Errorf("the held payout ran %d times", runs)
 	}
 	if c.count(answered) == 0 || c.count(unknown) == 0 || c.count(notRun) == 0 {
-		t.Errorf("%d answered, %d unknown, %d not-run: not all cases were brought about",
+		t.Errorf("%d answered, %d unknown, %d not-run: not all outcomes were reached",
 			c.count(answered), c.count(unknown), c.count(notRun))
 	}
 }
--- a/internal/failure/platform_test.go
+++ b/internal/failure/platform_test.go
@@ -8,7 +8,7 @@
 	"gypsumstand/internal/model"
 )
 
-func TestAPlatformThatFailsStopsNoNodeFromServingOrStarting(t *testing.T) {
+func TestPlatformOutageDoesNotStopServingOrStarting(t *testing.T) {
 	t.Parallel()
 	cfg := config(3)
 	cfg.SeedPeers = true
@@ -20,28 +20,28 @@
 		if err := f.Platform.ChangeFaults(func(f *platform.Faults) { f.ListOutage, f.ConfigOutage = outage, outage }); err != nil {
 			t.Fatal(err)
 		}
-		c.together(t.Context(), f.Callers(), 30, 3, func(i int) request { return mixedLedger(i) })
+		c.sendAll(t.Context(), f.Callers(), 30, 3, func(i int) request { return mixedLedgerRequest(i) })
 		restarted = restart(t, f, cfg, restarted, 0)
-		c.together(t.Context(), f.Callers(), 30, 3, func(i int) request { return mixedLedger(i) })
+		c.sendAll(t.Context(), f.Callers(), 30, 3, func(i int) request { return mixedLedgerRequest(i) })
 	}
 	c.check(t, f.Ledger)
-	for _, s := range c.sendings() {
+	for _, s := range c.submissions() {
 		if !s.answered() {
-			t.Errorf("%s %s: told %d %s %s, %v", s.method, s.id, s.status, s.outcome, s.reason, s.err)
+			t.Errorf("%s %s: got %d %s %s, %v; want answered", s.method, s.id, s.status, s.outcome, s.reason, s.err)
 		}
 	}
 }
 
-// mixedLedger gives views and payouts of the service "ledger".
-func mixedLedger(i int) request {
+// mixedLedgerRequest returns views and payouts of the service "ledger".
+func mixedLedgerRequest(i int) request {
 	if i%3 == 0 {
 		return payout("/payouts")
 	}
 	return view("/a")
 }
 
-// restart kills a running member, the i-th of the service "ledger", starts it
-// again as a new incarnation, and waits until all know it.
+// restart kills a running member, the i-th of the service "ledger", starts it again with
+// a new incarnation and waits until all members know it.
 func restart(t *testing.T, f *local.Fleet, cfg local.Config, old *local.Member, i int) *local.Member {
 	t.Helper()
 	f.Kill(old)
@@ -51,7 +51,7 @@
 	}
 	awaitMembers(t, f, "ready after a restart", local.Ready)
 	incarnation := m.Node.Core().Board.Self.Get().Instance.Incarnation
-	awaitMembers(t, f, "told of the restart", func(other *local.Member) bool {
+	awaitMembers(t, f, "aware of the restart", func(other *local.Member) bool {
 		return liveAt(other) == cfg.Services[0].Workers && incarnationAt(other, m.ID) >= incarnation
 	})
 	return m
@@ -66,7 +66,7 @@
 	return 0
 }
 
-func TestAStalePlatformNeverTakesABundleBack(t *testing.T) {
+func TestStalePlatformDoesNotRevertBundle(t *testing.T) {
 	t.Parallel()
 	cfg := config(3)
 	cfg.SeedPeers = true
@@ -89,7 +89,7 @@
 	for _, address := range f.Callers() {
 		got := awaitAnswer(t, c, address, "/a")
 		if want := bundleName + "@2"; got.bundle != want {
-			t.Errorf("%s decided under %s, want %s", address, got.bundle, want)
+			t.Errorf("%s answered under bundle %s, want %s", address, got.bundle, want)
 		}
 	}
 	publish(3)
--- a/internal/failure/process_test.go
+++ b/internal/failure/process_test.go
@@ -25,31 +25,32 @@
 	"gypsumstand/internal/status"
 )
 
-// childVariable holds the childConfig of a process that is started as a node.
-const childVariable = "GYPSUMSTAND_TEST_NODE"
+// childEnv is the environment variable that holds the childConfig of a process that runs
+// as a node.
+const childEnv = "GYPSUMSTAND_TEST_NODE"
 
-// childConfig is what a node in a process of its own is told.
+// childConfig configures a node in its own process.
 type childConfig struct {
 	Instance  model.InstanceID
 	Worker    string
 	Platform  string
 	SignerKey ed25519.PublicKey
-	// LeaveGrace is how long callers are still served after the sign to stop.
+	// LeaveGrace is how long callers are still served after the stop signal.
 	LeaveGrace time.Duration
 	// StopTimeout bounds a planned stop; zero means 10 s.
 	StopTimeout time.Duration
 }
 
-// childAddresses is what it tells once its ports are open.
+// childAddresses are the addresses that a child process reports once its ports are open.
 type childAddresses struct{ Caller, Peer, Operator string }
 
-// signerName is the name that the processes' bundle is signed off in.
+// signerName is the name under which the bundle is signed.
 const signerName = "Test Signer"
 
-// serveChild runs this process as a node when it was started as one. It stops
-// gracefully when its standard input ends.
-func serveChild() bool {
-	text, ok := os.LookupEnv(childVariable)
+// runAsChild runs this process as a node when it was started as one. The node stops
+// gracefully when standard input ends.
+func runAsChild() bool {
+	text, ok := os.LookupEnv(childEnv)
 	if !ok {
 		return false
 	}
@@ -94,24 +95,24 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		// The end of the input, whatever it is, is the sign to stop.
+		// The end of the input, for any reason, is the stop signal.
 		_, _ = io.Copy(io.Discard, os.Stdin)
 		cancel()
 	}()
 	return n.Run(ctx)
 }
 
-// process is a node in a process of its own, with its worker in the test's.
+// process is a node in its own process, with its worker in the test process.
 type process struct {
 	childAddresses
 	id     model.InstanceID
 	worker *worker.Worker
 	cmd    *exec.Cmd
 	stdin  io.Closer
-	ended  chan error
+	exited chan error
 }
 
-// processes is a deployment of nodes in processes of their own.
+// processes is a deployment of nodes in separate processes.
 type processes struct {
 	platform *platform.Platform
 	ledger   *worker.Ledger
@@ -121,30 +122,32 @@
 // startProcesses runs n nodes of the service "ledger" until the test ends.
 func startProcesses(t *testing.T, n int) *processes {
 	t.Helper()
-	return startProcessesWith(t, n, childConfig{})
+	return startProcessesWithConfig(t, n, childConfig{})
 }
 
-// startProcessesThatLeave runs nodes that serve callers for a while after the sign to stop.
-func startProcessesThatLeave(t *testing.T, n int, grace time.Duration) *processes {
+// startProcessesWithLeaveGrace runs n nodes that serve callers for grace after the stop
+// signal.
+func startProcessesWithLeaveGrace(t *testing.T, n int, grace time.Duration) *processes {
 	t.Helper()
-	return startProcessesWith(t, n, childConfig{LeaveGrace: grace})
+	return startProcessesWithConfig(t, n, childConfig{LeaveGrace: grace})
 }
 
-// startProcessesWith runs nodes with the times of c.
-func startProcessesWith(t *testing.T, n int, c childConfig) *processes {
+// startProcessesWithConfig runs n nodes with the timeouts of c.
+func startProcessesWithConfig(t *testing.T, n int, c childConfig) *processes {
 	t.Helper()
-	return startProcessesOf(t, n, c, bundleOf(1))
+	return startProcessesWithBundle(t, n, c, bundleOf(1))
 }
 
-// startProcessesWithIdleBound runs nodes whose callers may be idle for so long.
-func startProcessesWithIdleBound(t *testing.T, n int, idle time.Duration) *processes {
+// startProcessesWithIdleTimeout runs n nodes with an idle timeout for caller connections.
+func startProcessesWithIdleTimeout(t *testing.T, n int, idle time.Duration) *processes {
 	t.Helper()
-	bound := fmt.Appendf(bundleOf(1), "[callers]\nidle_timeout_ms = %d\n", idle.Milliseconds())
-	return startProcessesOf(t, n, childConfig{}, bound)
+	text := fmt.Appendf(bundleOf(1), "[callers]\nidle_timeout_ms = %d\n", idle.Milliseconds())
+	return startProcessesWithBundle(t, n, childConfig{}, text)
 }
 
-// startProcessesOf runs n nodes with the times of c, under the bundle of text.
-func startProcessesOf(t *testing.T, n int, c childConfig, text []byte) *processes {
+// startProcessesWithBundle runs n nodes with the timeouts of c under the given bundle
+// text.
+func startProcessesWithBundle(t *testing.T, n int, c childConfig, text []byte) *processes {
 	t.Helper()
 	public, private, err := ed25519.GenerateKey(nil)
 	if err != nil {
@@ -179,7 +182,7 @@
 	t.Cleanup(func() { _ = s.Close() })
 }
 
-// start runs a worker here and its node in a process of its own.
+// start runs a worker in this process and its node in a separate process.
 func (d *processes) start(t *testing.T, c childConfig) *process {
 	t.Helper()
 	l, err := listen.TCP("127.0.0.1:0")
@@ -196,8 +199,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{id: c.Instance, worker: w, cmd: exec.Command(os.Args[0]), ended: make(chan error, 1)}
-	p.cmd.Env = append(os.Environ(), childVariable+"="+string(text))
+	p := &process{id: c.Instance, worker: w, cmd: exec.Command(os.Args[0]), exited: make(chan error, 1)}
+	p.cmd.Env = append(os.Environ(), childEnv+"="+string(text))
 	p.cmd.Stderr = os.Stderr
 	stdout, err := p.cmd.StdoutPipe()
 	if err != nil {
@@ -213,12 +216,12 @@
 	if err := json.NewDecoder(stdout).Decode(&p.childAddresses); err != nil {
 		t.Fatal(err)
 	}
-	go func() { p.ended <- p.cmd.Wait() }()
+	go func() { p.exited <- p.cmd.Wait() }()
 	d.platform.Put(model.Instance{ID: p.id, Service: "ledger", DataCentre: "dc1", PeerAddress: p.Peer, State: model.StateLive})
 	return p
 }
 
-// status reads the node's own status.
+// status reads the node's status from its operator port.
 func (p *process) status() (status.Node, bool) {
 	resp, err := http.Get("http://" + p.Operator + status.NodePath)
 	if err != nil {
@@ -229,14 +232,14 @@
 	return out, json.NewDecoder(resp.Body).Decode(&out) == nil
 }
 
-// stop stops all nodes gracefully and waits for their ends: nothing runs after it.
+// stop stops all nodes gracefully and waits for their exit; nothing runs after it.
 func (d *processes) stop(t *testing.T) {
 	t.Helper()
 	for _, p := range d.nodes {
 		p.stdin.Close()
 	}
 	for _, p := range d.nodes {
-		if err := <-p.ended; err != nil {
+		if err := <-p.exited; err != nil {
 			t.Errorf("%s: %v", p.id, err)
 		}
 	}
--- a/internal/failure/raw_test.go
+++ b/internal/failure/raw_test.go
@@ -28,7 +28,7 @@
 	pathBigHeader = "/raw/big-header"
 )
 
-// rawWorker writes its answers byte by byte on the connection, as the path says.
+// rawWorker writes its response byte by byte to the connection, as the path demands.
 func rawWorker(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -38,51 +38,51 @@
 	rawRuns.add(id)
 	own := string(answer.Make(answer.Request{ID: id, Target: r.URL.RequestURI(), BodyHash: answer.Hash(body)}, smallAnswer))
 	echo := wire.HeaderAttempt + ": " + r.Header.Get(wire.HeaderAttempt) + "\r\n"
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", echo, len(own), own)
+	full := fmt.Sprintf("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", echo, len(own), own)
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
-	serveRaw(conn, r.URL.Path, echo, own, whole)
+	serveRaw(conn, r.URL.Path, echo, own, full)
 }
 
-// serveRaw answers, and ends the connection where more on it would be junk.
-func serveRaw(conn net.Conn, path, echo, own, whole string) {
+// serveRaw writes the response. It closes the connection, unless the path keeps it open.
+func serveRaw(conn net.Conn, path, echo, own, full string) {
 	defer conn.Close()
-	out := whole
+	out := full
 	switch path {
 	case pathTwice:
-		out = whole + whole
+		out = full + full
 	case pathTail:
-		out = whole + "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"
+		out = full + "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"
 	case pathSwitch:
 		out = "HTTP/1.1 101 Switching Protocols\r\n" + echo + "Connection: Upgrade\r\nUpgrade: junk\r\n\r\njunk"
 	case pathContinue:
-		out = strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n", 2) + whole
+		out = strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n", 2) + full
 	case pathNoLength:
 		out = "HTTP/1.1 200 OK\r\n" + echo + "Connection: close\r\n\r\n" + own
 	case pathTwoEchoes:
-		out = strings.Replace(whole, echo, echo+wire.HeaderAttempt+": other/1/1\r\n", 1)
+		out = strings.Replace(full, echo, echo+wire.HeaderAttempt+": other/1/1\r\n", 1)
 	case pathNoEcho:
-		out = strings.Replace(whole, echo, "", 1)
+		out = strings.Replace(full, echo, "", 1)
 	case pathJunk:
 		out = "junk\r\n\r\n"
 	case pathTwoSizes:
-		out = strings.Replace(whole, "\r\n\r\n", "\r\nContent-Length: 1\r\n\r\n", 1)
+		out = strings.Replace(full, "\r\n\r\n", "\r\nContent-Length: 1\r\n\r\n", 1)
 	case pathBadChunk:
 		out = "HTTP/1.1 200 OK\r\n" + echo + "Transfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n"
 	case pathBigHeader:
 		out = "HTTP/1.1 200 OK\r\n" + echo + "X-Big: " + strings.Repeat("x", 1<<20) + "\r\n\r\n"
 	}
-	// The node may have ended the connection on its side.
+	// The node may already have closed the connection.
 	_, _ = io.WriteString(conn, out)
 	if path == pathSwitch || path == pathTwice {
-		// Stay open, as such a worker would, until the node ends the connection.
+		// Stay open, as such a worker would, until the node closes the connection.
 		_, _ = io.Copy(io.Discard, conn)
 	}
 }
 
-func TestMalformedAnswersOfAWorkerAreUnknownAndNeverAnothers(t *testing.T) {
+func TestMalformedWorkerResponsesEndUnknown(t *testing.T) {
 	f := sharedFleet(t)
 	cases := []struct {
 		path string
@@ -97,32 +97,33 @@
 		{pathTwoSizes, unknown},
 		{pathBadChunk, unknown},
 		{pathBigHeader, unknown},
-		// What follows an answer may be taken for the answer to the next request on
-		// the connection; then the echo is wrong or missing, and that one is unknown.
+		// Bytes after a response may be taken for the response to the next request on the
+		// connection; its echo is then wrong or missing, and that request ends as
+		// unknown.
 		{pathTwice, answered},
 		{pathTail, answered},
 	}
-	entries := []string{of(f, "raw")[0].Node.CallerAddress(), of(f, "ledger")[0].Node.CallerAddress()}
+	entries := []string{membersOf(f, "raw")[0].Node.CallerAddress(), membersOf(f, "ledger")[0].Node.CallerAddress()}
 	for _, tt := range cases {
 		t.Run(tt.path, func(t *testing.T) {
 			c := newCallers(t)
-			c.together(t.Context(), entries, 12, 4, func(int) request {
+			c.sendAll(t.Context(), entries, 12, 4, func(int) request {
 				r := view(tt.path)
-				r.method, r.once, r.body = http.MethodPost, true, "x"
+				r.method, r.atMostOnce, r.body = http.MethodPost, true, "x"
 				return r
 			})
-			for _, s := range c.sendings() {
-				if fault := s.fault(rawRuns.count(s.id)); fault != "" {
-					t.Error(fault)
+			for _, s := range c.submissions() {
+				if broken := s.violation(rawRuns.count(s.id)); broken != "" {
+					t.Error(broken)
 				}
 				if s.err != nil || s.outcome == answered && tt.want != answered {
-					t.Errorf("told %d %s %s, %v; want %s", s.status, s.outcome, s.reason, s.err, tt.want)
+					t.Errorf("got %d %s %s, %v; want %s", s.status, s.outcome, s.reason, s.err, tt.want)
 				}
 			}
 			if c.count(tt.want) == 0 {
-				t.Errorf("nobody was told %s", tt.want)
+				t.Errorf("no caller got outcome %s", tt.want)
 			}
 		})
 	}
-	awaitIdle(t, of(f, "raw")[0])
+	awaitIdle(t, membersOf(f, "raw")[0])
 }
--- a/internal/failure/runs_test.go
+++ b/internal/failure/runs_test.go
@@ -6,13 +6,14 @@
 	"gypsumstand/internal/model"
 )
 
-// runCounts counts the runs of workers that tests write themselves.
+// runCounts counts runs by request id, for workers that the tests implement. It is safe
+// for concurrent use.
 type runCounts struct {
 	mu   sync.Mutex
 	runs map[model.RequestID]int
 }
 
-// rawRuns are the runs of rawWorker.
+// rawRuns counts the runs of rawWorker.
 var rawRuns runCounts
 
 func (c *runCounts) add(id model.RequestID) {
--- a/internal/failure/shared_test.go
+++ b/internal/failure/shared_test.go
@@ -13,10 +13,10 @@
 )
 
 func TestMain(m *testing.M) {
-	if serveChild() {
+	if runAsChild() {
 		return
 	}
-	// net/http's transport prints unsolicited answers there.
+	// net/http's transport logs unsolicited responses.
 	log.SetOutput(io.Discard)
 	code := m.Run()
 	if shared.fleet != nil {
@@ -28,16 +28,15 @@
 	os.Exit(code)
 }
 
-// shared is the fleet of the tests that leave it as it was. They do not run in
-// parallel.
+// shared is the fleet of the tests that leave it unchanged. They do not run in parallel.
 var shared struct {
 	once  sync.Once
 	fleet *local.Fleet
 	err   error
 }
 
-// sharedFleet returns the shared fleet: two nodes of "ledger" with a stand-in
-// worker each, two of "strict", and one of "raw", served by rawWorker.
+// sharedFleet returns the shared fleet: two nodes of "ledger" with a stand-in worker
+// each, two of "strict", and one of "raw" with rawWorker.
 func sharedFleet(t *testing.T) *local.Fleet {
 	t.Helper()
 	shared.once.Do(func() {
@@ -67,8 +66,8 @@
 	return out
 }
 
-// of returns the members of a service.
-func of(f *local.Fleet, service string) []*local.Member {
+// membersOf returns the members of a service.
+func membersOf(f *local.Fleet, service string) []*local.Member {
 	var out []*local.Member
 	for _, m := range f.Members() {
 		if string(m.Service) == service {
--- a/internal/failure/slow_test.go
+++ b/internal/failure/slowreader_test.go
@@ -23,10 +23,10 @@
 	return conn
 }
 
-func TestASlowReaderHoldsNoSlotPastItsDeadline(t *testing.T) {
+func TestSlowReaderReleasesSlotAtDeadline(t *testing.T) {
 	f := sharedFleet(t)
-	owners := of(f, "ledger")
-	entries := []*local.Member{owners[0], owners[1], of(f, "raw")[0]}
+	owners := membersOf(f, "ledger")
+	entries := []*local.Member{owners[0], owners[1], membersOf(f, "raw")[0]}
 	for i := range 4 * slots {
 		address := entries[i%len(entries)].Node.CallerAddress()
 		conn := connect(t, address, fmt.Sprintf("GET /big?n=%d HTTP/1.1\r\nHost: x\r\nGypsum-Timeout-Ms: 1000\r\n\r\n", i))
--- a/internal/failure/stop_test.go
+++ b/internal/failure/stop_test.go
@@ -11,7 +11,7 @@
 	"gypsumstand/internal/model"
 )
 
-func TestAPlannedStopUnderLoadCutsNothingOff(t *testing.T) {
+func TestPlannedStopUnderLoadCompletesAllCalls(t *testing.T) {
 	t.Parallel()
 	cfg := config(3)
 	cfg.LeaveGrace = 2 * time.Second
@@ -25,7 +25,7 @@
 		for range 6 {
 			calling.Go(func() {
 				n := 0
-				c.keepCalling(t.Context(), stop, m.Node.CallerAddress(), func() request {
+				c.sendUntil(t.Context(), stop, m.Node.CallerAddress(), func() request {
 					n++
 					return []request{view("/a"), payout("/payouts"), view("/slow"), payout("/payouts/slow")}[(i+n)%4]
 				})
@@ -39,18 +39,18 @@
 		t.Errorf("stop: %v", err)
 	}
 	before := c.count(answered)
-	await(t, "callers at other nodes served on", func() bool { return c.count(answered) > before+50 })
+	await(t, "callers at other nodes still served", func() bool { return c.count(answered) > before+50 })
 	close(stop)
 	calling.Wait()
 	c.check(t, f.Ledger)
-	for _, s := range c.sendings() {
+	for _, s := range c.submissions() {
 		if s.err != nil {
 			t.Errorf("%s %s was cut off: %v", s.method, s.id, s.err)
 		}
 	}
 }
 
-func TestAPlannedStopFinishesAnAnswerThatStreams(t *testing.T) {
+func TestPlannedStopFinishesStreamingResponse(t *testing.T) {
 	t.Parallel()
 	const pieces, piece = 8, 32 << 10
 	begun, open := make(chan string, 1), make(chan struct{})
@@ -60,7 +60,7 @@
 		}
 		_, _ = w.Write(make([]byte, pieces*piece/2))
 		_ = http.NewResponseController(w).Flush()
-		begun <- localAddress(r)
+		begun <- serverAddress(r)
 		<-open
 		_, _ = w.Write(make([]byte, pieces*piece/2))
 	})
@@ -69,9 +69,9 @@
 	f := startFleet(t, cfg)
 	entry := f.Members()[0]
 	conn := connect(t, entry.Node.CallerAddress(), "POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\nGypsum-Timeout-Ms: 20000\r\n\r\n")
-	owner := memberOf(t, f, <-begun)
+	owner := memberByWorker(t, f, <-begun)
 
-	// The owner stops first, then the entry, with the answer half-way.
+	// The owner stops first, then the entry, while the response is half sent.
 	stopping := []*local.Member{owner}
 	if owner != entry {
 		stopping = append(stopping, entry)
@@ -89,11 +89,11 @@
 	got := readResponse(t, conn)
 	stops.Wait()
 	if got.err != nil || got.outcome != answered || len(got.body) != pieces*piece {
-		t.Errorf("%d bytes, told %d %s, %v", len(got.body), got.status, got.outcome, got.err)
+		t.Errorf("%d bytes, got %d %s, %v; want a complete response", len(got.body), got.status, got.outcome, got.err)
 	}
 }
 
-func TestALeavingWorkerGetsNoNewWorkFromAnyNode(t *testing.T) {
+func TestLeavingWorkerReceivesNoNewRequests(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, config(3))
 	leaver := f.Members()[1]
@@ -103,21 +103,21 @@
 	for _, m := range f.Members() {
 		for range 3 {
 			calling.Go(func() {
-				c.keepCalling(t.Context(), stop, m.Node.CallerAddress(), func() request { return view("/a") })
+				c.sendUntil(t.Context(), stop, m.Node.CallerAddress(), func() request { return view("/a") })
 			})
 		}
 	}
 	if err := leaver.Worker.ChangeFaults(func(f *worker.Faults) { f.Draining = true }); err != nil {
 		t.Fatal(err)
 	}
-	awaitMembers(t, f, "told of the leaving worker", func(m *local.Member) bool {
+	awaitMembers(t, f, "aware of the leaving worker", func(m *local.Member) bool {
 		return stateAt(m, leaver.ID) >= model.StateLeaving
 	})
 	awaitIdle(t, leaver)
 	received, before := leaver.Worker.Counters().Received, c.count(answered)
 	await(t, "callers served by the others", func() bool { return c.count(answered) > before+100 })
 	if now := leaver.Worker.Counters().Received; now != received {
-		t.Errorf("the leaving worker got %d requests after every node knew", now-received)
+		t.Errorf("the leaving worker received %d requests after every node knew its state", now-received)
 	}
 	close(stop)
 	calling.Wait()
@@ -125,7 +125,7 @@
 	if err := f.Stop(leaver); err != nil {
 		t.Errorf("stop: %v", err)
 	}
-	for _, s := range c.sendings() {
+	for _, s := range c.submissions() {
 		if s.err != nil {
 			t.Errorf("%s was cut off: %v", s.id, s.err)
 		}
--- a/internal/failure/stoplate_test.go
+++ b/internal/failure/stoplate_test.go
@@ -13,40 +13,41 @@
 	"gypsumstand/internal/wire"
 )
 
-// shortStop is a stop that a worker's run outlasts.
-const shortStop = 2 * time.Second
+// shortStopTimeout is shorter than the run of a gated payout.
+const shortStopTimeout = 2 * time.Second
 
-// startGated runs nodes whose workers hold payouts back until the gate opens.
-func startGated(t *testing.T, n int) (*local.Fleet, *gate) {
+// startGated runs n nodes whose workers hold payouts until they are released.
+func startGated(t *testing.T, n int) (*local.Fleet, *gatedWorker) {
 	t.Helper()
-	g := &gate{entered: make(chan string, 8), open: make(chan struct{})}
+	g := &gatedWorker{started: make(chan string, 8), release: make(chan struct{})}
 	cfg := config(1)
-	cfg.StopTimeout, cfg.LeaveGrace = shortStop, 0
+	cfg.StopTimeout, cfg.LeaveGrace = shortStopTimeout, 0
 	cfg.Services = []local.Service{{Name: "raw", Workers: n, Handler: g}}
 	return startFleet(t, cfg), g
 }
 
-// A connection that was open before the port closed brings its request when the calls in
-// hand have been ended: it is closed or refused, and runs nowhere.
-func TestARequestThatComesAtTheEndOfAStopRunsNowhere(t *testing.T) {
+// A connection that was opened before the port closed sends its request when the stop has
+// already ended the calls in flight. The request must be refused or its connection
+// closed, and it must not run.
+func TestRequestAtEndOfStopDoesNotRun(t *testing.T) {
 	t.Parallel()
 	f, g := startGated(t, 2)
-	let := sync.OnceFunc(func() { close(g.open) })
-	defer let()
+	releaseOnce := sync.OnceFunc(func() { close(g.release) })
+	defer releaseOnce()
 	leaver := f.Members()[0]
 	c := newCallers(t)
 	awaitAnswer(t, c, leaver.Node.CallerAddress(), "/raw/a")
 	late := connect(t, leaver.Node.CallerAddress(), "")
-	held := make(chan told, 1)
+	held := make(chan result, 1)
 	go func() { held <- c.send(t.Context(), leaver.Node.CallerAddress(), payout("/raw/payouts")) }()
-	<-g.entered
+	<-g.started
 	stopped := make(chan error, 1)
 	go func() { stopped <- f.Stop(leaver) }()
 	if got := <-held; got.err != nil || got.outcome != unknown {
-		t.Errorf("the held payout got %d %s, %v", got.status, got.outcome, got.err)
+		t.Errorf("the held payout got %d %s, %v; want unknown", got.status, got.outcome, got.err)
 	}
 	id := newID("late")
-	// The node may have closed it.
+	// The node may already have closed the connection.
 	_, _ = fmt.Fprintf(late, "GET /raw/a HTTP/1.1\r\nHost: x\r\n%s: %s\r\n\r\n", wire.HeaderIdempotencyKey, id)
 	if got, _ := io.ReadAll(late); strings.HasPrefix(string(got), "HTTP/1.1 2") {
 		t.Errorf("the late request got %q", got)
@@ -57,22 +58,22 @@
 	}
 }
 
-// A stop said that it had cut requests off when there was nothing but a connection that
-// had not carried a request yet: net/http waits five seconds for such a one, which is
-// longer than the stop.
-func TestAStopBesideAConnectionWithoutARequestCutsNobodyOff(t *testing.T) {
+// A stop reported that it cut requests off although only a connection without any request
+// was open. net/http waits five seconds for such a connection, which is longer than the
+// stop timeout.
+func TestStopIgnoresConnectionWithoutRequest(t *testing.T) {
 	t.Parallel()
 	f, _ := startGated(t, 1)
 	leaver := f.Members()[0]
 	c := newCallers(t)
 	awaitAnswer(t, c, leaver.Node.CallerAddress(), "/raw/a")
 	fresh := connect(t, leaver.Node.CallerAddress(), "")
-	// Connections are taken in their order: one that came later has been served.
+	// Connections are accepted in order: a later one has been served by now.
 	awaitAnswer(t, c, leaver.Node.CallerAddress(), "/raw/a")
 	if err := f.Stop(leaver); err != nil {
 		t.Errorf("the stop: %v", err)
 	}
 	if _, err := bufio.NewReader(fresh).ReadByte(); err != io.EOF {
-		t.Errorf("the fresh connection got %v", err)
+		t.Errorf("read from the unused connection: %v, want EOF", err)
 	}
 }
--- a/internal/failure/stopstill_test.go
+++ b/internal/failure/stoppaused_test.go
@@ -13,35 +13,36 @@
 	"gypsumstand/internal/pause"
 )
 
-// heldWhileStill is the number of requests in hand at a node that stands still in its stop.
-const heldWhileStill = 24
+// heldRequests is the number of requests in flight at a node that is paused during its
+// stop.
+const heldRequests = 24
 
-// A node stood still in the middle of its planned stop and woke after the stop's bound: all
-// it had in hand was ended and all connections were closed in the same moment, before one
-// of the callers could be told. The evidence is this test on the code before: requests that
-// ran and whose connections closed without a byte.
-func TestANodeThatStandsStillThroughTheEndOfItsStopTellsWhomItPassedOn(t *testing.T) {
+// A node that was paused during its planned stop and resumed after the stop timeout
+// cancelled all calls and closed all connections at the same moment, before any caller
+// received an outcome. Requests had run, but their callers' connections closed without a
+// byte.
+func TestNodePausedPastStopTimeoutAnswersForwardedRequests(t *testing.T) {
 	t.Parallel()
-	const bound = time.Second
-	d := startProcessesWith(t, 2, childConfig{StopTimeout: bound})
+	const stopTimeout = time.Second
+	d := startProcessesWithConfig(t, 2, childConfig{StopTimeout: stopTimeout})
 	stopping := d.nodes[0]
-	c := callersWith(t, &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: heldWhileStill})
+	c := callersWith(t, &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: heldRequests})
 	for _, p := range d.nodes {
 		awaitAnswer(t, c, p.Caller, "/a")
 	}
-	before := len(c.sendings())
+	before := len(c.submissions())
 	var calling sync.WaitGroup
-	for range heldWhileStill {
+	for range heldRequests {
 		calling.Go(func() { c.send(t.Context(), stopping.Caller, payout("/payouts/slow")) })
 	}
-	await(t, "all requests passed on", func() bool {
-		passedOn := len(c.sendings()) - before
+	await(t, "all requests forwarded", func() bool {
+		passedOn := len(c.submissions()) - before
 		for _, p := range d.nodes {
 			if s, ok := p.status(); ok {
 				passedOn += s.Owner.InFlight + s.Owner.Queued
 			}
 		}
-		return passedOn >= heldWhileStill
+		return passedOn >= heldRequests
 	})
 	stopping.stdin.Close()
 	await(t, "the port closed", func() bool {
@@ -54,20 +55,20 @@
 	if err := stopping.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	pause.For(t.Context(), bound)
+	pause.For(t.Context(), stopTimeout)
 	if err := stopping.cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
 	calling.Wait()
-	if err := <-stopping.ended; err != nil {
+	if err := <-stopping.exited; err != nil {
 		t.Errorf("the stop: %v", err)
 	}
-	for _, s := range c.sendings() {
+	for _, s := range c.submissions() {
 		if runs := d.ledger.Runs(s.id); s.err != nil {
-			t.Errorf("%s: %d runs, and its connection closed without an answer: %v", s.id, runs, s.err)
+			t.Errorf("%s: %d runs, but its connection closed without a response: %v", s.id, runs, s.err)
 		}
 	}
-	t.Logf("%d answered, %d told not run, %d unknown, %d without an answer",
+	t.Logf("%d answered, %d not run, %d unknown, %d without a response",
 		c.count(answered), c.count(notRun), c.count(unknown), c.count(""))
 	c.check(t, d.ledger)
 	d.nodes = d.nodes[1:]
--- a/internal/failure/tls_test.go
+++ b/internal/failure/tls_test.go
@@ -16,7 +16,7 @@
 	"gypsumstand/internal/local"
 )
 
-// authority signs certificates of nodes.
+// authority is a certificate authority for nodes.
 type authority struct {
 	key  *ecdsa.PrivateKey
 	cert *x509.Certificate
@@ -53,8 +53,9 @@
 	return cert
 }
 
-// node returns the mutual TLS of a node on loopback, as settings make it.
-func (a *authority) node(t *testing.T) *tls.Config {
+// nodeConfig returns the mutual TLS configuration of a node on loopback, as its settings
+// would.
+func (a *authority) nodeConfig(t *testing.T) *tls.Config {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -81,11 +82,11 @@
 	}
 }
 
-func TestNodesServeOverMutualTLSAndRefuseStrangers(t *testing.T) {
+func TestMutualTLSRefusesUnknownPeers(t *testing.T) {
 	t.Parallel()
 	ours := newAuthority(t)
 	cfg := config(2)
-	cfg.PeerTLS = ours.node(t)
+	cfg.PeerTLS = ours.nodeConfig(t)
 	f := startFleet(t, cfg)
 	awaitMembers(t, f, "linked", func(m *local.Member) bool {
 		stats := m.Node.Core().Stats.Get()
@@ -100,18 +101,18 @@
 	}
 	c.check(t, f.Ledger)
 
-	nobody := ours.node(t)
-	nobody.Certificates = nil
-	stranger := ours.node(t)
-	stranger.Certificates = newAuthority(t).node(t).Certificates
+	withoutCertificate := ours.nodeConfig(t)
+	withoutCertificate.Certificates = nil
+	stranger := ours.nodeConfig(t)
+	stranger.Certificates = newAuthority(t).nodeConfig(t).Certificates
 	peer := f.Members()[0].Node.PeerAddress()
 	cases := []struct {
 		name   string
 		config *tls.Config
 		ok     bool
 	}{
-		{"our certificate", ours.node(t), true},
-		{"no certificate", nobody, false},
+		{"our certificate", ours.nodeConfig(t), true},
+		{"no certificate", withoutCertificate, false},
 		{"a certificate of another authority", stranger, false},
 	}
 	for _, tt := range cases {
@@ -125,6 +126,6 @@
 		}
 	}
 	if got := readResponse(t, connect(t, peer, "GET /v1/attempt/a HTTP/1.1\r\nHost: x\r\n\r\n")); got.status != http.StatusBadRequest {
-		t.Errorf("without TLS: status %d", got.status)
+		t.Errorf("without TLS: status %d, want 400", got.status)
 	}
 }
--- a/internal/failure/worker_test.go
+++ b/internal/failure/worker_test.go
@@ -14,20 +14,20 @@
 	"gypsumstand/internal/wire"
 )
 
-// halfway serves half of an answer of the first request of each path and then
-// waits until its connection ends; later requests are served whole.
-type halfway struct {
-	// size of answers by path.
+// truncatingWorker sends half of the response to the first request of each path and then
+// waits until the connection closes. Later requests get the complete response.
+type truncatingWorker struct {
+	// size is the size of responses by path.
 	size map[string]int
-	// reached gets the worker's address once half is sent.
-	reached chan string
+	// halfSent receives the worker's address when half a response has been sent.
+	halfSent chan string
 
-	runs runCounts
-	mu   sync.Mutex
-	seen map[string]bool
+	runs      runCounts
+	mu        sync.Mutex
+	seenPaths map[string]bool
 }
 
-func (h *halfway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *truncatingWorker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -35,8 +35,8 @@
 	id := model.RequestID(r.Header.Get(wire.HeaderIdempotencyKey))
 	h.runs.add(id)
 	h.mu.Lock()
-	first := !h.seen[r.URL.Path]
-	h.seen[r.URL.Path] = true
+	first := !h.seenPaths[r.URL.Path]
+	h.seenPaths[r.URL.Path] = true
 	h.mu.Unlock()
 	out := answer.Make(answer.Request{ID: id, Target: r.URL.RequestURI(), BodyHash: answer.Hash(body)}, h.size[r.URL.Path])
 	w.Header().Set(wire.HeaderAttempt, r.Header.Get(wire.HeaderAttempt))
@@ -44,23 +44,23 @@
 		w.Header().Set("Content-Length", strconv.Itoa(len(out))) // others are chunked
 	}
 	if !first {
-		_, _ = w.Write(out) // the caller is gone when this fails
+		_, _ = w.Write(out) // an error means that the caller has gone
 		return
 	}
 	_, _ = w.Write(out[:len(out)/2])
 	_ = http.NewResponseController(w).Flush()
-	h.reached <- localAddress(r)
+	h.halfSent <- serverAddress(r)
 	<-r.Context().Done()
 	panic(http.ErrAbortHandler)
 }
 
-// localAddress returns the address of the worker that serves r.
-func localAddress(r *http.Request) string {
+// serverAddress returns the address of the worker that serves r.
+func serverAddress(r *http.Request) string {
 	return r.Context().Value(http.LocalAddrContextKey).(interface{ String() string }).String()
 }
 
-// memberOf returns the member whose worker has that address.
-func memberOf(t *testing.T, f *local.Fleet, address string) *local.Member {
+// memberByWorker returns the member whose worker has that address.
+func memberByWorker(t *testing.T, f *local.Fleet, address string) *local.Member {
 	t.Helper()
 	for _, m := range f.Members() {
 		if m.WorkerAddress() == address {
@@ -71,13 +71,13 @@
 	return nil
 }
 
-func TestAWorkerKilledInTheMiddleOfAnAnswerIsNeverTakenForWhole(t *testing.T) {
+func TestWorkerKilledMidResponseIsNotTakenAsComplete(t *testing.T) {
 	t.Parallel()
 	const small, long = "/raw/small", "/raw/long"
-	h := &halfway{
-		size:    map[string]int{small: smallAnswer, long: 1 << 20, "/raw/payouts": smallAnswer},
-		reached: make(chan string, 1),
-		seen:    map[string]bool{},
+	h := &truncatingWorker{
+		size:      map[string]int{small: smallAnswer, long: 1 << 20, "/raw/payouts": smallAnswer},
+		halfSent:  make(chan string, 1),
+		seenPaths: map[string]bool{},
 	}
 	cfg := config(1)
 	cfg.Services = append(cfg.Services, local.Service{Name: "raw", Workers: 4, Handler: h})
@@ -85,31 +85,31 @@
 	c := newCallers(t)
 	entry := f.Members()[0].Node.CallerAddress()
 	for _, r := range []request{view(small), view(long), payout("/raw/payouts")} {
-		done := make(chan told, 1)
+		done := make(chan result, 1)
 		go func() { done <- c.send(t.Context(), entry, r) }()
-		if err := f.KillWorker(memberOf(t, f, <-h.reached)); err != nil {
+		if err := f.KillWorker(memberByWorker(t, f, <-h.halfSent)); err != nil {
 			t.Fatal(err)
 		}
 		<-done
 	}
-	for _, s := range c.sendings() {
-		if fault := s.fault(h.runs.count(s.id)); fault != "" {
-			t.Errorf("%s: %s", s.path, fault)
+	for _, s := range c.submissions() {
+		if broken := s.violation(h.runs.count(s.id)); broken != "" {
+			t.Errorf("%s: %s", s.path, broken)
 		}
 	}
-	got := c.sendings()
+	got := c.submissions()
 	if s := got[0]; s.err != nil || s.outcome == notRun {
-		t.Errorf("a short answer cut: told %s %s, %v; want answered by another or unknown", s.outcome, s.reason, s.err)
+		t.Errorf("truncated short response: got %s %s, %v; want answered by another worker or unknown", s.outcome, s.reason, s.err)
 	}
 	if s := got[1]; s.err == nil && s.status == http.StatusOK && h.runs.count(s.id) == 1 {
-		t.Errorf("a long answer cut: %d bytes with status 200 and no error", len(s.told.body))
+		t.Errorf("truncated long response: %d bytes with status 200 and no error", len(s.result.body))
 	}
 	if s := got[2]; s.err != nil || s.outcome != unknown {
-		t.Errorf("a payout cut: told %s %s, %v; want unknown", s.outcome, s.reason, s.err)
+		t.Errorf("truncated payout response: got %s %s, %v; want unknown", s.outcome, s.reason, s.err)
 	}
 }
 
-func TestSpoiltAnswersUnderLoadNeverReachAnotherCaller(t *testing.T) {
+func TestCorruptResponsesNeverReachAnotherCaller(t *testing.T) {
 	f := sharedFleet(t)
 	faults := func(change func(*worker.Faults)) {
 		for _, m := range standIns(f) {
@@ -134,21 +134,21 @@
 		t.Run(tt.name, func(t *testing.T) {
 			c := newCallers(t)
 			faults(tt.change)
-			c.together(t.Context(), f.Callers(), 240, 24, mixed)
+			c.sendAll(t.Context(), f.Callers(), 240, 24, mixedRequest)
 			faults(func(f *worker.Faults) { *f = worker.Faults{} })
 			c.check(t, f.Ledger)
 			if c.count(answered) == 0 || c.count(unknown) == 0 {
-				t.Errorf("%d answered, %d unknown: the fault was not brought about", c.count(answered), c.count(unknown))
+				t.Errorf("%d answered, %d unknown: the fault was not injected", c.count(answered), c.count(unknown))
 			}
-			if broken := c.count(""); broken > 0 {
-				t.Errorf("%d callers got no whole response to a short answer", broken)
+			if incomplete := c.count(""); incomplete > 0 {
+				t.Errorf("%d callers got no complete response to a short answer", incomplete)
 			}
 		})
 	}
 }
 
-// mixed gives views and payouts of services with and without required echo.
-func mixed(i int) request {
+// mixedRequest returns views and payouts of services with and without required echo.
+func mixedRequest(i int) request {
 	paths := []string{"/a", "/strict/a"}
 	if i%3 == 0 {
 		return payout([]string{"/payouts", "/strict/payouts"}[i/3%2])
