--- a/cmd/gypsumfake/platform.go
+++ b/cmd/gypsumfake/platform.go
@@ -98,7 +98,7 @@
 			}
 			continue
 		}
-		p.Put(in)
+		p.PutInstance(in)
 	}
 	return doc.Err()
 }
--- a/cmd/gypsumfake/worker.go
+++ b/cmd/gypsumfake/worker.go
@@ -32,7 +32,7 @@
 	size         int
 	node         string
 	seed         uint64
-	cold         worker.Cold
+	cold         worker.ColdMode
 }
 
 func (f *workerFlags) define(fs *flag.FlagSet) {
@@ -115,7 +115,7 @@
 	for i := range file.Profiles {
 		key := fmt.Sprintf("profile[%d].", i)
 		file.Profiles[i].Check(func(field, message string) {
-			if !doc.Refused(key + field) {
+			if !doc.Rejected(key + field) {
 				doc.Add(key+field, "%s", message)
 			}
 		})
--- a/cmd/gypsumsoak/main.go
+++ b/cmd/gypsumsoak/main.go
@@ -51,7 +51,7 @@
 	defer stop()
 	cfg := soak.Config{Program: *node, Machines: *machines, Length: *length}
 	cfg.Plan = soak.PlanVersion(*plan)
-	if !cfg.Plan.Known() {
+	if !cfg.Plan.Valid() {
 		flag.Usage()
 		os.Exit(2)
 	}
@@ -92,7 +92,7 @@
 		return false, err
 	}
 	fmt.Printf("seed %d: %d requests, %d served, %d promises broken; %s\n",
-		cfg.Seed, report.Requests, report.Served, len(report.Violations), report.Applied())
+		cfg.Seed, report.Requests, report.Served, len(report.Violations), report.ApplySummary())
 	if len(report.Violations) == 0 {
 		return false, os.RemoveAll(cfg.Dir)
 	}
--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -18,18 +18,18 @@
 	// ReadRequest returns what a request's header asks for. An error names the header at
 	// fault, for the caller to read.
 	ReadRequest(h http.Header) (wire.CallerHeaders, error)
-	// Forward changes the header that goes on to the worker: h is a copy of the
+	// PrepareForward changes the header that goes on to the worker: h is a copy of the
 	// caller's end-to-end fields, remote the caller's "ip:port".
-	Forward(h http.Header, remote string)
-	// Answered adds to the header of a worker's answer.
-	Answered(h http.Header, e End)
-	// Ended writes the header of an outcome without a worker's answer; request is
+	PrepareForward(h http.Header, remote string)
+	// AnnotateResponse adds to the header of a worker's answer.
+	AnnotateResponse(h http.Header, e Result)
+	// WriteFailure writes the header of an outcome without a worker's answer; request is
 	// the caller's header.
-	Ended(h, request http.Header, e End)
+	WriteFailure(h, request http.Header, e Result)
 }
 
-// End is how a call ended, for its caller.
-type End struct {
+// Result is how a call ended, for its caller.
+type Result struct {
 	Outcome model.Outcome
 	Reason  model.Reason
 	// RetryAfter is the advice to come back; zero means none.
@@ -43,16 +43,16 @@
 // Workers is how an owner and its worker speak. Its methods are called by many
 // goroutines at once and do not block.
 type Workers interface {
-	// Prepare writes the header fields of an attempt. worker is the worker's
+	// PrepareAttempt writes the header fields of an attempt. worker is the worker's
 	// present life, empty when none is known.
-	Prepare(h http.Header, a *model.Attempt, worker model.WorkerID)
-	// ReadAnswer reads the head of an answer to a.
-	ReadAnswer(resp *http.Response, a *model.Attempt) WorkerHead
+	PrepareAttempt(h http.Header, a *model.Attempt, worker model.WorkerID)
+	// ReadResponse reads the head of an answer to a.
+	ReadResponse(resp *http.Response, a *model.Attempt) ResponseHead
 	// ReadHealth reads an answer of the worker's health path.
 	ReadHealth(resp *http.Response, body []byte) WorkerHealth
-	// EndsWithConnection tells whether an answer with neither a length nor chunks
+	// AcceptsCloseDelimited tells whether an answer with neither a length nor chunks
 	// is whole when its connection ends in order, without a reset.
-	EndsWithConnection() bool
+	AcceptsCloseDelimited() bool
 }
 
 // Echo tells whether an answer names the attempt that it belongs to.
@@ -62,14 +62,14 @@
 const (
 	// EchoAbsent: the answer names no attempt.
 	EchoAbsent Echo = iota
-	// EchoRight: it names this one.
-	EchoRight
-	// EchoWrong: it names another, or several.
-	EchoWrong
+	// EchoMatch: it names this one.
+	EchoMatch
+	// EchoMismatch: it names another, or several.
+	EchoMismatch
 )
 
-// WorkerHead is what the head of a worker's answer says.
-type WorkerHead struct {
+// ResponseHead is what the head of a worker's answer says.
+type ResponseHead struct {
 	Echo Echo
 	// NotRun: the worker says that it did not run the attempt and never will.
 	NotRun bool
@@ -78,8 +78,8 @@
 	// RetryAfter is the worker's advice to come back; zero means none.
 	RetryAfter time.Duration
 	Load       WorkerLoad
-	// Life is the worker that answers, where a refusal says; empty otherwise.
-	Life model.WorkerID
+	// Worker is the worker that answers, where a refusal says; empty otherwise.
+	Worker model.WorkerID
 }
 
 // WorkerHealth is what an answer of the health path says.
@@ -101,16 +101,16 @@
 	// Running and Waiting count requests at the worker, Slots how many it runs at
 	// once.
 	Running, Waiting, Slots int
-	// Pace is how long work takes on its machine at this moment, 1 as usual; 0
+	// Slowdown is how long work takes on its machine at this moment, 1 as usual; 0
 	// when it does not say.
-	Pace float64
+	Slowdown float64
 }
 
 // roomyShare is the part of the slots under which a worker that refuses does so for
 // another reason than load.
 const roomyShare = 0.75
 
-// HasRoom tells whether the worker says that it has slots to spare.
-func (l WorkerLoad) HasRoom() bool {
+// HasSpareSlots tells whether the worker says that it has slots to spare.
+func (l WorkerLoad) HasSpareSlots() bool {
 	return l.Known && l.Waiting == 0 && float64(l.Running) < roomyShare*float64(l.Slots)
 }
--- a/internal/dialect/product.go
+++ b/internal/dialect/product.go
@@ -27,8 +27,8 @@
 	return wire.ParseCallerHeaders(h)
 }
 
-// Forward implements Callers.
-func (Product) Forward(h http.Header, remote string) {
+// PrepareForward implements Callers.
+func (Product) PrepareForward(h http.Header, remote string) {
 	h.Del(wire.HeaderIdempotencyKey)
 	if host, _, err := net.SplitHostPort(remote); err == nil {
 		// A copy: the slice is shared with the caller's header.
@@ -36,15 +36,15 @@
 	}
 }
 
-// Answered implements Callers.
-func (Product) Answered(h http.Header, e End) {
+// AnnotateResponse implements Callers.
+func (Product) AnnotateResponse(h http.Header, e Result) {
 	h.Set(wire.HeaderOutcome, e.Outcome.String())
 	setPlace(h, e)
 	h.Add("Via", via)
 }
 
-// Ended implements Callers.
-func (Product) Ended(h, _ http.Header, e End) {
+// WriteFailure implements Callers.
+func (Product) WriteFailure(h, _ http.Header, e Result) {
 	h.Set(wire.HeaderOutcome, e.Outcome.String())
 	h.Set(wire.HeaderReason, e.Reason.String())
 	setPlace(h, e)
@@ -53,7 +53,7 @@
 	}
 }
 
-func setPlace(h http.Header, e End) {
+func setPlace(h http.Header, e Result) {
 	if e.Upstream != "" {
 		h.Set(wire.HeaderUpstream, string(e.Upstream))
 	}
@@ -62,8 +62,8 @@
 	}
 }
 
-// Prepare implements Workers.
-func (Product) Prepare(h http.Header, a *model.Attempt, _ model.WorkerID) {
+// PrepareAttempt implements Workers.
+func (Product) PrepareAttempt(h http.Header, a *model.Attempt, _ model.WorkerID) {
 	h.Set(wire.HeaderAttempt, a.ID.String())
 	h.Set(wire.HeaderIdempotencyKey, string(a.Request))
 	h.Set(wire.HeaderTimeout, strconv.FormatInt(max(a.Remaining.Milliseconds(), 1), 10))
@@ -73,13 +73,13 @@
 	h.Add("Via", via)
 }
 
-// ReadAnswer implements Workers.
-func (Product) ReadAnswer(resp *http.Response, a *model.Attempt) WorkerHead {
-	var head WorkerHead
+// ReadResponse implements Workers.
+func (Product) ReadResponse(resp *http.Response, a *model.Attempt) ResponseHead {
+	var head ResponseHead
 	if echo, present := resp.Header[wire.HeaderAttempt]; present {
-		head.Echo = EchoWrong
+		head.Echo = EchoMismatch
 		if len(echo) == 1 && echo[0] == a.ID.String() {
-			head.Echo = EchoRight
+			head.Echo = EchoMatch
 		}
 	}
 	// A malformed word proves nothing.
@@ -115,6 +115,6 @@
 	return h
 }
 
-// EndsWithConnection implements Workers: a cut answer could not be told from a
+// AcceptsCloseDelimited implements Workers: a cut answer could not be told from a
 // whole one.
-func (Product) EndsWithConnection() bool { return false }
+func (Product) AcceptsCloseDelimited() bool { return false }
--- a/internal/failure/deadly_test.go
+++ b/internal/failure/deadly_test.go
@@ -79,14 +79,14 @@
 	t.Helper()
 	cfg := config(workers)
 	s := &cfg.Services[0]
-	s.Deadly = func(r answer.Request) bool {
+	s.CrashOn = func(r answer.Request) bool {
 		if !deadly(r) {
 			return false
 		}
 		d.record()
 		return true
 	}
-	s.EndsAfter, s.BackAfter = 30*time.Millisecond, restartDelay
+	s.CrashDelay, s.RestartDelay = 30*time.Millisecond, restartDelay
 	return startFleet(t, cfg)
 }
 
@@ -103,7 +103,7 @@
 			return
 		case <-ticker.C:
 		}
-		address := f.Callers()[i%len(f.Callers())]
+		address := f.CallerAddresses()[i%len(f.CallerAddresses())]
 		r := next()
 		wg.Go(func() { c.send(context.WithoutCancel(ctx), address, r) })
 	}
@@ -156,21 +156,21 @@
 			t.Errorf("%s shows no quarantined request", m.ID)
 			continue
 		}
-		if first := quarantined.Requests[0]; !first.PutAside || len(first.Ends) < 2 || first.NextTrial == nil {
+		if first := quarantined.Requests[0]; !first.Quarantined || len(first.Crashes) < 2 || first.NextTrial == nil {
 			t.Errorf("%s shows %+v first; want the deadly request", m.ID, first)
 		}
 	}
 }
 
 // quarantineStatus reads a node's list of quarantined requests from its operator port.
-func quarantineStatus(t *testing.T, m *local.Member) status.Aside {
+func quarantineStatus(t *testing.T, m *local.Member) status.Quarantine {
 	t.Helper()
-	resp, err := http.Get("http://" + m.Node.OperatorAddress() + status.AsidePath)
+	resp, err := http.Get("http://" + m.Node.OperatorAddress() + status.QuarantinePath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	var out status.Aside
+	var out status.Quarantine
 	if err := json.NewDecoder(resp.Body).Decode(&out); err != nil {
 		t.Fatal(err)
 	}
@@ -223,7 +223,7 @@
 			awaitMembers(t, f, "all listed", func(m *local.Member) bool { return len(m.Node.Core().Board.Fleet.Get().Instances) == 11 })
 			deadlyCallers := newCallers(t)
 			for n := range 30 {
-				deadlyCallers.send(t.Context(), f.Callers()[(first+n)%3], deadlyPayout())
+				deadlyCallers.send(t.Context(), f.CallerAddresses()[(first+n)%3], deadlyPayout())
 				pause.For(t.Context(), deadlyInterval)
 			}
 			if all, late := d.counts(); all > 3 || late != 0 {
@@ -296,7 +296,7 @@
 // answer.
 func listSilentNodes(f *local.Fleet, service model.ServiceName, n int) {
 	for i := range n {
-		f.Platform.Put(model.Instance{
+		f.Platform.PutInstance(model.Instance{
 			ID: model.InstanceID(fmt.Sprintf("%s-%d", service, i+1)), Service: service, DataCentre: "silent",
 			PeerAddress: "127.0.0.2:1", State: model.StateLive,
 		})
--- a/internal/failure/process_test.go
+++ b/internal/failure/process_test.go
@@ -217,7 +217,7 @@
 		t.Fatal(err)
 	}
 	go func() { p.exited <- p.cmd.Wait() }()
-	d.platform.Put(model.Instance{ID: p.id, Service: "ledger", DataCentre: "dc1", PeerAddress: p.Peer, State: model.StateLive})
+	d.platform.PutInstance(model.Instance{ID: p.id, Service: "ledger", DataCentre: "dc1", PeerAddress: p.Peer, State: model.StateLive})
 	return p
 }
 
--- a/internal/failure/worker_test.go
+++ b/internal/failure/worker_test.go
@@ -134,7 +134,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			c := newCallers(t)
 			faults(tt.change)
-			c.sendAll(t.Context(), f.Callers(), 240, 24, mixedRequest)
+			c.sendAll(t.Context(), f.CallerAddresses(), 240, 24, mixedRequest)
 			faults(func(f *worker.Faults) { *f = worker.Faults{} })
 			c.check(t, f.Ledger)
 			if c.count(answered) == 0 || c.count(unknown) == 0 {
--- a/internal/fake/listen/listen.go
+++ b/internal/fake/listen/listen.go
@@ -180,8 +180,8 @@
 	l.delay = d
 }
 
-// CutAll resets all open connections.
-func (l *Listener) CutAll() {
+// ResetAll resets all open connections.
+func (l *Listener) ResetAll() {
 	l.mu.Lock()
 	open := make([]*conn, 0, len(l.open))
 	for c := range l.open {
--- a/internal/fake/listen/listen_test.go
+++ b/internal/fake/listen/listen_test.go
@@ -31,7 +31,7 @@
 	}()
 	t.Cleanup(func() {
 		_ = l.Close()
-		l.CutAll()
+		l.ResetAll()
 		<-done
 	})
 	return l
@@ -112,7 +112,7 @@
 	if !echoes(c) {
 		t.Fatal("no answer")
 	}
-	l.CutAll()
+	l.ResetAll()
 	if echoes(c) {
 		t.Error("a cut connection answers")
 	}
--- a/internal/fake/platform/control.go
+++ b/internal/fake/platform/control.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	p.Put(in)
+	p.PutInstance(in)
 	return nil
 }
 
@@ -115,11 +115,11 @@
 	if !ok {
 		return finding.List{{Key: "state", Message: fmt.Sprintf("%q is not a state", change.State)}}
 	}
-	return p.Mark(model.InstanceID(mux.Vars(r)["id"]), state)
+	return p.SetState(model.InstanceID(mux.Vars(r)["id"]), state)
 }
 
 func (p *Platform) removeInstance(r *http.Request, _ []byte) error {
-	return p.Remove(model.InstanceID(mux.Vars(r)["id"]))
+	return p.RemoveInstance(model.InstanceID(mux.Vars(r)["id"]))
 }
 
 func (p *Platform) putSigned(_ *http.Request, body []byte) error {
--- a/internal/fake/platform/platform.go
+++ b/internal/fake/platform/platform.go
@@ -65,8 +65,8 @@
 
 func burst(perSecond float64) int { return max(1, int(perSecond*burstShare)) }
 
-// Put adds an instance to the list or replaces it.
-func (p *Platform) Put(in model.Instance) {
+// PutInstance adds an instance to the list or replaces it.
+func (p *Platform) PutInstance(in model.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.list.add(p.now(), entryOf(in))
@@ -82,8 +82,8 @@
 	}
 }
 
-// Mark changes the state of a listed instance.
-func (p *Platform) Mark(id model.InstanceID, state model.UpstreamState) error {
+// SetState changes the state of a listed instance.
+func (p *Platform) SetState(id model.InstanceID, state model.UpstreamState) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	entry, ok := p.list.latest()[string(id)]
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// Remove takes an instance off the list; changes show it as gone.
-func (p *Platform) Remove(id model.InstanceID) error {
+// RemoveInstance takes an instance off the list; changes show it as gone.
+func (p *Platform) RemoveInstance(id model.InstanceID) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, ok := p.list.latest()[string(id)]; !ok {
--- a/internal/fake/platform/platform_test.go
+++ b/internal/fake/platform/platform_test.go
@@ -75,13 +75,13 @@
 		if list := s.list(t, 0); list.Revision != 0 || !list.Full || len(list.Instances) != 0 {
 			t.Errorf("empty list: %+v", list)
 		}
-		s.Put(instance("a"))
-		s.Put(instance("b"))
-		s.Put(instance("c"))
-		if err := s.Mark("b", model.StateLeaving); err != nil {
+		s.PutInstance(instance("a"))
+		s.PutInstance(instance("b"))
+		s.PutInstance(instance("c"))
+		if err := s.SetState("b", model.StateLeaving); err != nil {
 			t.Fatal(err)
 		}
-		if err := s.Remove("c"); err != nil {
+		if err := s.RemoveInstance("c"); err != nil {
 			t.Fatal(err)
 		}
 		steps := []struct {
@@ -102,7 +102,7 @@
 				t.Errorf("since %d: revision %d full %v %q, want 5 %v %q", step.since, list.Revision, list.Full, states(list), step.full, step.want)
 			}
 		}
-		if err := s.Mark("c", model.StateLive); err == nil {
+		if err := s.SetState("c", model.StateLive); err == nil {
 			t.Error("a removed instance could be marked")
 		}
 	})
@@ -147,7 +147,7 @@
 		if err := s.ChangeFaults(func(f *Faults) { f.ListLagMs = 5000 }); err != nil {
 			t.Fatal(err)
 		}
-		s.Put(instance("a"))
+		s.PutInstance(instance("a"))
 		time.Sleep(5*time.Second - time.Nanosecond)
 		if got := states(s.list(t, 0)); got != "" {
 			t.Errorf("before the lag: %q", got)
@@ -186,12 +186,12 @@
 				t.Errorf("list %q, want %q", got, wantList)
 			}
 		}
-		s.Put(instance("a"))
+		s.PutInstance(instance("a"))
 		publish(1)
 		s.FreezeConfig()
 		s.FreezeList()
 		time.Sleep(time.Second)
-		s.Put(instance("b"))
+		s.PutInstance(instance("b"))
 		publish(2)
 		publish(3)
 		check(1, 1, "a=live")
--- a/internal/fake/worker/call.go
+++ b/internal/fake/worker/call.go
@@ -15,9 +15,9 @@
 	"gypsumstand/internal/wire"
 )
 
-// DepthQuery is the query parameter with the number of calls that a request
+// DepthParam is the query parameter with the number of calls that a request
 // makes one below the other; each call carries one less.
-const DepthQuery = "depth"
+const DepthParam = "depth"
 
 // Bounds of the calls to other services.
 const (
@@ -46,12 +46,12 @@
 // callNext makes the call below a request when its depth asks for one.
 func (w *Worker) callNext(ctx context.Context, job *work) error {
 	query := job.http.URL.Query()
-	depth, err := strconv.Atoi(query.Get(DepthQuery))
+	depth, err := strconv.Atoi(query.Get(DepthParam))
 	if err != nil || depth <= 0 || w.cfg.Node == "" {
 		return nil
 	}
 	w.count(&w.counters.Calls)
-	query.Set(DepthQuery, strconv.Itoa(min(depth, MaxDepth)-1))
+	query.Set(DepthParam, strconv.Itoa(min(depth, MaxCallDepth)-1))
 	if err := w.call(ctx, job, query, depth); err != nil {
 		w.count(&w.counters.CallsFailed)
 		return fmt.Errorf("call at depth %d: %w", depth, err)
--- a/internal/fake/worker/faults.go
+++ b/internal/fake/worker/faults.go
@@ -8,13 +8,13 @@
 	"gypsumstand/internal/finding"
 )
 
-// Cold is how a worker that is starting behaves.
-type Cold uint8
+// ColdMode is how a worker that is starting behaves.
+type ColdMode uint8
 
 // The ways of being cold.
 const (
 	// ColdNone: the worker is warm.
-	ColdNone Cold = iota
+	ColdNone ColdMode = iota
 	// ColdRefuse: connections are refused, as by a process that has not yet
 	// opened its port; going cold cuts the open ones.
 	ColdRefuse
@@ -25,7 +25,7 @@
 var coldNames = [...]string{"none", "refuse", "shed"}
 
 // String returns the name that MarshalText writes.
-func (c Cold) String() string {
+func (c ColdMode) String() string {
 	if int(c) < len(coldNames) {
 		return coldNames[c]
 	}
@@ -33,13 +33,13 @@
 }
 
 // MarshalText implements encoding.TextMarshaler.
-func (c Cold) MarshalText() ([]byte, error) { return []byte(c.String()), nil }
+func (c ColdMode) MarshalText() ([]byte, error) { return []byte(c.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (c *Cold) UnmarshalText(text []byte) error {
+func (c *ColdMode) UnmarshalText(text []byte) error {
 	for i, name := range coldNames {
 		if name == string(text) {
-			*c = Cold(i)
+			*c = ColdMode(i)
 			return nil
 		}
 	}
@@ -49,7 +49,7 @@
 // Faults are the settable faults; the zero value has none. Shares are from 0 to
 // 1 and drawn for each request.
 type Faults struct {
-	Cold Cold `json:"cold"`
+	Cold ColdMode `json:"cold"`
 	// Draining: requests that arrive are answered 503, not run; those that were
 	// admitted are finished; the health endpoint says so.
 	Draining bool `json:"draining"`
@@ -152,7 +152,7 @@
 }
 
 // applyCold opens or closes the worker's listener, if it has one.
-func (w *Worker) applyCold(cold Cold) error {
+func (w *Worker) applyCold(cold ColdMode) error {
 	w.mu.Lock()
 	l := w.listener
 	w.mu.Unlock()
@@ -163,7 +163,7 @@
 		return l.Allow()
 	}
 	err := l.Refuse()
-	l.CutAll()
+	l.ResetAll()
 	return err
 }
 
--- a/internal/fake/worker/serve.go
+++ b/internal/fake/worker/serve.go
@@ -198,11 +198,11 @@
 		return
 	}
 	w.setCold(ColdRefuse)
-	time.AfterFunc(w.cfg.BackAfter, func() { w.setCold(ColdNone) })
+	time.AfterFunc(w.cfg.RestartDelay, func() { w.setCold(ColdNone) })
 }
 
 // setCold changes one fault that passes all checks.
-func (w *Worker) setCold(c Cold) {
+func (w *Worker) setCold(c ColdMode) {
 	// The listener's error comes only once the worker is closed for good.
 	_ = w.ChangeFaults(func(f *Faults) { f.Cold = c })
 }
@@ -233,8 +233,8 @@
 		ctx, cancel = context.WithDeadline(ctx, job.deadline)
 		defer cancel()
 	}
-	if w.cfg.Deadly != nil && w.cfg.Deadly(job.request) {
-		pause.For(context.Background(), w.cfg.EndsAfter)
+	if w.cfg.CrashOn != nil && w.cfg.CrashOn(job.request) {
+		pause.For(context.Background(), w.cfg.CrashDelay)
 		w.end()
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/fake/worker/worker.go
+++ b/internal/fake/worker/worker.go
@@ -23,8 +23,8 @@
 	DefaultSlots      = 20
 	defaultQueueMs    = 1000
 	defaultQueueLimit = 64
-	// MaxDepth bounds a path of calls.
-	MaxDepth = 10
+	// MaxCallDepth bounds a path of calls.
+	MaxCallDepth = 10
 )
 
 // Paths that measure the worker; all others are work.
@@ -57,10 +57,10 @@
 	// Deadly, when not nil, picks requests that end the worker's process some time after
 	// it began to run one: its port closes with all connections, until it is back. The
 	// worker needs the server of NewServer for it.
-	Deadly func(answer.Request) bool
-	// EndsAfter is the time from a deadly run's start to the end, BackAfter the time from
+	CrashOn func(answer.Request) bool
+	// CrashDelay is the time from a deadly run's start to the end, RestartDelay the time from
 	// then until the worker is back.
-	EndsAfter, BackAfter time.Duration
+	CrashDelay, RestartDelay time.Duration
 }
 
 // Worker is the stand-in. Its methods are safe for concurrent use.
--- a/internal/load/send.go
+++ b/internal/load/send.go
@@ -31,7 +31,7 @@
 func (r *request) target() string {
 	query := url.Values{uniqueQuery: {r.unique}}
 	if r.stream.Depth > 0 {
-		query.Set(worker.DepthQuery, strconv.Itoa(r.stream.Depth))
+		query.Set(worker.DepthParam, strconv.Itoa(r.stream.Depth))
 	}
 	return r.stream.Path + "?" + query.Encode()
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -83,8 +83,8 @@
 	// not block.
 	OnCall func(server.CallRecord)
 	Log    zerolog.Logger
-	// Requests takes the log lines about single requests.
-	Requests zerolog.Logger
+	// RequestLog takes the log lines about single requests.
+	RequestLog zerolog.Logger
 }
 
 // Directory is a source of instances and configuration. Its methods may be called by
@@ -237,7 +237,7 @@
 		Worker:             n.worker,
 		ConnectionObserved: n.watch.traffic,
 
-		RequestLog:         &n.cfg.Requests,
+		RequestLog:         &n.cfg.RequestLog,
 		RefreshLoad:        n.watch.refresh,
 		DirectoryFreshness: n.mark,
 		WorkerIdentified:   n.watch.said,
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -19,7 +19,7 @@
 
 // makeServers wires the handlers of the three ports.
 func (n *Node) makeServers() {
-	bounds := &callerBounds{inForce: n.callerBounds, log: &n.cfg.Requests}
+	bounds := &callerBounds{inForce: n.callerBounds, log: &n.cfg.RequestLog}
 	n.ports.caller = callerListener{n.ports.caller, bounds}
 	n.ports.callerHTTP = n.httpServer(n.callerRoutes())
 	n.ports.callerHTTP.ConnState = bounds.state
@@ -39,7 +39,7 @@
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       n.cfg.IdleTimeout,
 		MaxHeaderBytes:    n.cfg.MaxHeaderBytes,
-		ErrorLog:          log.New(serverErrors{&n.cfg.Requests}, "", 0),
+		ErrorLog:          log.New(serverErrors{&n.cfg.RequestLog}, "", 0),
 	}
 }
 
@@ -72,7 +72,7 @@
 		Forwarder:          n.forwarder,
 		Resolver:           n.settler,
 		Recorder:           recorder{n},
-		RequestLog:         &n.cfg.Requests,
+		RequestLog:         &n.cfg.RequestLog,
 		BundleReported:     n.seen,
 		FreshnessReported:  n.ownerHeard,
 		DirectoryFreshness: n.mark,
@@ -83,7 +83,7 @@
 		Dialect:            n.cfg.Callers,
 		Service:            n.cfg.Service,
 		Leaving:            n.leaving,
-		ExtendRetryAfter:   n.returns,
+		LimitRetryAfter:    n.returns,
 	}
 	r := newRouter()
 	r.PathPrefix("/").Handler(caller)
@@ -132,7 +132,7 @@
 	r.Path("/healthz").HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	r.Path("/readyz").HandlerFunc(n.serveReady)
 	r.Path(status.NodePath).Methods(http.MethodGet).HandlerFunc(n.serveStatus)
-	r.Path(status.AsidePath).Methods(http.MethodGet).HandlerFunc(n.serveAside)
+	r.Path(status.QuarantinePath).Methods(http.MethodGet).HandlerFunc(n.serveAside)
 	r.Path(status.ExplainPath).Methods(http.MethodGet).HandlerFunc(n.serveExplain)
 	return r
 }
--- a/internal/node/servers_test.go
+++ b/internal/node/servers_test.go
@@ -15,7 +15,7 @@
 func TestAHandlersPanicIsLoggedAndBounded(t *testing.T) {
 	var out bytes.Buffer
 	n := &Node{}
-	n.cfg.Requests = zerolog.New(&out)
+	n.cfg.RequestLog = zerolog.New(&out)
 	s := httptest.NewUnstartedServer(nil)
 	s.Config = n.httpServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		panic("the cause " + strings.Repeat("x", 2*maxServerError))
--- a/internal/owner/slowdown.go
+++ b/internal/owner/slowdown.go
@@ -136,13 +136,13 @@
 // ObserveLoad records the load that the worker reported and returns decisions on queued
 // attempts.
 func (o *Owner) ObserveLoad(now time.Time, l dialect.WorkerLoad) []Decision {
-	if !l.Known || l.Pace <= 0 {
+	if !l.Known || l.Slowdown <= 0 {
 		return nil
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.clock(now)
-	if o.slowdown.observe(t, l.Pace) {
+	if o.slowdown.observe(t, l.Slowdown) {
 		o.dispatch(t)
 	}
 	return o.takeDecisions()
--- a/internal/owner/slowdown_test.go
+++ b/internal/owner/slowdown_test.go
@@ -10,7 +10,7 @@
 
 // observeSlowdown reports the worker's slowdown to the owner.
 func (r *rig) observeSlowdown(slowdown float64) {
-	r.decided = append(r.decided, r.o.ObserveLoad(r.now, dialect.WorkerLoad{Known: true, Pace: slowdown})...)
+	r.decided = append(r.decided, r.o.ObserveLoad(r.now, dialect.WorkerLoad{Known: true, Slowdown: slowdown})...)
 }
 
 // learnService makes the owner expect a service time.
--- a/internal/server/caller.go
+++ b/internal/server/caller.go
@@ -81,9 +81,9 @@
 	AttemptUnanswered func(in model.Instance, reason model.Reason)
 	// UnreachableSignal tells attempts that their owner is out of reach.
 	UnreachableSignal *UnreachableSignal
-	// ExtendRetryAfter changes advice to come back so that the node can still be reached then, where it
+	// LimitRetryAfter changes advice to come back so that the node can still be reached then, where it
 	// is about to stop; nil leaves it as it is.
-	ExtendRetryAfter func(after time.Duration) time.Duration
+	LimitRetryAfter func(after time.Duration) time.Duration
 	// Leaving tells whether callers are to be sent away (Connection: close).
 	Leaving func() bool
 	// Quarantine tells which requests reach no worker.
@@ -110,12 +110,12 @@
 		return
 	}
 	if most := target.Bundle.Callers.MaxHeaderBytes; most > 0 && headerBytes(r) > most {
-		c.refuseEarly(w, r, http.StatusRequestHeaderFieldsTooLarge, dialect.End{
+		c.refuseEarly(w, r, http.StatusRequestHeaderFieldsTooLarge, dialect.Result{
 			Outcome: model.OutcomeNotRun, Reason: model.ReasonBadRequest, Bundle: target.Bundle.VersionID(),
 		})
 		return
 	}
-	end := dialect.End{Outcome: model.OutcomeNotRun, Reason: model.ReasonBadRequest, Bundle: target.Bundle.VersionID()}
+	end := dialect.Result{Outcome: model.OutcomeNotRun, Reason: model.ReasonBadRequest, Bundle: target.Bundle.VersionID()}
 	headers, err := c.Dialect.ReadRequest(r.Header)
 	if err != nil {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -154,17 +154,17 @@
 // earlier sending of the caller's own id was not run.
 func (c *CallerHandler) refuseUnrouted(w http.ResponseWriter, r *http.Request) {
 	if ready := c.Board.Readiness.Get(); ready != nil && ready.Ready {
-		c.refuseEarly(w, r, http.StatusNotFound, dialect.End{Outcome: model.OutcomeNotRun, Reason: model.ReasonNoRoute})
+		c.refuseEarly(w, r, http.StatusNotFound, dialect.Result{Outcome: model.OutcomeNotRun, Reason: model.ReasonNoRoute})
 		return
 	}
-	end := dialect.End{Outcome: model.OutcomeNotRun, Reason: model.ReasonNotReady, RetryAfter: notReadyRetry}
+	end := dialect.Result{Outcome: model.OutcomeNotRun, Reason: model.ReasonNotReady, RetryAfter: notReadyRetry}
 	if r.Header.Get(wire.HeaderIdempotencyKey) != "" {
 		end.Outcome = model.OutcomeUnknown
 	}
 	c.refuseEarly(w, r, http.StatusServiceUnavailable, end)
 }
 
-func (c *CallerHandler) refuseBody(w http.ResponseWriter, r *http.Request, err error, end dialect.End) {
+func (c *CallerHandler) refuseBody(w http.ResponseWriter, r *http.Request, err error, end dialect.Result) {
 	if errors.Is(err, errBodyTooLarge) {
 		w.Header().Set("Connection", "close")
 		end.Reason = model.ReasonBodyTooLarge
@@ -237,8 +237,8 @@
 }
 
 // endWith tells the caller an outcome without an answer.
-func (c *CallerHandler) endWith(w http.ResponseWriter, r *http.Request, status int, e dialect.End) {
-	c.Dialect.Ended(w.Header(), r.Header, e)
+func (c *CallerHandler) endWith(w http.ResponseWriter, r *http.Request, status int, e dialect.Result) {
+	c.Dialect.WriteFailure(w.Header(), r.Header, e)
 	w.WriteHeader(status)
 }
 
@@ -248,7 +248,7 @@
 const refusedBodyTime = 500 * time.Millisecond
 
 // refuseEarly ends a request that was never placed.
-func (c *CallerHandler) refuseEarly(w http.ResponseWriter, r *http.Request, status int, e dialect.End) {
+func (c *CallerHandler) refuseEarly(w http.ResponseWriter, r *http.Request, status int, e dialect.Result) {
 	limitReading(w, r, time.Now().Add(refusedBodyTime))
 	c.endWith(w, r, status, e)
 	// What cannot be read names no request.
--- a/internal/server/carrier_test.go
+++ b/internal/server/carrier_test.go
@@ -82,7 +82,7 @@
 			c, step := panickingCarrier(now, &log)
 			step.HedgeAt = hedgeAt
 			result, heard, err := c.attemptHedged(t.Context(), step)
-			var panicked *task.Panicked
+			var panicked *task.PanicError
 			if result.Response != nil || heard || !errors.As(err, &panicked) || panicked.Value != "the cause" {
 				t.Errorf("%+v, heard %v, error %v", result, heard, err)
 			}
--- a/internal/server/exchange.go
+++ b/internal/server/exchange.go
@@ -73,13 +73,13 @@
 		c.drop()
 		step.Outcome, step.Reason = model.OutcomeUnknown, model.ReasonExpired
 	}
-	if x.caller.ExtendRetryAfter != nil {
-		step.RetryAfter = x.caller.ExtendRetryAfter(step.RetryAfter)
+	if x.caller.LimitRetryAfter != nil {
+		step.RetryAfter = x.caller.LimitRetryAfter(step.RetryAfter)
 	}
 	outcome := step.Outcome
 	status := statusOf(step)
 	defer func() { x.record(c, outcome, step.Reason, status, attempts) }()
-	end := dialect.End{
+	end := dialect.Result{
 		Outcome: step.Outcome, Reason: step.Reason, RetryAfter: step.RetryAfter,
 		Upstream: c.upstream, Bundle: x.target.Bundle.VersionID(),
 	}
@@ -96,13 +96,13 @@
 }
 
 // answer sends the answer on; an error means that the caller sees it broken off.
-func (x *exchange) answer(held *heldAnswer, end dialect.End) error {
+func (x *exchange) answer(held *heldAnswer, end dialect.Result) error {
 	a := held.answer
 	defer a.Body.Close()
 	x.limitAnswer(held)
 	h := x.w.Header()
 	copyInto(h, a.Header)
-	x.caller.Dialect.Answered(h, end)
+	x.caller.Dialect.AnnotateResponse(h, end)
 	length := a.ContentLength
 	if held.whole && x.r.Method != http.MethodHead {
 		length = int64(len(held.start))
@@ -175,6 +175,6 @@
 // outgoingHeader returns the caller's end-to-end headers and whence they came.
 func (x *exchange) outgoingHeader() http.Header {
 	h := endToEnd(x.r.Header)
-	x.caller.Dialect.Forward(h, x.r.RemoteAddr)
+	x.caller.Dialect.PrepareForward(h, x.r.RemoteAddr)
 	return h
 }
--- a/internal/server/executorrun.go
+++ b/internal/server/executorrun.go
@@ -35,7 +35,7 @@
 		return x.failed(ctx, asked, started, proof.NotRun())
 	}
 	x.traffic(false)
-	head := x.dialect.ReadAnswer(resp, &w.Attempt)
+	head := x.dialect.ReadResponse(resp, &w.Attempt)
 	x.Deliver(x.owner.ObserveLoad(time.Now(), head.Load))
 	if refusal, ok := x.checkHead(w, resp, head); !ok {
 		proof.CloseConn()
@@ -44,14 +44,14 @@
 		x.finish(w.Attempt.ID, owner.Completion{ServiceTime: time.Since(started), Failed: true})
 		return Result{Refusal: refusal}
 	}
-	if head.Life != "" && x.said != nil {
-		x.said(head.Life)
+	if head.Worker != "" && x.said != nil {
+		x.said(head.Worker)
 	}
 	if head.NotRun {
 		defer cancel()
 		defer resp.Body.Close()
 		shed := head.Refusal == model.ReasonWorkerShed
-		whim := shed && head.Load.HasRoom()
+		whim := shed && head.Load.HasSpareSlots()
 		x.finish(w.Attempt.ID, owner.Completion{
 			ServiceTime: time.Since(started), NotRun: true, Delegate: true,
 			Shed: shed && !whim, SpuriousRefusal: whim, Abandoned: !shed, Status: resp.StatusCode,
@@ -147,15 +147,15 @@
 // checkHead refuses crossed answers, those whose wholeness cannot be known, and a
 // switch of protocols, which no request asked for (RFC 9110, section 15.2.2) and
 // whose body would end with the connection only.
-func (x *Executor) checkHead(w *AttemptMessage, resp *http.Response, head dialect.WorkerHead) (model.Refusal, bool) {
+func (x *Executor) checkHead(w *AttemptMessage, resp *http.Response, head dialect.ResponseHead) (model.Refusal, bool) {
 	broken := model.Refusal{Reason: model.ReasonWorkerBroken}
-	if head.Echo == dialect.EchoWrong || head.Echo == dialect.EchoAbsent && x.echo.Load() {
+	if head.Echo == dialect.EchoMismatch || head.Echo == dialect.EchoAbsent && x.echo.Load() {
 		return broken, false
 	}
 	if resp.StatusCode < http.StatusOK {
 		return broken, false
 	}
-	if !x.dialect.EndsWithConnection() && upstream.CheckFraming(resp, w.Method) != nil {
+	if !x.dialect.AcceptsCloseDelimited() && upstream.CheckFraming(resp, w.Method) != nil {
 		return broken, false
 	}
 	return model.Refusal{}, true
@@ -171,7 +171,7 @@
 	u := *w.URL
 	u.Scheme, u.Host = "http", x.address
 	req := w.request(ctx, &u)
-	x.dialect.Prepare(req.Header, &w.Attempt, x.worker())
+	x.dialect.PrepareAttempt(req.Header, &w.Attempt, x.worker())
 	return req
 }
 
--- a/internal/soak/alone.go
+++ b/internal/soak/alone.go
@@ -94,14 +94,14 @@
 		return err
 	}
 	for i := range f.silent {
-		f.store.PutWorker(standin.Entry{
+		f.store.PutWorker(standin.WorkerEntry{
 			ID: silentID(i), Service: serviceArchive, Zone: fmt.Sprintf("dc-%d", i%3),
-			Address: net.JoinHostPort(ip(networkSilent, i), "80"), State: names.Ready, Slots: workerSlots,
+			Address: net.JoinHostPort(ip(networkSilent, i), "80"), State: names.StateReady, Slots: workerSlots,
 		})
 	}
 	sleep(ctx, t.lasts)
 	for i := range f.silent {
-		f.store.Remove(names.Workers + silentID(i))
+		f.store.Remove(names.WorkerKeyPrefix + silentID(i))
 	}
 	return nil
 }
--- a/internal/soak/configuration.go
+++ b/internal/soak/configuration.go
@@ -92,7 +92,7 @@
 		for _, p := range parts {
 			texts = append(texts, fmt.Sprintf(`{"service":%q,"weight":%d}`, p.service, p.weight))
 		}
-		leads = fmt.Sprintf(`%q:[%s]`, names.Split, strings.Join(texts, ","))
+		leads = fmt.Sprintf(`%q:[%s]`, names.TrafficSplitField, strings.Join(texts, ","))
 	}
 	return fmt.Sprintf(`{"name":%q,"host":"shop.example","prefix":"/%s/","kind":%q,"timeout_ms":%d,"target_latency_ms":400,"priority":1,"max_attempts":3,%s}`,
 		class, class, kind, routeTimeout.Milliseconds(), leads)
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -135,7 +135,7 @@
 	for _, r := range l.order {
 		if r.deadly() {
 			for _, run := range r.runs {
-				runs[r.class] = append(runs[r.class], run.At)
+				runs[r.class] = append(runs[r.class], run.StartedAt)
 			}
 		}
 	}
@@ -162,7 +162,7 @@
 // lateDeadly tells whether a run of a deadly request came although the machines that sent it
 // had been in touch since its third end.
 func (l *ledger) lateDeadly(third time.Time, r *request, run standin.Run) bool {
-	at := run.At
+	at := run.StartedAt
 	if at.Sub(third) <= touchTime || !l.remembered(third, at) {
 		return false
 	}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -189,7 +189,7 @@
 		return err
 	}
 	f.machines = append(f.machines, m)
-	m.list(names.Ready)
+	m.list(names.StateReady)
 	return m.writeSettings()
 }
 
@@ -236,13 +236,13 @@
 // list writes the worker's entry.
 func (m *machine) list(state string) { m.fleet.store.PutWorker(m.entry(state)) }
 
-func (m *machine) entry(state string) standin.Entry {
+func (m *machine) entry(state string) standin.WorkerEntry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return standin.Entry{
+	return standin.WorkerEntry{
 		ID: m.worker.ID(), Service: m.service, Zone: zoneOf(m.index),
-		Address: net.JoinHostPort(ip(networkPeer, m.index), "80"), State: state, Born: int64(m.born), Slots: workerSlots,
-		ColdLeftMs: m.worker.ColdLeft().Milliseconds(),
+		Address: net.JoinHostPort(ip(networkPeer, m.index), "80"), State: state, Started: int64(m.born), Slots: workerSlots,
+		ColdLeftMs: m.worker.ColdRemaining().Milliseconds(),
 	}
 }
 
@@ -353,14 +353,14 @@
 
 // nextLife ends the worker's life, whose entry goes, and begins another.
 func (m *machine) nextLife() {
-	m.fleet.store.Remove(names.Workers + m.worker.ID())
+	m.fleet.store.Remove(names.WorkerKeyPrefix + m.worker.ID())
 	m.mu.Lock()
 	m.lives++
 	id := m.lifeID()
 	m.mu.Unlock()
 	m.worker.Restart(id)
 	m.chill(coldAfterStart)
-	m.list(names.Ready)
+	m.list(names.StateReady)
 }
 
 // crash ends the worker's life; it starts again under the same id.
@@ -370,7 +370,7 @@
 	m.mu.Unlock()
 	m.worker.Restart(m.worker.ID())
 	m.chill(coldAfterStart)
-	m.list(names.Ready)
+	m.list(names.StateReady)
 }
 
 // configure writes the next configuration.
@@ -378,7 +378,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.version++
-	f.store.Put(names.Config, configuration(f.version, f.coldWorkers))
+	f.store.Put(names.ConfigKey, configuration(f.version, f.coldWorkers))
 	f.ledger.configured(f.version)
 	if ctx.Err() == nil {
 		f.watchVersion(ctx, f.version)
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -127,8 +127,8 @@
 		l.note("route", "%s (%s) is run by %s", r.id, r.class, run.Service)
 	}
 	l.checkEvacuated(r, run)
-	if at, ok := l.drained[run.Worker]; ok && run.At.Sub(at) > drainTime && l.inTouch(workerMachine(run.Worker), at, run.At) {
-		l.note("drain", "%s reaches %s %s after it was listed as draining", r.id, run.Worker, run.At.Sub(at))
+	if at, ok := l.drained[run.Worker]; ok && run.StartedAt.Sub(at) > drainTime && l.inTouch(workerMachine(run.Worker), at, run.StartedAt) {
+		l.note("drain", "%s reaches %s %s after it was listed as draining", r.id, run.Worker, run.StartedAt.Sub(at))
 	}
 }
 
@@ -286,7 +286,7 @@
 		first = append(first, r.sent)
 		for i, run := range r.runs {
 			if i > 0 {
-				extra = append(extra, run.At)
+				extra = append(extra, run.StartedAt)
 			}
 		}
 	}
--- a/internal/soak/ledger_test.go
+++ b/internal/soak/ledger_test.go
@@ -20,7 +20,7 @@
 func served(id, class, service string, sent time.Duration) *request {
 	return &request{
 		id: id, class: class, service: service, sent: at(sent), ended: at(sent + 20*time.Millisecond), status: http.StatusOK,
-		runs: []standin.Run{{ID: id, Service: service, Worker: "w1-0", At: at(sent + time.Millisecond)}},
+		runs: []standin.Run{{ID: id, Service: service, Worker: "w1-0", StartedAt: at(sent + time.Millisecond)}},
 	}
 }
 
@@ -96,7 +96,7 @@
 		"drain": func(l *ledger) {
 			l.drained["w1-0"] = began
 			l.add(&request{id: "x", class: "order", service: serviceOrders})
-			l.ran(standin.Run{ID: "x", Service: serviceOrders, Worker: "w1-0", At: at(drainTime + time.Second)})
+			l.ran(standin.Run{ID: "x", Service: serviceOrders, Worker: "w1-0", StartedAt: at(drainTime + time.Second)})
 		},
 		"deadly": func(l *ledger) { l.addDeadly() },
 		"config: machine 1 has": func(l *ledger) {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -108,8 +108,8 @@
 // hasColdWorkers tells whether workers are cold after their start in plans of the version.
 func (v PlanVersion) hasColdWorkers() bool { return v == PlanNewest || v == PlanZones }
 
-// Known tells whether there is such a version.
-func (v PlanVersion) Known() bool { return kindsOf[v] != nil }
+// Valid tells whether there is such a version.
+func (v PlanVersion) Valid() bool { return kindsOf[v] != nil }
 
 // trouble is one thing that goes wrong.
 type trouble struct {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -40,22 +40,22 @@
 	Violations []string
 	Requests   int
 	Served     int
-	// Delays are the times that versions took to be in force at machines in touch, in
+	// ApplyDelays are the times that versions took to be in force at machines in touch, in
 	// order.
-	Delays []time.Duration
-	// Calls counts the calls to the store, Took is how long the soak took.
-	Calls int
-	Took  time.Duration
+	ApplyDelays []time.Duration
+	// StoreCalls counts the calls to the store, Took is how long the soak took.
+	StoreCalls int
+	Elapsed    time.Duration
 }
 
-// Applied words how long configurations took to be in force.
-func (r Report) Applied() string {
-	n := len(r.Delays)
+// ApplySummary words how long configurations took to be in force.
+func (r Report) ApplySummary() string {
+	n := len(r.ApplyDelays)
 	if n == 0 {
 		return "no configuration at a machine in touch"
 	}
 	return fmt.Sprintf("configurations at machines in touch: %d, median %s, longest %s; %.1f calls to the store a second",
-		n, r.Delays[n/2].Round(time.Millisecond), r.Delays[n-1].Round(time.Millisecond), float64(r.Calls)/r.Took.Seconds())
+		n, r.ApplyDelays[n/2].Round(time.Millisecond), r.ApplyDelays[n-1].Round(time.Millisecond), float64(r.StoreCalls)/r.Elapsed.Seconds())
 }
 
 // clientsPerMachine send one request after the other.
@@ -91,7 +91,7 @@
 	stopClients()
 	clients.Wait()
 	f.watching.Wait()
-	report := Report{Plan: p.String(), Violations: l.check(), Requests: len(l.order), Delays: l.delays, Calls: f.store.Calls(), Took: time.Since(began)}
+	report := Report{Plan: p.String(), Violations: l.check(), Requests: len(l.order), ApplyDelays: l.delays, StoreCalls: f.store.Calls(), Elapsed: time.Since(began)}
 	for _, r := range l.order {
 		if r.status == http.StatusOK {
 			report.Served++
@@ -202,14 +202,14 @@
 		defer f.ledger.begin(-1, false)()
 		faults := standin.StoreFaults{Status: http.StatusServiceUnavailable}
 		if t.machine%2 == 0 {
-			faults = standin.StoreFaults{Silent: true}
+			faults = standin.StoreFaults{Hang: true}
 		}
 		if t.kind == kindStoreSlow {
 			faults = standin.StoreFaults{Delay: 400 * time.Millisecond}
 		}
-		f.store.Misbehave(faults)
+		f.store.SetFaults(faults)
 		sleep(ctx, t.lasts)
-		f.store.Misbehave(standin.StoreFaults{})
+		f.store.SetFaults(standin.StoreFaults{})
 		return
 	case kindTerm, kindHangUp:
 		defer f.ledger.begin(t.machine, true)()
@@ -253,7 +253,7 @@
 
 func (m *machine) drain(ctx context.Context) {
 	life := m.worker.ID()
-	m.list(names.Draining)
+	m.list(names.StateDraining)
 	m.fleet.ledger.draining(life)
 	sleep(ctx, drainLife)
 	if m.worker.ID() == life {
@@ -265,16 +265,16 @@
 // an unknown service beside it.
 func (m *machine) replaceEntry(ctx context.Context, t trouble) {
 	id := m.worker.ID()
-	m.fleet.store.Put(names.Workers+id, standin.ForeignValues[int(t.lasts)%len(standin.ForeignValues)])
+	m.fleet.store.Put(names.WorkerKeyPrefix+id, standin.InvalidWorkerValues[int(t.lasts)%len(standin.InvalidWorkerValues)])
 	m.fleet.ledger.draining(id)
-	beside := m.entry(names.Ready)
+	beside := m.entry(names.StateReady)
 	beside.ID, beside.Service = "beside-"+id, "nobody"
 	m.fleet.store.PutWorker(beside)
 	sleep(ctx, t.lasts)
-	m.fleet.store.Remove(names.Workers + beside.ID)
+	m.fleet.store.Remove(names.WorkerKeyPrefix + beside.ID)
 	if m.worker.ID() == id {
 		m.fleet.ledger.listed(id)
-		m.list(names.Ready)
+		m.list(names.StateReady)
 	}
 }
 
@@ -327,11 +327,11 @@
 	case kindStoreCut:
 		m.storeWire.set(wire{cutTo: true, cutFrom: true})
 	case kindAnswers:
-		m.setSpoil(standin.Misbehaviours[int(t.lasts)%len(standin.Misbehaviours)])
+		m.setSpoil(standin.ResponseFaults[int(t.lasts)%len(standin.ResponseFaults)])
 	case kindShed:
-		m.worker.Shed(true)
+		m.worker.SetShedding(true)
 	case kindPace:
-		m.worker.Pace(400)
+		m.worker.SetSlowdown(400)
 	}
 }
 
@@ -345,9 +345,9 @@
 	case kindAnswers:
 		m.setSpoil("")
 	case kindShed:
-		m.worker.Shed(false)
+		m.worker.SetShedding(false)
 	case kindPace:
-		m.worker.Pace(100)
+		m.worker.SetSlowdown(100)
 	default:
 		for _, p := range []*proxy{m.peerWire, m.storeWire, m.workerWire} {
 			p.set(wire{})
@@ -435,5 +435,5 @@
 	} else if body == nil {
 		body = []byte{}
 	}
-	c.fleet.ledger.answered(r, resp, body, func(service string) string { return standin.Body(service, http.MethodPost, uri, text) })
+	c.fleet.ledger.answered(r, resp, body, func(service string) string { return standin.ResponseBody(service, http.MethodPost, uri, text) })
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -34,7 +34,7 @@
 	for _, v := range report.Violations {
 		t.Errorf("seed %d: %s", cfg.Seed, v)
 	}
-	t.Logf("seed %d: %d of %d requests served; %s", cfg.Seed, report.Served, report.Requests, report.Applied())
+	t.Logf("seed %d: %d of %d requests served; %s", cfg.Seed, report.Served, report.Requests, report.ApplySummary())
 	return report
 }
 
@@ -48,7 +48,7 @@
 // With all others stopped a node waited for them to read, and a part of weight 0 got requests.
 func TestAMachineThatIsLeftAloneTakesChangesInTime(t *testing.T) {
 	report := play(t, Config{Program: buildNode(t), Seed: 1, Machines: 10, Length: 30 * time.Second, Plan: PlanSpared})
-	if !strings.Contains(report.Plan, string(kindAlone)) || len(report.Delays) == 0 {
+	if !strings.Contains(report.Plan, string(kindAlone)) || len(report.ApplyDelays) == 0 {
 		t.Errorf("nobody was left alone, or nothing was measured:\n%s", report.Plan)
 	}
 }
--- a/internal/soak/versions.go
+++ b/internal/soak/versions.go
@@ -259,8 +259,8 @@
 	if len(r.runs) == 0 || version == 0 || at.number == 0 {
 		return
 	}
-	first := slices.MinFunc(r.runs, func(a, b standin.Run) int { return a.At.Compare(b.At) })
-	l.seen[at] = append(l.seen[at], seen{first.At, version})
+	first := slices.MinFunc(r.runs, func(a, b standin.Run) int { return a.StartedAt.Compare(b.StartedAt) })
+	l.seen[at] = append(l.seen[at], seen{first.StartedAt, version})
 }
 
 // seenBefore returns the newest version that a process had shown in force when a request
--- a/internal/soak/zones.go
+++ b/internal/soak/zones.go
@@ -52,7 +52,7 @@
 // chill makes a worker cold, where the plan has cold workers.
 func (m *machine) chill(d time.Duration) {
 	if m.fleet.coldWorkers {
-		m.worker.Chill(d)
+		m.worker.SetCold(d)
 	}
 }
 
@@ -71,11 +71,11 @@
 func (l *ledger) checkEvacuated(r *request, run standin.Run) {
 	machine := workerMachine(run.Worker)
 	at, on := l.evacuations[zoneOf(machine)]
-	if !on || run.At.Sub(at) <= evacuateTime {
+	if !on || run.StartedAt.Sub(at) <= evacuateTime {
 		return
 	}
-	if l.inTouch(r.machine, run.At, run.At) && l.inTouch(machine, run.At, run.At) {
-		l.note("evacuated", "%s reaches %s %s after the evacuation of %s", r.id, run.Worker, run.At.Sub(at), zoneOf(machine))
+	if l.inTouch(r.machine, run.StartedAt, run.StartedAt) && l.inTouch(machine, run.StartedAt, run.StartedAt) {
+		l.note("evacuated", "%s reaches %s %s after the evacuation of %s", r.id, run.Worker, run.StartedAt.Sub(at), zoneOf(machine))
 	}
 }
 
@@ -108,7 +108,7 @@
 	for _, r := range l.order {
 		for _, run := range r.runs {
 			if run.Cold {
-				runs[run.Worker] = append(runs[run.Worker], run.At)
+				runs[run.Worker] = append(runs[run.Worker], run.StartedAt)
 			}
 		}
 	}
--- a/internal/wire/headers.go
+++ b/internal/wire/headers.go
@@ -45,8 +45,8 @@
 	HeaderReport = "Gypsum-Report"
 	// HeaderRefusal is the model.Reason of an owner's refusal.
 	HeaderRefusal = "Gypsum-Refusal"
-	// HeaderRefusalHome is the instance at whose owner alone a refused attempt may run.
-	HeaderRefusalHome = "Gypsum-Refusal-Home"
+	// HeaderRefusalOnlyOwner is the instance at whose owner alone a refused attempt may run.
+	HeaderRefusalOnlyOwner = "Gypsum-Refusal-Home"
 	// HeaderRefusalGranted is "true" when the attempt there is to say model.Attempt.Lent.
 	HeaderRefusalGranted = "Gypsum-Refusal-Lent"
 	// HeaderNotRun is "true" when the sender proves that it did not run the
--- a/internal/wire/headers_test.go
+++ b/internal/wire/headers_test.go
@@ -172,7 +172,7 @@
 		"odd not-run":     {HeaderRefusal: {"leaving"}, HeaderNotRun: {"yes"}},
 		"two not-run":     {HeaderRefusal: {"leaving"}, HeaderNotRun: {"true", "false"}},
 		"odd lent":        {HeaderRefusal: {"leaving"}, HeaderNotRun: {"true"}, HeaderRefusalGranted: {"yes"}},
-		"two homes":       {HeaderRefusal: {"leaving"}, HeaderNotRun: {"true"}, HeaderRefusalHome: {"a", "b"}},
+		"two homes":       {HeaderRefusal: {"leaving"}, HeaderNotRun: {"true"}, HeaderRefusalOnlyOwner: {"a", "b"}},
 		"bad retry-after": {HeaderRefusal: {"leaving"}, HeaderNotRun: {"true"}, HeaderRetryAfterMs: {"-1"}},
 	}
 	for name, h := range tests {
--- a/internal/wire/refusal.go
+++ b/internal/wire/refusal.go
@@ -23,7 +23,7 @@
 		h.Set(HeaderRetryAfterMs, strconv.FormatInt(int64(ms), 10))
 	}
 	if r.OnlyOwner != "" {
-		h.Set(HeaderRefusalHome, string(r.OnlyOwner))
+		h.Set(HeaderRefusalOnlyOwner, string(r.OnlyOwner))
 	}
 	if r.Granted {
 		h.Set(HeaderRefusalGranted, flagTrue)
@@ -50,7 +50,7 @@
 	if err != nil {
 		return model.Refusal{Reason: reason}, true, err
 	}
-	home, _, err := single(h, HeaderRefusalHome)
+	home, _, err := single(h, HeaderRefusalOnlyOwner)
 	if err != nil {
 		return model.Refusal{Reason: reason}, true, err
 	}
