--- a/internal/bundle/bench_test.go
+++ b/internal/bundle/bench_test.go
@@ -12,8 +12,7 @@
 	"gypsumstand/internal/model"
 )
 
-// Size of the fleet that the benchmarks stand for: 630 services, one bundle
-// for every ten of them.
+// Size of the fleet in the benchmarks: 630 services, ten in each bundle.
 const (
 	benchServices = 630
 	benchBundles  = 63
@@ -46,27 +45,27 @@
 	return paths
 }
 
-// compare times fast in the benchmark loop and slow for as many rounds as it
-// needs to be measurable, and reports slow over fast.
-func compare(b *testing.B, fast, slow func(i int)) {
-	const slowRounds = 20_000
+// benchmarkAgainstLinear times indexed in the benchmark loop and linear for enough rounds
+// to be measurable, and reports the ratio linear/indexed.
+func benchmarkAgainstLinear(b *testing.B, indexed, linear func(i int)) {
+	const linearRounds = 20_000
 	begin := time.Now()
-	for i := range slowRounds {
-		slow(i)
+	for i := range linearRounds {
+		linear(i)
 	}
-	slowTime := float64(time.Since(begin)) / slowRounds
+	linearTime := float64(time.Since(begin)) / linearRounds
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		fast(i)
+		indexed(i)
 	}
-	b.ReportMetric(slowTime*float64(b.N)/float64(b.Elapsed()), "linear/indexed")
+	b.ReportMetric(linearTime*float64(b.N)/float64(b.Elapsed()), "linear/indexed")
 }
 
 func BenchmarkMatch630Services(b *testing.B) {
 	bundles, paths := benchFleet(), benchPaths()
 	set, linear := NewSet(bundles), newLinearSet(bundles...)
-	compare(b,
+	benchmarkAgainstLinear(b,
 		func(i int) { set.Match("POST", paths[i%len(paths)]) },
 		func(i int) { linear.match("POST", paths[i%len(paths)]) })
 }
@@ -78,7 +77,7 @@
 	for i := range names {
 		names[i] = benchService(i)
 	}
-	compare(b,
+	benchmarkAgainstLinear(b,
 		func(i int) { set.Service(names[i%len(names)]) },
 		func(i int) { linear.service(names[i%len(names)]) })
 }
@@ -93,12 +92,12 @@
 func TestMatchAllocatesNothing(t *testing.T) {
 	set, paths := NewSet(benchFleet()), benchPaths()
 	if n := testing.AllocsPerRun(100, func() { set.Match("POST", paths[7]) }); n != 0 {
-		t.Errorf("Match makes %v allocations, want none", n)
+		t.Errorf("Match makes %v allocations, want 0", n)
 	}
 }
 
-// BenchmarkOpen reports the cost of taking in a signed bundle as a ratio to
-// decoding its TOML alone.
+// BenchmarkOpen reports the cost of opening a signed bundle as a ratio to that of decoding
+// its TOML alone.
 func BenchmarkOpen(b *testing.B) {
 	text, err := os.ReadFile("../../examples/inyange/bundle.toml")
 	if err != nil {
--- a/internal/bundle/check_service.go
+++ b/internal/bundle/check_service.go
@@ -10,21 +10,21 @@
 	"gypsumstand/internal/tomlfile"
 )
 
-// knownMethods are those of RFC 9110, section 9, and RFC 5789, but for CONNECT,
-// which asks for a tunnel.
+// knownMethods are the methods of RFC 9110, section 9, and RFC 5789, except CONNECT,
+// which requests a tunnel.
 var knownMethods = []string{
 	http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch,
 	http.MethodDelete, http.MethodOptions, http.MethodTrace,
 }
 
 func checkServices(b *Bundle, doc *tomlfile.Document) {
-	names := newNames(doc)
+	names := newNameChecker(doc)
 	routes := newRouteChecker(b, doc)
 	for i := range b.Services {
 		s, key := &b.Services[i], serviceKey(i)
-		names.add(key+".name", string(s.Name))
-		checkCounts(s, key, doc)
-		checkTimes(s, key, doc)
+		names.check(key+".name", string(s.Name))
+		checkCapacity(s, key, doc)
+		checkDurations(s, key, doc)
 		checkWorkerPath(key+".health_path", s.HealthPath, doc)
 		checkUpstreams(s, key, doc)
 		for j := range s.Routes {
@@ -33,28 +33,28 @@
 	}
 }
 
-func checkCounts(s *Service, key string, doc *tomlfile.Document) {
+func checkCapacity(s *Service, key string, doc *tomlfile.Document) {
 	if doc.Require(key + ".slots") {
-		doc.CheckIntRange(key+".slots", int64(s.Slots), 1, maxUpstreamCount)
+		doc.CheckIntRange(key+".slots", int64(s.Slots), 1, maxReportedCount)
 	}
 	if doc.Require(key + ".connections") {
-		doc.CheckIntRange(key+".connections", int64(s.Connections), 1, maxUpstreamCount)
-		checkEnough(key+".connections", s.Connections, s.Slots, doc)
+		doc.CheckIntRange(key+".connections", int64(s.Connections), 1, maxReportedCount)
+		checkSlotsFillable(key+".connections", s.Connections, s.Slots, doc)
 	}
 	doc.CheckFloatRange(key+".slot_share", s.SlotShare, minSlotShare, 1)
-	doc.CheckIntRange(key+".queue_limit", int64(s.QueueLimit), 0, maxUpstreamCount)
+	doc.CheckIntRange(key+".queue_limit", int64(s.QueueLimit), 0, maxReportedCount)
 	doc.CheckIntRange(key+".body_limit_bytes", s.BodyLimitBytes, 1, maxBodyLimitBytes)
 }
 
-// checkEnough notes connections that cannot fill the slots. Counts that are
-// not positive have findings of their own.
-func checkEnough(key string, connections, slots int, doc *tomlfile.Document) {
+// checkSlotsFillable reports a connection limit that is below the number of slots. Counts
+// below 1 have their own findings.
+func checkSlotsFillable(key string, connections, slots int, doc *tomlfile.Document) {
 	if connections > 0 && connections < slots {
-		doc.Add(key, "%d connections cannot fill %d slots", connections, slots)
+		doc.Add(key, "%d connections are too few for %d slots", connections, slots)
 	}
 }
 
-func checkTimes(s *Service, key string, doc *tomlfile.Document) {
+func checkDurations(s *Service, key string, doc *tomlfile.Document) {
 	doc.CheckIntRange(key+".warmup_ms", s.WarmupMs, 1, maxWarmupMs)
 	doc.CheckIntRange(key+".warming_ms", s.WarmingMs, 1, maxWarmupMs)
 	checkWarming(s, key, doc)
@@ -66,7 +66,7 @@
 	switch {
 	case !doc.Has(key + ".warming_most"), doc.Rejected(key + ".warming_per_second"):
 	case s.WarmingPerSecond == 0:
-		doc.Add(key+".warming_most", "has no meaning without warming_per_second")
+		doc.Add(key+".warming_most", "requires warming_per_second over 0")
 	default:
 		doc.CheckIntRange(key+".warming_most", int64(s.WarmingMost), 1, maxWarmingMost)
 	}
@@ -76,33 +76,33 @@
 	if !doc.Has(key) {
 		return
 	}
-	if fault := pathFault(path); fault != "" {
-		doc.Add(key, "%q %s", path, fault)
+	if problem := pathProblem(path); problem != "" {
+		doc.Add(key, "%q %s", path, problem)
 	}
 }
 
 func checkUpstreams(s *Service, serviceKey string, doc *tomlfile.Document) {
-	names := newNames(doc)
+	names := newNameChecker(doc)
 	for i := range s.Upstreams {
 		u, key := &s.Upstreams[i], fmt.Sprintf("%s.upstream[%d]", serviceKey, i)
-		names.add(key+".instance", string(u.Instance))
-		doc.CheckIntRange(key+".slots", int64(u.Slots), 0, maxUpstreamCount)
-		doc.CheckIntRange(key+".connections", int64(u.Connections), 0, maxUpstreamCount)
+		names.check(key+".instance", string(u.Instance))
+		doc.CheckIntRange(key+".slots", int64(u.Slots), 0, maxReportedCount)
+		doc.CheckIntRange(key+".connections", int64(u.Connections), 0, maxReportedCount)
 		if u.Slots == 0 && u.Connections == 0 && !doc.RejectedWithin(key) {
-			doc.Add(key, "overrides neither slots nor connections")
+			doc.Add(key, "must override slots or connections")
 			continue
 		}
 		slots, connections := s.UpstreamLimits(u.Instance)
 		if u.Connections > 0 {
-			checkEnough(key+".connections", connections, slots, doc)
+			checkSlotsFillable(key+".connections", connections, slots, doc)
 		} else {
-			checkEnough(key+".slots", connections, slots, doc)
+			checkSlotsFillable(key+".slots", connections, slots, doc)
 		}
 	}
 }
 
 // UpstreamLimits returns the slots and connections of one upstream of the service: the
-// service's, or what an override says.
+// service's limits, replaced by the instance's overrides.
 func (s *Service) UpstreamLimits(id model.InstanceID) (slots, connections int) {
 	slots, connections = s.Slots, s.Connections
 	for i := range s.Upstreams {
@@ -125,23 +125,23 @@
 type routeChecker struct {
 	bundle *Bundle
 	doc    *tomlfile.Document
-	// taken maps host, path and method ("" for a route of all methods) to the
-	// route that has it.
-	taken map[routeID]takenRoute
-	// classesKnown is false when a class's name was not taken, so that an
-	// unknown class may be that one.
-	classesKnown bool
+	// seen maps host, path and method ("" for a route of all methods) to the first route
+	// that matches them.
+	seen map[routeID]seenRoute
+	// allClassNamesParsed is false if the name of a class was rejected: a route's unknown
+	// class may be that one.
+	allClassNamesParsed bool
 }
 
-// takenRoute is a route and its key in the document.
-type takenRoute struct {
+// seenRoute is a route with its key in the document.
+type seenRoute struct {
 	key   string
 	route *Route
 }
 
-// splitsWith tells whether two routes with the same host, path and method are
+// sharesSplitWith reports whether two routes with the same host, path and method are
 // parts of one split.
-func (r *Route) splitsWith(other *Route) bool {
+func (r *Route) sharesSplitWith(other *Route) bool {
 	return r.Weight > 0 && other.Weight > 0 && slices.Equal(r.Methods, other.Methods)
 }
 
@@ -152,12 +152,12 @@
 }
 
 func newRouteChecker(b *Bundle, doc *tomlfile.Document) *routeChecker {
-	known := true
+	parsed := true
 	for i := range b.Classes {
-		known = known && !doc.Rejected(classKey(i)+".name")
+		parsed = parsed && !doc.Rejected(classKey(i)+".name")
 	}
-	known = known && !doc.Rejected("class")
-	return &routeChecker{bundle: b, doc: doc, taken: map[routeID]takenRoute{}, classesKnown: known}
+	parsed = parsed && !doc.Rejected("class")
+	return &routeChecker{bundle: b, doc: doc, seen: map[routeID]seenRoute{}, allClassNamesParsed: parsed}
 }
 
 func (c *routeChecker) check(s *Service, r *Route, key string) {
@@ -170,52 +170,52 @@
 	c.doc.CheckIntRange(key+".weight", int64(r.Weight), 0, maxRouteWeight)
 	checkRegions(r.Regions, key+".regions", c.doc)
 	if !c.doc.RejectedWithin(key) {
-		c.checkTaken(r, key)
+		c.checkDuplicate(r, key)
 	}
 	c.checkKeyMemory(s, r, key)
 }
 
 func (c *routeChecker) checkPath(key, path string) {
-	if fault := pathFault(path); fault != "" {
-		c.doc.Add(key, "%q %s", path, fault)
+	if problem := pathProblem(path); problem != "" {
+		c.doc.Add(key, "%q %s", path, problem)
 	}
 }
 
-// checkHost notes a host that no request can name.
+// checkHost reports a host that no Host header can contain.
 func (c *routeChecker) checkHost(key, host string) {
 	if len(host) > maxHostBytes || strings.ContainsAny(host, " /:@?#") {
-		c.doc.Add(key, "%q must be a host name or IP number without a port, of at most %d bytes", host, maxHostBytes)
+		c.doc.Add(key, "%q must be a host name or IP address without a port, of at most %d bytes", host, maxHostBytes)
 	}
 }
 
-// pathFault says what is wrong with a path; empty when nothing is.
-func pathFault(path string) string {
+// pathProblem describes what makes a path invalid; it is empty for a valid path.
+func pathProblem(path string) string {
 	switch {
 	case !strings.HasPrefix(path, "/"):
 		return `must start with "/"`
 	case len(path) > maxPathBytes:
-		return fmt.Sprintf("is over %d bytes", maxPathBytes)
-	case strings.ContainsFunc(path, notInPath):
-		return "must have no space, control character, '?' or '#'"
+		return fmt.Sprintf("must be at most %d bytes", maxPathBytes)
+	case strings.ContainsFunc(path, isInvalidInPath):
+		return "must not contain a space, a control character, '?' or '#'"
 	case strings.Contains(path, "//"):
-		return "must have no empty segment"
+		return "must not contain an empty segment"
 	}
 	for segment := range strings.SplitSeq(path, "/") {
 		if segment == "." || segment == ".." {
-			return "must have no '.' or '..' segment"
+			return "must not contain a '.' or '..' segment"
 		}
 	}
 	return ""
 }
 
-func notInPath(r rune) bool { return r <= ' ' || r == 0x7f || r == '?' || r == '#' }
+func isInvalidInPath(r rune) bool { return r <= ' ' || r == 0x7f || r == '?' || r == '#' }
 
 func (c *routeChecker) checkClass(key string, class model.ClassName) {
 	switch {
 	case class == "" && !c.doc.Has(key):
 		c.doc.Add(key, "missing")
-	case c.classesKnown && c.bundle.Class(class) == nil:
-		c.doc.Add(key, "%q is no class of this bundle", class)
+	case c.allClassNamesParsed && c.bundle.Class(class) == nil:
+		c.doc.Add(key, "%q is not a class of this bundle", class)
 	}
 }
 
@@ -225,31 +225,32 @@
 			c.doc.Add(key, "%q is not one of %s", m, strings.Join(knownMethods, ", "))
 		}
 		if slices.Contains(r.Methods[:i], m) {
-			c.doc.Add(key, "%q stands twice", m)
+			c.doc.Add(key, "%q is listed twice", m)
 		}
 	}
 }
 
-// checkTaken notes a route that another of the same path and method hides.
-func (c *routeChecker) checkTaken(r *Route, key string) {
+// checkDuplicate reports a route with a method that an earlier route of the same host and
+// path already has, unless both are parts of one split.
+func (c *routeChecker) checkDuplicate(r *Route, key string) {
 	reported := false
-	for _, id := range r.ids() {
-		first, taken := c.taken[id]
-		if !taken {
-			c.taken[id] = takenRoute{key: key, route: r}
+	for _, id := range r.routeIDs() {
+		first, found := c.seen[id]
+		if !found {
+			c.seen[id] = seenRoute{key: key, route: r}
 			continue
 		}
-		if first.key == key || reported || first.route.splitsWith(r) {
+		if first.key == key || reported || first.route.sharesSplitWith(r) {
 			continue
 		}
 		reported = true
 		line, _ := c.doc.Position(first.key)
-		c.doc.Add(key+".path", "%s is hidden by %s on line %d", id, first.key, line)
+		c.doc.Add(key+".path", "%s is already routed by %s on line %d", id, first.key, line)
 	}
 }
 
-// ids returns what the route takes: its path with each of its methods.
-func (r *Route) ids() []routeID {
+// routeIDs returns the route's host and path with each of its methods.
+func (r *Route) routeIDs() []routeID {
 	if len(r.Methods) == 0 {
 		return []routeID{{host: strings.ToLower(r.Host), path: r.Path}}
 	}
@@ -268,18 +269,18 @@
 	return id.method + " " + id.host + id.path
 }
 
-// checkKeyMemory notes a service that forgets a finished request id while the
-// request's own deadline still runs.
+// checkKeyMemory reports a service that forgets the id of a finished request before the
+// request's deadline, so that a retry could run it a second time.
 func (c *routeChecker) checkKeyMemory(s *Service, r *Route, key string) {
 	class := c.bundle.Class(r.Class)
 	if class == nil || r.alwaysIdempotent() || s.KeyMemoryMs < 1 || s.KeyMemoryMs >= class.MaxDeadlineMs {
 		return
 	}
-	c.doc.Add(key+".class", "class %s allows deadlines of %d ms, over the service's key_memory_ms of %d", r.Class, class.MaxDeadlineMs, s.KeyMemoryMs)
+	c.doc.Add(key+".class", "class %s allows deadlines of %d ms, longer than the service's key_memory_ms of %d", r.Class, class.MaxDeadlineMs, s.KeyMemoryMs)
 }
 
-// alwaysIdempotent tells whether no request of the route can be non-idempotent,
-// short of the caller's own word.
+// alwaysIdempotent reports whether all requests of the route are idempotent, unless the
+// caller itself declares otherwise.
 func (r *Route) alwaysIdempotent() bool {
 	if len(r.Methods) == 0 {
 		return r.Idempotent != nil && *r.Idempotent
--- a/internal/bundle/check_set.go
+++ b/internal/bundle/check_set.go
@@ -9,10 +9,10 @@
 	"gypsumstand/internal/model"
 )
 
-// CheckSet returns the contradictions between bundles that each are sound: the
-// same service, or the same path and method, in two of them, and two versions
-// of one bundle. A finding's file is the version of the bundle that loses (see
-// NewSet), its key the place there. The order of the argument has no effect.
+// CheckSet returns the conflicts between bundles that are valid by themselves: two
+// versions of one bundle, and the same service, or the same host, path and method, in two
+// bundles. A finding's file is the version of the bundle that NewSet does not use, and
+// its key is the position in that bundle. The order of the argument has no effect.
 func CheckSet(bundles []*Bundle) finding.List {
 	ordered := slices.Clone(bundles)
 	slices.SortStableFunc(ordered, func(a, b *Bundle) int {
@@ -21,7 +21,7 @@
 	c := setChecker{services: map[model.ServiceName]*Bundle{}, routes: map[routeID]*Bundle{}}
 	for i, b := range ordered {
 		if i > 0 && ordered[i-1].Name == b.Name {
-			c.add(b, "name", "another version of this bundle is given: %s", ordered[i-1].VersionID())
+			c.add(b, "name", "another version of this bundle is also given: %s", ordered[i-1].VersionID())
 			continue
 		}
 		c.checkBundle(b)
@@ -54,7 +54,7 @@
 }
 
 func (c *setChecker) checkRoute(b *Bundle, r *Route, key string) {
-	for _, id := range r.ids() {
+	for _, id := range r.routeIDs() {
 		first := c.routes[id]
 		if first == nil {
 			c.routes[id] = b
--- a/internal/bundle/diff.go
+++ b/internal/bundle/diff.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// Subject is the kind of thing that a change is about.
+// Subject is the kind of element that a change concerns.
 type Subject uint8
 
 // The subjects, in the order in which Diff lists them.
@@ -33,10 +33,10 @@
 	return "invalid"
 }
 
-// Operation is what happens to a subject.
+// Operation tells whether a subject is added, removed or changed.
 type Operation uint8
 
-// The operations.
+// The operations of a Change.
 const (
 	Added Operation = iota
 	Removed
@@ -45,7 +45,7 @@
 
 var operationNames = [...]string{"added", "removed", "changed"}
 
-// String returns the operation in one word.
+// String returns the operation's name, such as "added".
 func (o Operation) String() string {
 	if int(o) < len(operationNames) {
 		return operationNames[o]
@@ -57,27 +57,28 @@
 type Change struct {
 	Subject   Subject
 	Operation Operation
-	// Name identifies the subject: a class, tenant or service, "service/instance"
-	// of an upstream, "POST /path" of a route; empty where there is only one.
+	// Name identifies the subject: the name of a class, tenant or service,
+	// "service/instance" for an upstream, "POST /path" for a route. It is empty for
+	// subjects that a bundle has only once.
 	Name string
-	// Field is the TOML key that changed; empty when the whole subject did.
+	// Field is the TOML key that changed; empty if the subject was added or removed.
 	Field string
-	// Old and New are the field's values as people read them.
+	// Old and New are the field's values, formatted for operators.
 	Old string
 	New string
-	// Sentence says what changes for whom.
+	// Sentence describes the effect of the change in one sentence.
 	Sentence string
 }
 
-// Diff returns what changes when new replaces old; an old of nil means that the
-// bundle is new. The order is by subject, then as in the bundles. Comments make
-// no difference.
+// Diff returns the changes that take effect when new replaces old, ordered by subject and
+// then as in the bundles. old is nil for a bundle that did not exist before. The bundles'
+// comments are not compared.
 func Diff(old, new *Bundle) []Change {
 	d := &differ{}
 	if old == nil {
 		old = &Bundle{Name: new.Name, Measuring: new.Measuring, Retry: new.Retry, Callers: new.Callers}
 		d.add(Change{Subject: SubjectBundle, Operation: Added, Name: string(new.Name), New: new.VersionID().String(),
-			Sentence: fmt.Sprintf("Bundle %s comes into force for the first time.", new.VersionID())})
+			Sentence: fmt.Sprintf("Bundle %s takes effect for the first time.", new.VersionID())})
 	}
 	d.bundle(old, new)
 	d.fields(SubjectMeasuring, "", measuringFields.values(&old.Measuring), measuringFields.values(&new.Measuring))
@@ -91,6 +92,7 @@
 	return d.changes
 }
 
+// differ collects the changes between two bundles.
 type differ struct{ changes []Change }
 
 func (d *differ) add(c Change) { d.changes = append(d.changes, c) }
@@ -106,13 +108,14 @@
 	}
 	sentence := fmt.Sprintf("Version %d replaces version %d.", new.Version, old.Version)
 	if new.Version < old.Version {
-		sentence = fmt.Sprintf("Version %d is older than version %d: nodes that have the latter refuse it.", new.Version, old.Version)
+		sentence = fmt.Sprintf("Version %d is older than version %d: nodes that have the newer one refuse it.", new.Version, old.Version)
 	}
 	d.add(Change{Subject: SubjectBundle, Operation: Changed, Field: "version",
 		Old: strconv.FormatUint(old.Version, 10), New: strconv.FormatUint(new.Version, 10), Sentence: sentence})
 }
 
-// fields adds a change for each value that differs.
+// fields adds a change for each field whose value differs. old and new hold the same
+// fields in the same order.
 func (d *differ) fields(subject Subject, name string, old, new []fieldValue) {
 	for i, n := range new {
 		o := old[i]
@@ -125,49 +128,49 @@
 }
 
 func (d *differ) classes(old, new *Bundle) {
-	comparePairs(old.Classes, new.Classes, func(c *Class) string { return string(c.Name) }, pairing[Class]{
+	compareByName(old.Classes, new.Classes, func(c *Class) string { return string(c.Name) }, pairHandlers[Class]{
 		added: func(c *Class) {
-			d.whole(SubjectClass, Added, string(c.Name), fmt.Sprintf("Class %s is new: worth %s, deadline %s, %s of an upstream's slots.",
-				c.Name, number(c.Worth), ms(c.DeadlineMs), percent(c.Share)))
+			d.addSubject(SubjectClass, Added, string(c.Name), fmt.Sprintf("Class %s is new: worth %s, deadline %s, %s of an upstream's slots.",
+				c.Name, formatNumber(c.Worth), formatMs(c.DeadlineMs), formatPercent(c.Share)))
 		},
 		removed: func(c *Class) {
-			d.whole(SubjectClass, Removed, string(c.Name), fmt.Sprintf("Class %s goes, and with it its %s of an upstream's slots.", c.Name, percent(c.Share)))
+			d.addSubject(SubjectClass, Removed, string(c.Name), fmt.Sprintf("Class %s is removed, with its guaranteed %s of an upstream's slots.", c.Name, formatPercent(c.Share)))
 		},
-		both: func(o, n *Class) {
+		inBoth: func(o, n *Class) {
 			d.fields(SubjectClass, string(n.Name), classFields.values(o), classFields.values(n))
 		},
 	})
 }
 
 func (d *differ) tenants(old, new *Bundle) {
-	comparePairs(old.Tenants, new.Tenants, func(t *Tenant) string { return string(t.Name) }, pairing[Tenant]{
+	compareByName(old.Tenants, new.Tenants, func(t *Tenant) string { return string(t.Name) }, pairHandlers[Tenant]{
 		added: func(t *Tenant) {
-			d.whole(SubjectTenant, Added, string(t.Name), fmt.Sprintf("Tenant %s is counted and limited on its own: %s requests a second to each service.", t.Name, bound(t.RatePerSecond)))
+			d.addSubject(SubjectTenant, Added, string(t.Name), fmt.Sprintf("Tenant %s is counted and limited separately: %s requests a second to each service.", t.Name, formatRateLimit(t.RatePerSecond)))
 		},
 		removed: func(t *Tenant) {
-			d.whole(SubjectTenant, Removed, string(t.Name), fmt.Sprintf("Tenant %s loses limits of its own and is counted among the others.", t.Name))
+			d.addSubject(SubjectTenant, Removed, string(t.Name), fmt.Sprintf("Tenant %s has no separate limits any more and is counted among the other tenants.", t.Name))
 		},
-		both: func(o, n *Tenant) {
+		inBoth: func(o, n *Tenant) {
 			d.fields(SubjectTenant, string(n.Name), tenantFields.values(o), tenantFields.values(n))
 		},
 	})
 }
 
 func (d *differ) services(old, new *Bundle) {
-	comparePairs(old.Services, new.Services, func(s *Service) string { return string(s.Name) }, pairing[Service]{
+	compareByName(old.Services, new.Services, func(s *Service) string { return string(s.Name) }, pairHandlers[Service]{
 		added: func(s *Service) {
-			d.whole(SubjectService, Added, string(s.Name), fmt.Sprintf("Service %s is new: %d slots and %d connections an upstream.", s.Name, s.Slots, s.Connections))
+			d.addSubject(SubjectService, Added, string(s.Name), fmt.Sprintf("Service %s is new: %d slots and %d connections an upstream.", s.Name, s.Slots, s.Connections))
 		},
 		removed: func(s *Service) {
-			d.whole(SubjectService, Removed, string(s.Name), fmt.Sprintf("Service %s goes: its upstreams get no more requests.", s.Name))
+			d.addSubject(SubjectService, Removed, string(s.Name), fmt.Sprintf("Service %s is removed: its upstreams get no more requests.", s.Name))
 		},
-		both: func(o, n *Service) {
+		inBoth: func(o, n *Service) {
 			d.fields(SubjectService, string(n.Name), serviceFields.values(o), serviceFields.values(n))
 		},
 	})
 }
 
-// namedUpstream is an override with the name of its service.
+// namedUpstream is an override with its name in a Change, "service/instance".
 type namedUpstream struct {
 	name string
 	Upstream
@@ -184,34 +187,36 @@
 }
 
 func (d *differ) upstreams(old, new *Bundle) {
-	comparePairs(namedUpstreams(old), namedUpstreams(new), func(u *namedUpstream) string { return u.name }, pairing[namedUpstream]{
+	compareByName(namedUpstreams(old), namedUpstreams(new), func(u *namedUpstream) string { return u.name }, pairHandlers[namedUpstream]{
 		added: func(u *namedUpstream) {
-			d.whole(SubjectUpstream, Added, u.name, fmt.Sprintf("Upstream %s has limits of its own: %s slots, %s connections.", u.name, override(u.Slots), override(u.Connections)))
+			d.addSubject(SubjectUpstream, Added, u.name, fmt.Sprintf("Upstream %s has separate limits: %s slots, %s connections.", u.name, formatOverride(u.Slots), formatOverride(u.Connections)))
 		},
 		removed: func(u *namedUpstream) {
-			d.whole(SubjectUpstream, Removed, u.name, fmt.Sprintf("Upstream %s has its service's limits again.", u.name))
+			d.addSubject(SubjectUpstream, Removed, u.name, fmt.Sprintf("Upstream %s has its service's limits again.", u.name))
 		},
-		both: func(o, n *namedUpstream) {
+		inBoth: func(o, n *namedUpstream) {
 			d.fields(SubjectUpstream, n.name, upstreamFields.values(&o.Upstream), upstreamFields.values(&n.Upstream))
 		},
 	})
 }
 
-func (d *differ) whole(subject Subject, op Operation, name, sentence string) {
+// addSubject adds the change of a subject that is added or removed.
+func (d *differ) addSubject(subject Subject, op Operation, name, sentence string) {
 	d.add(Change{Subject: subject, Operation: op, Name: name, Sentence: sentence})
 }
 
-// pairing says what to do with what is in one list only or in both.
-type pairing[T any] struct {
+// pairHandlers are called for the elements that are in the new list only, in the old list
+// only, or in both.
+type pairHandlers[T any] struct {
 	added, removed func(*T)
-	both           func(old, new *T)
+	inBoth         func(old, new *T)
 }
 
-// comparePairs pairs two lists by name: first what goes, then the rest in the order
-// of the new list.
-func comparePairs[T any](old, new []T, name func(*T) string, p pairing[T]) {
-	find := func(list []T, wanted string) *T {
-		i := slices.IndexFunc(list, func(t T) bool { return name(&t) == wanted })
+// compareByName pairs the elements of two lists by name and calls p's handlers: first for
+// the removed elements, then for the others in the order of the new list.
+func compareByName[T any](old, new []T, name func(*T) string, p pairHandlers[T]) {
+	find := func(list []T, key string) *T {
+		i := slices.IndexFunc(list, func(t T) bool { return name(&t) == key })
 		if i < 0 {
 			return nil
 		}
@@ -227,17 +232,17 @@
 		if o == nil {
 			p.added(&new[i])
 		} else {
-			p.both(o, &new[i])
+			p.inBoth(o, &new[i])
 		}
 	}
 }
 
-// routeUse is what a path and method lead to.
-type routeUse struct {
+// routeEffect is how requests of one host, path and method are routed.
+type routeEffect struct {
 	id routeID
-	// part is the service of a part of a split, which tells it from the others;
-	// empty for a route that is alone.
-	part       string
+	// splitPart is the service that distinguishes this part of a split from the others;
+	// empty for a route that is not split.
+	splitPart  string
 	weight     string
 	service    string
 	class      string
@@ -245,37 +250,37 @@
 	regions    string
 }
 
-// name identifies the use among those of its bundle.
-func (u *routeUse) name() string {
-	if u.part == "" {
+// name identifies the effect among those of its bundle.
+func (u *routeEffect) name() string {
+	if u.splitPart == "" {
 		return u.id.String()
 	}
-	return u.id.String() + " by " + u.part
+	return u.id.String() + " by " + u.splitPart
 }
 
-func routeUses(b *Bundle) []routeUse {
-	var out []routeUse
+func routeEffects(b *Bundle) []routeEffect {
+	var out []routeEffect
 	for i := range b.Services {
 		s := &b.Services[i]
 		for j := range s.Routes {
 			r := &s.Routes[j]
-			for _, id := range r.ids() {
-				u := routeUse{id: id, service: string(s.Name), class: string(r.Class), idempotent: r.idempotentWords(id.method), regions: places(r.Regions)}
+			for _, id := range r.routeIDs() {
+				u := routeEffect{id: id, service: string(s.Name), class: string(r.Class), idempotent: r.describeIdempotency(id.method), regions: formatRegions(r.Regions)}
 				if r.Weight > 0 {
-					u.part, u.weight = string(s.Name), strconv.Itoa(r.Weight)
+					u.splitPart, u.weight = string(s.Name), strconv.Itoa(r.Weight)
 				}
 				out = append(out, u)
 			}
 		}
 	}
-	slices.SortStableFunc(out, func(a, b routeUse) int {
+	slices.SortStableFunc(out, func(a, b routeEffect) int {
 		return cmp.Or(cmp.Compare(a.id.host, b.id.host), cmp.Compare(a.id.path, b.id.path), cmp.Compare(a.id.method, b.id.method))
 	})
 	return out
 }
 
-// idempotentWords says how requests of the method are taken.
-func (r *Route) idempotentWords(method string) string {
+// describeIdempotency describes whether requests of the method count as idempotent.
+func (r *Route) describeIdempotency(method string) string {
 	switch {
 	case method == "" && r.Idempotent == nil:
 		return "idempotent by method"
@@ -286,14 +291,14 @@
 }
 
 func (d *differ) routes(old, new *Bundle) {
-	comparePairs(routeUses(old), routeUses(new), (*routeUse).name, pairing[routeUse]{
-		added: func(u *routeUse) {
-			d.whole(SubjectRoute, Added, u.name(), fmt.Sprintf("Requests for %s go to service %s as class %s, %s.", u.id, u.service, u.class, u.idempotent))
+	compareByName(routeEffects(old), routeEffects(new), (*routeEffect).name, pairHandlers[routeEffect]{
+		added: func(u *routeEffect) {
+			d.addSubject(SubjectRoute, Added, u.name(), fmt.Sprintf("Requests for %s go to service %s as class %s, %s.", u.id, u.service, u.class, u.idempotent))
 		},
-		removed: func(u *routeUse) {
-			d.whole(SubjectRoute, Removed, u.name(), fmt.Sprintf("Requests for %s no longer go to service %s by a route of their own.", u.id, u.service))
+		removed: func(u *routeEffect) {
+			d.addSubject(SubjectRoute, Removed, u.name(), fmt.Sprintf("Requests for %s no longer have their own route to service %s.", u.id, u.service))
 		},
-		both: func(o, n *routeUse) {
+		inBoth: func(o, n *routeEffect) {
 			d.fields(SubjectRoute, n.name(), routeFields.values(o), routeFields.values(n))
 		},
 	})
--- a/internal/bundle/fuzz_test.go
+++ b/internal/bundle/fuzz_test.go
@@ -12,11 +12,11 @@
 	"gypsumstand/internal/model"
 )
 
-// exampleBundles returns the bundles of the examples as seeds.
+// exampleBundles returns the example files that match pattern, as seeds.
 func exampleBundles(f *testing.F, pattern string) [][]byte {
 	paths, err := filepath.Glob(filepath.Join("..", "..", "examples", "*", pattern))
 	if err != nil || len(paths) == 0 {
-		f.Fatalf("no example is like %s: %v", pattern, err)
+		f.Fatalf("no example matches %s: %v", pattern, err)
 	}
 	var out [][]byte
 	for _, path := range paths {
@@ -29,8 +29,8 @@
 	return out
 }
 
-// FuzzParse checks that whatever Parse takes keeps the rules that other
-// packages build on, and that whatever it refuses has findings.
+// FuzzParse checks that a text that Parse accepts satisfies the invariants that other
+// packages rely on, and that a rejected text has findings.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validBundle))
 	for _, data := range exampleBundles(f, "bundle.toml") {
@@ -45,14 +45,14 @@
 			}
 			return
 		}
-		checkSound(t, b)
+		checkInvariants(t, b)
 		set := NewSet([]*Bundle{b})
 		for _, s := range b.Services {
 			if got, _ := set.Service(s.Name); got == nil {
 				t.Errorf("service %s is not in the set", s.Name)
 			}
 			for _, r := range s.Routes {
-				checkReached(t, set, &r)
+				checkRouteReachable(t, set, &r)
 			}
 		}
 		if changes := Diff(b, b); changes != nil {
@@ -64,8 +64,8 @@
 	})
 }
 
-// checkSound states the rules on their own, apart from check.
-func checkSound(t *testing.T, b *Bundle) {
+// checkInvariants checks the rules independently of the package's own check.
+func checkInvariants(t *testing.T, b *Bundle) {
 	t.Helper()
 	shares := 0.0
 	for _, c := range b.Classes {
@@ -94,8 +94,8 @@
 	}
 }
 
-// checkReached asks for the route's own path: it must lead to this very route.
-func checkReached(t *testing.T, set *Set, r *Route) {
+// checkRouteReachable checks that a request for the route's own path matches this route.
+func checkRouteReachable(t *testing.T, set *Set, r *Route) {
 	t.Helper()
 	methods := r.Methods
 	if len(methods) == 0 {
@@ -109,7 +109,7 @@
 	}
 }
 
-// FuzzOpen checks that nothing but what was signed is opened.
+// FuzzOpen checks that Open returns a bundle only for the signed bytes.
 func FuzzOpen(f *testing.F) {
 	key := testKey(1)
 	trusted := []Signer{testSigner("aline", key)}
@@ -124,18 +124,18 @@
 		b, err := Open("f", data, trusted)
 		if err != nil {
 			if b != nil {
-				t.Errorf("a bundle with the error %v", err)
+				t.Errorf("Open returned a bundle with the error %v", err)
 			}
 			return
 		}
 		s, err := Unmarshal(data)
 		if err != nil || s.Signer != "aline" || !bytes.Equal(s.Bundle, good.Bundle) {
-			t.Errorf("opened what aline did not sign: %v, %q", err, s.Bundle)
+			t.Errorf("Open returned a bundle that aline did not sign: %v, %q", err, s.Bundle)
 		}
 	})
 }
 
-// FuzzUnmarshal checks that what is read is written back to the same.
+// FuzzUnmarshal checks that a decoded bundle survives encoding and decoding.
 func FuzzUnmarshal(f *testing.F) {
 	f.Add(mustMarshal(f, Sign("aline", testKey(1), []byte("a"))))
 	f.Add([]byte{0xa0})
--- a/internal/bundle/host_test.go
+++ b/internal/bundle/host_test.go
@@ -52,7 +52,7 @@
 	return NewSet([]*Bundle{b})
 }
 
-func TestAHostsOwnRoutesComeBeforeThoseOfAnyHost(t *testing.T) {
+func TestMatchHostPrefersRoutesOfTheHost(t *testing.T) {
 	s := hostSet(t)
 	got := map[string]string{}
 	for _, at := range []struct{ host, path string }{
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestASplitGivesEachPartItsWeight(t *testing.T) {
+func TestSplitFollowsWeights(t *testing.T) {
 	s := hostSet(t)
 	got := map[string]int{}
 	for draw := range uint64(1000) {
@@ -86,9 +86,9 @@
 	}
 }
 
-func TestAPartWithoutWeightHidesTheOther(t *testing.T) {
+func TestParseRejectsSplitPartWithoutWeight(t *testing.T) {
 	text := []byte(hostBundle[:len(hostBundle)-len("weight = 10\n")])
 	if _, err := Parse("hosts.toml", text); err == nil {
-		t.Error("two routes of one host and path are taken although one has no weight")
+		t.Error("Parse accepted two routes of one host and path although one has no weight")
 	}
 }
--- a/internal/bundle/parse.go
+++ b/internal/bundle/parse.go
@@ -7,7 +7,7 @@
 	"gypsumstand/internal/tomlfile"
 )
 
-// Defaults of absent fields. A field that is present keeps its value, also 0.
+// Defaults of absent keys. A key that is present keeps its value, even 0.
 const (
 	defaultMeasuringPerSecond = 5
 	defaultPollShare          = 0.5
@@ -21,24 +21,24 @@
 	minBurst                  = 1
 	defaultIdleTimeoutMs      = 60_000
 	defaultHeaderTimeoutMs    = 5000
-	defaultDeadlineMs         = 30_000
-	defaultSlots              = 16
-	// defaultPacePerSecond and defaultPaceShare leave room for a sample of the
-	// worker's pace with each attempt at 20 attempts a second.
-	defaultPacePerSecond = 30
-	defaultPaceShare     = 0.9
-	// defaultMoves lets a request see all owners of a small service: a refusal
-	// costs 1 to 2 ms of way, a start on a machine that its neighbours slow down
-	// hundreds.
-	defaultMoves = 5
-	// defaultSharedSlotShare is for workers of which only the directory is known:
-	// some take 1.7 times as long when more than four fifths of their slots are
-	// used, so that all slots serve less than these.
-	defaultSharedSlotShare = 0.78
+	adapterDeadlineMs         = 30_000
+	adapterSlots              = 16
+	// adapterMeasuringPerSecond and adapterPollShare allow the owner to sample the worker's
+	// slowdown with each attempt at 20 attempts a second.
+	adapterMeasuringPerSecond = 30
+	adapterPollShare          = 0.9
+	// adapterMoves lets a request try all owners of a small service: a refusal costs 1 to
+	// 2 ms on the path, a start on an instance that its neighbours slow down costs
+	// hundreds of ms.
+	adapterMoves = 5
+	// adapterSlotShare is for workers that are known only from a directory: some take 1.7
+	// times as long when more than four fifths of their slots are in use, so that using
+	// all slots lowers their throughput.
+	adapterSlotShare = 0.78
 )
 
-// Parse reads the TOML of a bundle, fills defaults and checks it. file names
-// the input in findings. The error is a finding.List with every fault.
+// Parse decodes a bundle from TOML, sets defaults and checks it. file names the input in
+// findings. The error is a finding.List with every finding.
 func Parse(file string, data []byte) (*Bundle, error) {
 	if len(data) > MaxBytes {
 		return nil, finding.List{{File: file, Message: fmt.Sprintf("%d bytes are over the bound of %d", len(data), MaxBytes)}}
@@ -60,40 +60,40 @@
 	return b, nil
 }
 
-// FillAdapterDefaults fills the defaults of a bundle that was not parsed from TOML but made by
+// FillAdapterDefaults sets the defaults of a bundle that was not parsed from TOML but made by
 // an adapter from a configuration that others have checked: fields that are zero
 // get the default of an absent key.
 func FillAdapterDefaults(b *Bundle) {
-	fill(&b.Measuring.PerUpstreamPerSecond, defaultPacePerSecond)
-	fill(&b.Measuring.PollShare, defaultPaceShare)
-	fill(&b.Retry.PerPath, defaultRetryPerPath)
-	fill(&b.Retry.Moves, defaultMoves)
-	fill(&b.Callers.IdleTimeoutMs, defaultIdleTimeoutMs)
-	fill(&b.Callers.HeaderTimeoutMs, defaultHeaderTimeoutMs)
+	setIfZero(&b.Measuring.PerUpstreamPerSecond, adapterMeasuringPerSecond)
+	setIfZero(&b.Measuring.PollShare, adapterPollShare)
+	setIfZero(&b.Retry.PerPath, defaultRetryPerPath)
+	setIfZero(&b.Retry.Moves, adapterMoves)
+	setIfZero(&b.Callers.IdleTimeoutMs, defaultIdleTimeoutMs)
+	setIfZero(&b.Callers.HeaderTimeoutMs, defaultHeaderTimeoutMs)
 	for i := range b.Classes {
 		c := &b.Classes[i]
-		fill(&c.DeadlineMs, defaultDeadlineMs)
-		fill(&c.MaxDeadlineMs, c.DeadlineMs)
+		setIfZero(&c.DeadlineMs, adapterDeadlineMs)
+		setIfZero(&c.MaxDeadlineMs, c.DeadlineMs)
 	}
 	for i := range b.Services {
 		s := &b.Services[i]
-		fill(&s.Slots, defaultSlots)
-		fill(&s.Connections, s.Slots)
-		fill(&s.SlotShare, defaultSharedSlotShare)
-		fill(&s.QueueLimit, defaultQueuePerSlot*s.Slots)
-		fill(&s.BodyLimitBytes, defaultBodyLimitBytes)
-		// The worker itself tells how long it stays cold.
-		fill(&s.WarmupMs, 1)
-		fill(&s.KeyMemoryMs, defaultKeyMemoryMs)
-		fill(&s.WarmingMs, defaultWarmupMs)
+		setIfZero(&s.Slots, adapterSlots)
+		setIfZero(&s.Connections, s.Slots)
+		setIfZero(&s.SlotShare, adapterSlotShare)
+		setIfZero(&s.QueueLimit, defaultQueuePerSlot*s.Slots)
+		setIfZero(&s.BodyLimitBytes, defaultBodyLimitBytes)
+		// The worker itself reports how long it stays cold.
+		setIfZero(&s.WarmupMs, 1)
+		setIfZero(&s.KeyMemoryMs, defaultKeyMemoryMs)
+		setIfZero(&s.WarmingMs, defaultWarmupMs)
 		if s.WarmingPerSecond > 0 {
-			fill(&s.WarmingMost, defaultWarmingMost(s.WarmingPerSecond))
+			setIfZero(&s.WarmingMost, defaultWarmingMost(s.WarmingPerSecond))
 		}
 	}
 }
 
-// fill sets a field that is zero.
-func fill[T comparable](field *T, value T) {
+// setIfZero sets *field to value if it is zero.
+func setIfZero[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
 		*field = value
@@ -115,7 +115,7 @@
 	for i := range b.Services {
 		s, key := &b.Services[i], serviceKey(i)
 		setDefault(doc, key+".slot_share", &s.SlotShare, 1)
-		setDefault(doc, key+".queue_limit", &s.QueueLimit, min(maxUpstreamCount, defaultQueuePerSlot*s.Slots))
+		setDefault(doc, key+".queue_limit", &s.QueueLimit, min(maxReportedCount, defaultQueuePerSlot*s.Slots))
 		setDefault(doc, key+".body_limit_bytes", &s.BodyLimitBytes, defaultBodyLimitBytes)
 		setDefault(doc, key+".warmup_ms", &s.WarmupMs, defaultWarmupMs)
 		setDefault(doc, key+".key_memory_ms", &s.KeyMemoryMs, defaultKeyMemoryMs)
@@ -126,12 +126,12 @@
 	}
 }
 
-// defaultWarmingMost is two seconds' worth of what a warming worker bears.
+// defaultWarmingMost returns two seconds of perSecond, the rate limit of a warming worker.
 func defaultWarmingMost(perSecond float64) int {
 	return min(max(int(2*perSecond), 1), maxWarmingMost)
 }
 
-// setDefault sets a field whose key is absent or was not taken.
+// setDefault sets *field to value if key is absent or was rejected.
 func setDefault[T any](doc *tomlfile.Document, key string, field *T, value T) {
 	if !doc.Has(key) || doc.Rejected(key) {
 		*field = value
--- a/internal/bundle/parse_test.go
+++ b/internal/bundle/parse_test.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestParseFindings changes the valid bundle in one place and names all that
-// must be found.
+// TestParseFindings changes the valid bundle in one place and expects exactly the listed
+// findings.
 func TestParseFindings(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -123,64 +123,64 @@
 		{"worth NaN", "worth = 10", "worth = nan", []string{"test.toml:7:1: class[0].worth: NaN must be from 0 to 1e+06"}},
 		{"deadline missing", "deadline_ms = 500\n", "", []string{"test.toml:11:3: class[1].deadline_ms: missing"}},
 		{"deadline zero", "deadline_ms = 500\n", "deadline_ms = 0\n", []string{"test.toml:13:1: class[1].deadline_ms: 0 must be from 1 to 3600000"}},
-		{"max deadline under deadline", "max_deadline_ms = 5000", "max_deadline_ms = 500", []string{"test.toml:9:1: class[0].max_deadline_ms: 500 is under deadline_ms of 2000"}},
+		{"max deadline under deadline", "max_deadline_ms = 5000", "max_deadline_ms = 500", []string{"test.toml:9:1: class[0].max_deadline_ms: 500 must be at least deadline_ms of 2000"}},
 		{"share over 1", "share = 0.4", "share = 1.4", []string{
 			"test.toml:10:1: class[0].share: 1.4 must be from 0 to 1",
-			"test.toml:10:1: class[0].share: the shares of the classes up to here sum to 1.4, which is over 1",
+			"test.toml:10:1: class[0].share: the shares of the classes up to this one sum to 1.4, which is over 1",
 		}},
 		{"share negative", "share = 0.4", "share = -0.4", []string{"test.toml:10:1: class[0].share: -0.4 must be from 0 to 1"}},
-		{"shares sum over 1", "share = 0.1", "share = 0.7", []string{"test.toml:14:1: class[1].share: the shares of the classes up to here sum to 1.1, which is over 1"}},
+		{"shares sum over 1", "share = 0.1", "share = 0.7", []string{"test.toml:14:1: class[1].share: the shares of the classes up to this one sum to 1.1, which is over 1"}},
 		{"duplicate class", `name = "lookup"`, `name = "payout"`, []string{
-			`test.toml:12:1: class[1].name: "payout" is taken by class[0].name on line 6`,
-			`test.toml:31:1: service[0].route[1].class: "lookup" is no class of this bundle`,
+			`test.toml:12:1: class[1].name: "payout" is already used by class[0].name on line 6`,
+			`test.toml:31:1: service[0].route[1].class: "lookup" is not a class of this bundle`,
 		}},
-		{"duplicate tenant", "[[service]]", "[[tenant]]\nname = \"cooperative\"\n[[service]]", []string{`test.toml:19:1: tenant[1].name: "cooperative" is taken by tenant[0].name on line 16`}},
-		{"reserved tenant", `"cooperative"`, `"other"`, []string{`test.toml:16:1: tenant[0].name: "other" is kept for tenants that no bundle names`}},
+		{"duplicate tenant", "[[service]]", "[[tenant]]\nname = \"cooperative\"\n[[service]]", []string{`test.toml:19:1: tenant[1].name: "cooperative" is already used by tenant[0].name on line 16`}},
+		{"reserved tenant", `"cooperative"`, `"other"`, []string{`test.toml:16:1: tenant[0].name: "other" is reserved for tenants that no bundle names`}},
 		{"tenant rate negative", "rate_per_second = 0.5", "rate_per_second = -0.5", []string{"test.toml:17:1: tenant[0].rate_per_second: -0.5 must be from 0 to 1e+06"}},
 		{"burst under one", "rate_per_second = 0.5", "rate_per_second = 0.5\nburst = 0.5", []string{"test.toml:18:1: tenant[0].burst: 0.5 must be from 1 to 1e+06"}},
-		{"burst beside a rate that was not taken", "rate_per_second = 0.5", "rate_per_second = \"x\"\nburst = 5", []string{"test.toml:17:19: tenant[0].rate_per_second: must be a number, found string"}},
-		{"burst without rate", "rate_per_second = 0.5", "burst = 5", []string{"test.toml:17:1: tenant[0].burst: has no meaning without rate_per_second"}},
+		{"burst beside a rate that was rejected", "rate_per_second = 0.5", "rate_per_second = \"x\"\nburst = 5", []string{"test.toml:17:19: tenant[0].rate_per_second: must be a number, found string"}},
+		{"burst without rate", "rate_per_second = 0.5", "burst = 5", []string{"test.toml:17:1: tenant[0].burst: requires rate_per_second over 0"}},
 		{"tenant share zero", "rate_per_second = 0.5", "max_share = 0.0", []string{"test.toml:17:1: tenant[0].max_share: 0 must be over 0 and at most 1"}},
-		{"duplicate service", "[[service.upstream]]", "[[service]]\nname = \"ledger\"\nslots = 1\nconnections = 1\n[[service.upstream]]", []string{`test.toml:23:1: service[1].name: "ledger" is taken by service[0].name on line 19`, "test.toml:28:1: service[1].upstream[0].slots: 1 connections cannot fill 10 slots"}},
+		{"duplicate service", "[[service.upstream]]", "[[service]]\nname = \"ledger\"\nslots = 1\nconnections = 1\n[[service.upstream]]", []string{`test.toml:23:1: service[1].name: "ledger" is already used by service[0].name on line 19`, "test.toml:28:1: service[1].upstream[0].slots: 1 connections are too few for 10 slots"}},
 		{"slots missing", "slots = 20\n", "", []string{"test.toml:18:3: service[0].slots: missing"}},
 		{"slots zero", "slots = 20", "slots = 0", []string{"test.toml:20:1: service[0].slots: 0 must be from 1 to 65535"}},
 		{"connections negative", "connections = 260", "connections = -1", []string{"test.toml:21:1: service[0].connections: -1 must be from 1 to 65535"}},
-		{"connections under slots", "connections = 260", "connections = 19", []string{"test.toml:21:1: service[0].connections: 19 connections cannot fill 20 slots"}},
+		{"connections under slots", "connections = 260", "connections = 19", []string{"test.toml:21:1: service[0].connections: 19 connections are too few for 20 slots"}},
 		{"queue, body, warmup and memory bounds", "connections = 260", "connections = 260\nqueue_limit = -1\nbody_limit_bytes = 0\nwarmup_ms = 0\nkey_memory_ms = 0", []string{
 			"test.toml:22:1: service[0].queue_limit: -1 must be from 0 to 65535",
 			"test.toml:23:1: service[0].body_limit_bytes: 0 must be from 1 to 67108864",
 			"test.toml:24:1: service[0].warmup_ms: 0 must be from 1 to 600000",
 			"test.toml:25:1: service[0].key_memory_ms: 0 must be from 1 to 86400000",
 		}},
-		{"key memory under the deadline", "connections = 260", "connections = 260\nkey_memory_ms = 1000", []string{"test.toml:29:1: service[0].route[0].class: class payout allows deadlines of 5000 ms, over the service's key_memory_ms of 1000"}},
+		{"key memory under the deadline", "connections = 260", "connections = 260\nkey_memory_ms = 1000", []string{"test.toml:29:1: service[0].route[0].class: class payout allows deadlines of 5000 ms, longer than the service's key_memory_ms of 1000"}},
 		{"health path", "connections = 260", "connections = 260\nhealth_path = \"health\"", []string{
 			`test.toml:22:1: service[0].health_path: "health" must start with "/"`,
 		}},
 		{"health path with a space", "connections = 260", "connections = 260\nhealth_path = \"/a b\"", []string{
-			`test.toml:22:1: service[0].health_path: "/a b" must have no space, control character, '?' or '#'`,
+			`test.toml:22:1: service[0].health_path: "/a b" must not contain a space, a control character, '?' or '#'`,
 		}},
 		{"load path", "connections = 260", "connections = 260\nload_path = \"/load\"", []string{
 			`test.toml:22:1: service[0].load_path: unknown key`,
 		}},
-		{"duplicate upstream", "[[service.upstream]]", "[[service.upstream]]\ninstance = \"ledger-1\"\nslots = 2\n[[service.upstream]]", []string{`test.toml:26:1: service[0].upstream[1].instance: "ledger-1" is taken by service[0].upstream[0].instance on line 23`}},
-		{"upstream without override", "slots = 10\n", "", []string{"test.toml:22:3: service[0].upstream[0]: overrides neither slots nor connections"}},
-		{"upstream slots over connections", "slots = 10\n", "slots = 261\n", []string{"test.toml:24:1: service[0].upstream[0].slots: 260 connections cannot fill 261 slots"}},
+		{"duplicate upstream", "[[service.upstream]]", "[[service.upstream]]\ninstance = \"ledger-1\"\nslots = 2\n[[service.upstream]]", []string{`test.toml:26:1: service[0].upstream[1].instance: "ledger-1" is already used by service[0].upstream[0].instance on line 23`}},
+		{"upstream without override", "slots = 10\n", "", []string{"test.toml:22:3: service[0].upstream[0]: must override slots or connections"}},
+		{"upstream slots over connections", "slots = 10\n", "slots = 261\n", []string{"test.toml:24:1: service[0].upstream[0].slots: 260 connections are too few for 261 slots"}},
 		{"route path without slash", `path = "/payouts"` + "\nmethods", `path = "payouts"` + "\nmethods", []string{`test.toml:26:1: service[0].route[0].path: "payouts" must start with "/"`}},
-		{"route path with dots", `path = "/payouts"` + "\nmethods", `path = "/a/../b"` + "\nmethods", []string{`test.toml:26:1: service[0].route[0].path: "/a/../b" must have no '.' or '..' segment`}},
-		{"route path with a dot", `path = "/payouts"` + "\nmethods", `path = "/a/./b"` + "\nmethods", []string{`test.toml:26:1: service[0].route[0].path: "/a/./b" must have no '.' or '..' segment`}},
-		{"route path with empty segment", `path = "/payouts"` + "\nmethods", `path = "/a//b"` + "\nmethods", []string{`test.toml:26:1: service[0].route[0].path: "/a//b" must have no empty segment`}},
-		{"route path too long", `path = "/payouts"` + "\nmethods", `path = "/` + strings.Repeat("a", 1024) + `"` + "\nmethods", []string{`test.toml:26:1: service[0].route[0].path: "/` + strings.Repeat("a", 1024) + `" is over 1024 bytes`}},
-		{"class whose name was not taken", `name = "lookup"`, `name = 3`, []string{"test.toml:12:8: class[1].name: must be a string, found integer"}},
-		{"route whose methods were not taken", `["POST"]`, `[3]`, []string{"test.toml:27:12: service[0].route[0].methods: must be an array of strings, found integer"}},
+		{"route path with dots", `path = "/payouts"` + "\nmethods", `path = "/a/../b"` + "\nmethods", []string{`test.toml:26:1: service[0].route[0].path: "/a/../b" must not contain a '.' or '..' segment`}},
+		{"route path with a dot", `path = "/payouts"` + "\nmethods", `path = "/a/./b"` + "\nmethods", []string{`test.toml:26:1: service[0].route[0].path: "/a/./b" must not contain a '.' or '..' segment`}},
+		{"route path with empty segment", `path = "/payouts"` + "\nmethods", `path = "/a//b"` + "\nmethods", []string{`test.toml:26:1: service[0].route[0].path: "/a//b" must not contain an empty segment`}},
+		{"route path too long", `path = "/payouts"` + "\nmethods", `path = "/` + strings.Repeat("a", 1024) + `"` + "\nmethods", []string{`test.toml:26:1: service[0].route[0].path: "/` + strings.Repeat("a", 1024) + `" must be at most 1024 bytes`}},
+		{"class whose name was rejected", `name = "lookup"`, `name = 3`, []string{"test.toml:12:8: class[1].name: must be a string, found integer"}},
+		{"route whose methods were rejected", `["POST"]`, `[3]`, []string{"test.toml:27:12: service[0].route[0].methods: must be an array of strings, found integer"}},
 		{"route path missing", `path = "/payouts"` + "\nmethods", `methods`, []string{"test.toml:25:3: service[0].route[0].path: missing"}},
 		{"route class missing", `class = "payout"`, "", []string{"test.toml:25:3: service[0].route[0].class: missing"}},
-		{"unknown class", `class = "payout"`, `class = "pay"`, []string{`test.toml:28:1: service[0].route[0].class: "pay" is no class of this bundle`}},
+		{"unknown class", `class = "payout"`, `class = "pay"`, []string{`test.toml:28:1: service[0].route[0].class: "pay" is not a class of this bundle`}},
 		{"unknown and repeated methods", `["POST"]`, `["post", "GET", "GET"]`, []string{
 			`test.toml:27:1: service[0].route[0].methods: "post" is not one of GET, HEAD, POST, PUT, PATCH, DELETE, OPTIONS, TRACE`,
-			`test.toml:27:1: service[0].route[0].methods: "GET" stands twice`,
+			`test.toml:27:1: service[0].route[0].methods: "GET" is listed twice`,
 		}},
-		{"hidden route without methods", `methods = ["POST"]`, "", []string{"test.toml:30:1: service[0].route[1].path: every method of /payouts is hidden by service[0].route[0] on line 25"}},
-		{"hidden route with methods", `class = "lookup"`, "class = \"lookup\"\nmethods = [\"GET\", \"POST\"]", []string{"test.toml:30:1: service[0].route[1].path: POST /payouts is hidden by service[0].route[0] on line 25"}},
+		{"hidden route without methods", `methods = ["POST"]`, "", []string{"test.toml:30:1: service[0].route[1].path: every method of /payouts is already routed by service[0].route[0] on line 25"}},
+		{"hidden route with methods", `class = "lookup"`, "class = \"lookup\"\nmethods = [\"GET\", \"POST\"]", []string{"test.toml:30:1: service[0].route[1].path: POST /payouts is already routed by service[0].route[0] on line 25"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -210,7 +210,7 @@
 	return strings.Split(list.Error(), "\n")
 }
 
-func TestParseFindsFaultsOfAllKindsInOnePass(t *testing.T) {
+func TestParseReportsAllFaultsInOnePass(t *testing.T) {
 	text := `name = "INYANGE"
 version = "three"
 colour = "red"
@@ -235,9 +235,9 @@
 		"test.toml:6:1: class[0].worth: NaN must be from 0 to 1e+06",
 		"test.toml:7:15: class[0].deadline_ms: must be an integer, found string",
 		"test.toml:11:1: service[0].slots: key slots is already defined",
-		"test.toml:12:1: service[0].connections: 5 connections cannot fill 20 slots",
+		"test.toml:12:1: service[0].connections: 5 connections are too few for 20 slots",
 		`test.toml:14:1: service[0].route[0].path: "payouts" must start with "/"`,
-		`test.toml:15:1: service[0].route[0].class: "none" is no class of this bundle`,
+		`test.toml:15:1: service[0].route[0].class: "none" is not a class of this bundle`,
 		"test.toml:16:20: service[0].route[0].methods: must be an array of strings, found integer",
 	}
 	if diff := cmp.Diff(want, findingsOf(t, text)); diff != "" {
@@ -245,13 +245,13 @@
 	}
 }
 
-func TestParseTakesAnyWordOnIdempotency(t *testing.T) {
+func TestParseAcceptsAnyIdempotencyOverride(t *testing.T) {
 	text := strings.Replace(validBundle, `methods = ["POST"]`, "methods = [\"POST\"]\nidempotent = true", 1)
 	text = strings.Replace(text, `class = "lookup"`, "class = \"lookup\"\nmethods = [\"GET\"]\nidempotent = false", 1)
 	mustParse(t, text)
 }
 
-func TestParseRefusesOverAMegabyte(t *testing.T) {
+func TestParseRejectsOversizedText(t *testing.T) {
 	text := validBundle + "#" + strings.Repeat("x", MaxBytes)
 	want := []string{fmt.Sprintf("test.toml: %d bytes are over the bound of %d", len(text), MaxBytes)}
 	if diff := cmp.Diff(want, findingsOf(t, text)); diff != "" {
--- a/internal/bundle/set.go
+++ b/internal/bundle/set.go
@@ -10,38 +10,39 @@
 	"gypsumstand/internal/model"
 )
 
-// Set is an immutable set of bundles in force, with an index of their services
-// and routes.
+// Set is an immutable set of bundles in force with an index of their services and routes.
+// It is safe for concurrent use.
 type Set struct {
 	byName   map[model.BundleName]*Bundle
 	ordered  []*Bundle
 	services map[model.ServiceName]serviceEntry
-	// routes are those of any host, hosts those of one.
+	// routes are the routes of any host; hosts holds the routes of single hosts by their
+	// names in lower case.
 	routes routeNode
 	hosts  map[string]*routeNode
 }
 
+// serviceEntry is a service with the bundle that defines it.
 type serviceEntry struct {
 	service *Service
 	bundle  *Bundle
 }
 
-// Target is where a route leads and under which rules.
+// Target is the service that a request is routed to, with the rules that apply.
 type Target struct {
 	Bundle     *Bundle
 	Service    *Service
 	Class      *Class
 	Idempotent bool
-	// Regions are those in which the route's requests may run.
+	// Regions are the regions in which the route's requests may run.
 	Regions model.Regions
 }
 
-// NewSet indexes the given bundles; of two with one name the newer is taken.
-// Where bundles contradict each other (see CheckSet), the one whose name sorts
-// first wins, whatever the order of the argument: a service that it has is
-// taken from it with all its routes, and the same service in a later bundle is
-// left out, so that one version governs a service from end to end. Of two
-// routes with the same path and method the first bundle's is taken.
+// NewSet indexes the given bundles. Of two versions of one bundle it uses the newer. If
+// bundles conflict (see CheckSet), the bundle whose name sorts first wins, in whatever
+// order they are given: a service is taken from that bundle with all its routes and
+// ignored in later bundles, so that a single version governs the whole service. Of two
+// routes with the same host, path and method, the first bundle's is used.
 func NewSet(bundles []*Bundle) *Set {
 	s := &Set{
 		byName:   make(map[model.BundleName]*Bundle, len(bundles)),
@@ -57,31 +58,32 @@
 	}
 	slices.SortFunc(s.ordered, func(a, b *Bundle) int { return cmp.Compare(a.Name, b.Name) })
 	for _, b := range s.ordered {
-		s.index(b)
+		s.indexBundle(b)
 	}
 	return s
 }
 
-func (s *Set) index(b *Bundle) {
+// indexBundle adds the services of b that no earlier bundle has, with their routes.
+func (s *Set) indexBundle(b *Bundle) {
 	classes := make(map[model.ClassName]*Class, len(b.Classes))
 	for i := range b.Classes {
 		classes[b.Classes[i].Name] = &b.Classes[i]
 	}
 	for i := range b.Services {
 		svc := &b.Services[i]
-		if _, taken := s.services[svc.Name]; taken {
+		if _, found := s.services[svc.Name]; found {
 			continue
 		}
 		s.services[svc.Name] = serviceEntry{service: svc, bundle: b}
 		for j := range svc.Routes {
 			r := &svc.Routes[j]
-			s.routesOf(r.Host).add(r, Target{Bundle: b, Service: svc, Class: classes[r.Class], Regions: model.NewRegions(r.Regions)})
+			s.routesForHost(r.Host).add(r, Target{Bundle: b, Service: svc, Class: classes[r.Class], Regions: model.NewRegions(r.Regions)})
 		}
 	}
 }
 
-// routesOf returns the routes of a host, making their list when it is new.
-func (s *Set) routesOf(host string) *routeNode {
+// routesForHost returns the root of a host's routes and creates it for a new host.
+func (s *Set) routesForHost(host string) *routeNode {
 	if host == "" {
 		return &s.routes
 	}
@@ -98,29 +100,29 @@
 	return n
 }
 
-// All returns the bundles in the order of their names.
+// All returns the bundles ordered by name.
 func (s *Set) All() []*Bundle { return slices.Clone(s.ordered) }
 
-// Bundle returns the bundle of that name, or nil.
+// Bundle returns the bundle called name, or nil.
 func (s *Set) Bundle(name model.BundleName) *Bundle { return s.byName[name] }
 
-// Service returns the service of that name and its bundle, or nils.
+// Service returns the service called name and its bundle, or nil for both.
 func (s *Set) Service(name model.ServiceName) (*Service, *Bundle) {
 	e := s.services[name]
 	return e.service, e.bundle
 }
 
-// Match finds the target of a request for any host; see MatchHost.
+// Match finds the target of a request among the routes of any host; see MatchHost.
 func (s *Set) Match(method, path string) (t Target, ok bool) {
 	return s.MatchHost("", method, path, 0)
 }
 
-// MatchHost finds the target of a request; ok is false when no route matches.
-// draw is a uniform random number that chooses among the parts of a split. The
-// cost grows with the path's segments, not with the number of routes.
+// MatchHost finds the target of a request; ok is false if no route matches. draw is a
+// uniform random number that selects among the parts of a split. The cost grows with the
+// number of segments of the path, not with the number of routes.
 func (s *Set) MatchHost(host, method, path string, draw uint64) (t Target, ok bool) {
 	if len(s.hosts) > 0 && host != "" {
-		if n := s.hosts[hostName(host)]; n != nil {
+		if n := s.hosts[normaliseHost(host)]; n != nil {
 			if e := n.match(method, path); e != nil {
 				return e.resolve(method, draw), true
 			}
@@ -132,25 +134,26 @@
 	return Target{}, false
 }
 
-// RouteHost returns the host of a request where its route is for that host only, else empty:
-// callers reach a route for any host by the address of any node.
+// RouteHost returns the host of a request if its route is limited to that host, else an
+// empty string: callers can reach a route of any host at the address of any node.
 func (s *Set) RouteHost(host, method, path string) string {
-	host = hostName(host)
+	host = normaliseHost(host)
 	if n := s.hosts[host]; n != nil && n.match(method, path) != nil {
 		return host
 	}
 	return ""
 }
 
-// hostName returns a Host header's name in lower case, without a port.
-func hostName(host string) string {
+// normaliseHost returns the name in a Host header in lower case and without a port.
+func normaliseHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
 	return strings.ToLower(host)
 }
 
-// idempotent applies RFC 9110, section 9.2.2, where the route says nothing.
+// idempotent reports whether requests of the method count as idempotent: as the route
+// specifies, else by RFC 9110, section 9.2.2.
 func (r *Route) idempotent(method string) bool {
 	if r.Idempotent != nil {
 		return *r.Idempotent
--- a/internal/bundle/set_test.go
+++ b/internal/bundle/set_test.go
@@ -13,8 +13,8 @@
 	"gypsumstand/internal/model"
 )
 
-// linearSet is the reference: all routes sorted by precedence and tried one by
-// one, and all bundles asked for a service.
+// linearSet is a reference implementation of Set: it tries all routes in order of
+// precedence and searches all bundles for a service.
 type linearSet struct {
 	bundles []*Bundle
 	routes  []routeEntry
@@ -164,16 +164,16 @@
 	}
 }
 
-func TestNewSetTakesTheNewerOfOneName(t *testing.T) {
+func TestNewSetKeepsNewestVersion(t *testing.T) {
 	older, newer := &Bundle{Name: "b", Version: 1}, &Bundle{Name: "b", Version: 2}
 	for _, order := range [][]*Bundle{{older, newer}, {newer, older}} {
 		if got := NewSet(order).Bundle("b"); got != newer {
-			t.Errorf("version %d is in force, want 2", got.Version)
+			t.Errorf("version %d is in the set, want 2", got.Version)
 		}
 	}
 }
 
-func contradictoryBundles() (first, second *Bundle) {
+func conflictingBundles() (first, second *Bundle) {
 	first = &Bundle{Name: "a", Version: 1, Services: []Service{
 		{Name: "ledger", Slots: 1, Routes: []Route{{Path: "/payouts"}, {Path: "/a"}}},
 	}}
@@ -184,8 +184,8 @@
 	return first, second
 }
 
-func TestNewSetIsDeterministicOnContradictions(t *testing.T) {
-	first, second := contradictoryBundles()
+func TestNewSetIgnoresOrderOfConflictingBundles(t *testing.T) {
+	first, second := conflictingBundles()
 	for range 20 {
 		for _, order := range [][]*Bundle{{first, second}, {second, first}} {
 			s := NewSet(order)
@@ -196,7 +196,7 @@
 				t.Fatalf("/payouts leads to %+v", target)
 			}
 			if _, ok := s.Match("GET", "/b"); ok {
-				t.Fatal("/b leads to a service of which the bundle does not govern")
+				t.Fatal("/b leads to a service that another bundle governs")
 			}
 			if target, ok := s.Match("GET", "/orders"); !ok || target.Bundle != second {
 				t.Fatalf("/orders leads to %+v", target)
@@ -205,8 +205,8 @@
 	}
 }
 
-func TestCheckSetFindsContradictions(t *testing.T) {
-	first, second := contradictoryBundles()
+func TestCheckSetReportsConflicts(t *testing.T) {
+	first, second := conflictingBundles()
 	want := strings.Join([]string{
 		`b@9: service[0].name: "ledger" is also in a@1, which wins`,
 		`b@9: service[1].route[0].path: every method of /payouts is also in a@1, which wins`,
@@ -217,13 +217,13 @@
 		}
 	}
 	if got := CheckSet([]*Bundle{second}); got != nil {
-		t.Errorf("one bundle alone: %v", got)
+		t.Errorf("findings for a single bundle: %v", got)
 	}
 }
 
-func TestCheckSetFindsOneNameTwice(t *testing.T) {
+func TestCheckSetReportsTwoVersions(t *testing.T) {
 	got := CheckSet([]*Bundle{{Name: "a", Version: 2}, {Name: "a", Version: 1}})
-	if want := "a@1: name: another version of this bundle is given: a@2"; got.Error() != want {
-		t.Errorf("found %v, want %s", got, want)
+	if want := "a@1: name: another version of this bundle is also given: a@2"; got.Error() != want {
+		t.Errorf("findings %v, want %s", got, want)
 	}
 }
--- a/internal/bundle/sign.go
+++ b/internal/bundle/sign.go
@@ -8,36 +8,39 @@
 	"gypsumstand/internal/wire"
 )
 
-// signatureContext separates bundle signatures from any other use of a key.
+// signatureContext prefixes the signed message, so that no signature made with the key for
+// another purpose is valid for a bundle.
 const signatureContext = "gypsumstand bundle v1\n"
 
-// Signed is a bundle's exact bytes with the signature of a named person. Its
-// CBOR form is what the platform publishes and what nodes pass on.
+// Signed holds a bundle's exact bytes with the signature of a named signer. The platform
+// publishes its CBOR encoding, and nodes relay it.
 type Signed struct {
 	Signer    string `cbor:"1,keyasint"`
 	Bundle    []byte `cbor:"2,keyasint"`
 	Signature []byte `cbor:"3,keyasint"`
 }
 
-// Signer is a named person whose sign-off is trusted.
+// Signer is a trusted signer: a name and its public key.
 type Signer struct {
 	Name string
 	Key  ed25519.PublicKey
 }
 
-// Errors of Verify and Open.
+// Errors of Verify, Marshal, Unmarshal and Open; test for them with errors.Is.
 var (
 	ErrUnsigned      = errors.New("bundle is not signed")
 	ErrUnknownSigner = errors.New("signer is not trusted")
-	ErrBadSignature  = errors.New("signature does not fit the bundle's bytes")
-	ErrTooLarge      = errors.New("signed bundle is over a megabyte")
+	ErrBadSignature  = errors.New("signature does not match the bundle's bytes")
+	ErrTooLarge      = errors.New("signed bundle is over 1 MiB")
 )
 
-// Sign signs the exact bytes of a bundle off in the name of signer.
+// Sign signs the exact bytes of a bundle in the name of signer.
 func Sign(signer string, key ed25519.PrivateKey, data []byte) Signed {
 	return Signed{Signer: signer, Bundle: data, Signature: ed25519.Sign(key, signedMessage(signer, data))}
 }
 
+// signedMessage returns the bytes that are signed: the context, the signer's name, a line
+// feed and the bundle.
 func signedMessage(signer string, data []byte) []byte {
 	msg := make([]byte, 0, len(signatureContext)+len(signer)+1+len(data))
 	msg = append(msg, signatureContext...)
@@ -46,7 +49,8 @@
 	return append(msg, data...)
 }
 
-// Verify checks the signature against the trusted signers.
+// Verify checks the signature with the key of the trusted signer of that name. It returns
+// an error that wraps ErrUnsigned, ErrUnknownSigner or ErrBadSignature.
 func (s Signed) Verify(trusted []Signer) error {
 	if s.Signer == "" || len(s.Signature) == 0 {
 		return ErrUnsigned
@@ -63,7 +67,7 @@
 	return fmt.Errorf("signer %q: %w", s.Signer, ErrUnknownSigner)
 }
 
-// Marshal returns the CBOR form.
+// Marshal returns the CBOR encoding, of at most MaxBytes.
 func (s Signed) Marshal() ([]byte, error) {
 	out, err := wire.Marshal(s)
 	if err != nil {
@@ -75,7 +79,8 @@
 	return out, nil
 }
 
-// Unmarshal reads the CBOR form; it checks nothing but the form and the size.
+// Unmarshal decodes the CBOR encoding. It checks only the encoding and the size, not the
+// signature.
 func Unmarshal(data []byte) (Signed, error) {
 	var s Signed
 	if len(data) > MaxBytes {
@@ -87,7 +92,8 @@
 	return s, nil
 }
 
-// Open reads, verifies and then parses a signed bundle's CBOR form.
+// Open decodes a signed bundle from CBOR, verifies its signature and then parses it. file
+// names the bundle in findings.
 func Open(file string, data []byte, trusted []Signer) (*Bundle, error) {
 	s, err := Unmarshal(data)
 	if err != nil {
--- a/internal/bundle/sign_test.go
+++ b/internal/bundle/sign_test.go
@@ -28,7 +28,7 @@
 	return out
 }
 
-func TestOpenTakesASignedBundle(t *testing.T) {
+func TestOpenAcceptsSignedBundle(t *testing.T) {
 	key := testKey(1)
 	data := mustMarshal(t, Sign("aline", key, []byte(validBundle)))
 	b, err := Open("inyange", data, []Signer{testSigner("beatha", testKey(2)), testSigner("aline", key)})
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestOpenRefuses(t *testing.T) {
+func TestOpenRejectsBadSignatures(t *testing.T) {
 	aline, beatha := testKey(1), testKey(2)
 	trusted := []Signer{testSigner("aline", aline), testSigner("beatha", beatha)}
 	signed := Sign("aline", aline, []byte(validBundle))
@@ -61,7 +61,7 @@
 		{"no signature", with(func(s *Signed) { s.Signature = nil }), ErrUnsigned},
 		{"no signer", with(func(s *Signed) { s.Signer = "" }), ErrUnsigned},
 		{"unknown signer", with(func(s *Signed) { *s = Sign("carine", testKey(3), s.Bundle) }), ErrUnknownSigner},
-		{"another's key", with(func(s *Signed) { *s = Sign("aline", beatha, s.Bundle) }), ErrBadSignature},
+		{"another signer's key", with(func(s *Signed) { *s = Sign("aline", beatha, s.Bundle) }), ErrBadSignature},
 		{"another trusted name", with(func(s *Signed) { s.Signer = "beatha" }), ErrBadSignature},
 		{"name with a line of the bundle", with(func(s *Signed) {
 			s.Signer = "aline\n" + strings.SplitN(validBundle, "\n", 2)[0]
@@ -70,10 +70,10 @@
 		{"altered bundle", with(func(s *Signed) { s.Bundle = []byte(strings.Replace(validBundle, "= 20", "= 21", 1)) }), ErrBadSignature},
 		{"cut signature", with(func(s *Signed) { s.Signature = s.Signature[:63] }), ErrBadSignature},
 		{"signature of the bare bytes", with(func(s *Signed) { s.Signature = ed25519.Sign(aline, s.Bundle) }), ErrBadSignature},
-		{"a signature without its context", with(func(s *Signed) {
+		{"signature without its context", with(func(s *Signed) {
 			s.Signature = ed25519.Sign(aline, append([]byte("aline\n"), s.Bundle...))
 		}), ErrBadSignature},
-		{"over a megabyte", with(func(s *Signed) { *s = Sign("aline", aline, make([]byte, MaxBytes)) }), ErrTooLarge},
+		{"over 1 MiB", with(func(s *Signed) { *s = Sign("aline", aline, make([]byte, MaxBytes)) }), ErrTooLarge},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestSignatureBindsTheNameEvenUnderOneKey(t *testing.T) {
+func TestSignatureCoversSignerName(t *testing.T) {
 	key := testKey(1)
 	trusted := []Signer{testSigner("al", key), testSigner("ali", key), testSigner("aline", key)}
 	signed := Sign("ali", key, []byte("name"))
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestOpenRefusesWhatIsNoSignedBundle(t *testing.T) {
+func TestOpenRejectsMalformedEncoding(t *testing.T) {
 	good := mustMarshal(t, Sign("aline", testKey(1), []byte(validBundle)))
 	tests := map[string][]byte{
 		"empty":          nil,
@@ -118,13 +118,13 @@
 	for name, data := range tests {
 		t.Run(name, func(t *testing.T) {
 			if b, err := Open("test", data, []Signer{testSigner("aline", testKey(1))}); err == nil {
-				t.Errorf("Open took it: %v", b)
+				t.Errorf("Open accepted it: %v", b)
 			}
 		})
 	}
 }
 
-func TestOpenRefusesEachAlteredByte(t *testing.T) {
+func TestOpenRejectsAnyAlteredByte(t *testing.T) {
 	key := testKey(1)
 	signed := Sign("aline", key, []byte("name = \"inyange\"\nversion = 1\n"))
 	data := mustMarshal(t, signed)
@@ -133,12 +133,12 @@
 		altered := bytes.Clone(data)
 		altered[i] ^= 0x01
 		if _, err := Open("test", altered, trusted); err == nil {
-			t.Errorf("byte %d altered from %#x to %#x: still taken", i, data[i], altered[i])
+			t.Errorf("byte %d altered from %#x to %#x: still accepted", i, data[i], altered[i])
 		}
 	}
 }
 
-func TestOpenParsesOnlyWhatIsSigned(t *testing.T) {
+func TestOpenVerifiesBeforeParsing(t *testing.T) {
 	data := mustMarshal(t, Sign("carine", testKey(3), []byte("no TOML")))
 	_, err := Open("test", data, []Signer{testSigner("aline", testKey(1))})
 	var list finding.List
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestOpenReportsFindingsOfASignedBundle(t *testing.T) {
+func TestOpenReportsFindings(t *testing.T) {
 	key := testKey(1)
 	data := mustMarshal(t, Sign("aline", key, []byte("name = \"inyange\"\nversion = 0\n")))
 	_, err := Open("inyange", data, []Signer{testSigner("aline", key)})
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestMarshalRefusesOverAMegabyte(t *testing.T) {
+func TestMarshalRejectsOversizedBundle(t *testing.T) {
 	if _, err := Sign("aline", testKey(1), make([]byte, MaxBytes)).Marshal(); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("Marshal: %v, want %v", err, ErrTooLarge)
 	}
--- a/internal/bundle/trie.go
+++ b/internal/bundle/trie.go
@@ -5,25 +5,26 @@
 	"strings"
 )
 
-// routeNode is a node of the trie of path segments.
+// routeNode is a node of a trie of path segments.
 type routeNode struct {
 	children map[string]*routeNode
-	// here holds the routes whose path ends at this node; they match this path
-	// and everything below. below holds those whose path ends in a slash after
-	// it; they match only what is below.
-	here  routeList
-	below routeList
+	// exactOrBelow holds the routes whose path ends at this node; they match this path and
+	// all paths below it. belowOnly holds the routes whose path ends in a slash after this
+	// node; they match only paths below it.
+	exactOrBelow routeList
+	belowOnly    routeList
 }
 
-// routeList holds the routes of one path: those with methods before those
-// without, otherwise in the order of adding.
+// routeList holds the routes of one path: routes with methods before routes without,
+// otherwise in the order of insertion.
 type routeList []routeEntry
 
+// routeEntry is a route, or a split of several routes, with its target.
 type routeEntry struct {
 	route  *Route
 	target Target
-	// split holds the parts of a split in the order of adding, this entry's own
-	// first; empty when the route is alone.
+	// split holds the parts of a split in the order of insertion, starting with this
+	// entry's own route; empty for a route that is not split.
 	split splitTargets
 }
 
@@ -34,6 +35,7 @@
 	total uint64
 }
 
+// splitPart is the target of one part of a split.
 type splitPart struct {
 	target Target
 	weight uint64
@@ -44,20 +46,20 @@
 	s.total += uint64(weight)
 }
 
-// choose returns the part that a uniform draw falls on.
+// choose returns the target of the part that a uniform draw selects by weight.
 func (s *splitTargets) choose(draw uint64) Target {
-	at := draw % s.total
+	rest := draw % s.total
 	for i := range s.parts {
 		p := &s.parts[i]
-		if at < p.weight {
+		if rest < p.weight {
 			return p.target
 		}
-		at -= p.weight
+		rest -= p.weight
 	}
 	return s.parts[0].target
 }
 
-// resolve returns the target of a request that matched e.
+// resolve returns the target of a request that matches e.
 func (e *routeEntry) resolve(method string, draw uint64) Target {
 	t := e.target
 	if e.split.total > 0 {
@@ -67,8 +69,8 @@
 	return t
 }
 
-// add puts a route under its path. One that does not start with a slash can
-// match no request and is left out.
+// add inserts a route under its path. A path that does not start with a slash matches no
+// request and is ignored.
 func (n *routeNode) add(r *Route, t Target) {
 	rest, ok := strings.CutPrefix(r.Path, "/")
 	if !ok {
@@ -79,13 +81,14 @@
 		n = n.child(segment)
 		rest = after
 		if !more {
-			n.here.add(routeEntry{route: r, target: t})
+			n.exactOrBelow.insert(routeEntry{route: r, target: t})
 			return
 		}
 	}
-	n.below.add(routeEntry{route: r, target: t})
+	n.belowOnly.insert(routeEntry{route: r, target: t})
 }
 
+// child returns the node of the next path segment and creates it if needed.
 func (n *routeNode) child(segment string) *routeNode {
 	c := n.children[segment]
 	if c != nil {
@@ -99,10 +102,11 @@
 	return c
 }
 
-func (l *routeList) add(e routeEntry) {
+// insert adds e to the list, or to the split that it is a part of.
+func (l *routeList) insert(e routeEntry) {
 	if e.route.Weight > 0 {
-		if same := l.splitOf(e.route); same != nil {
-			same.split.add(e.route.Weight, e.target)
+		if existing := l.splitOf(e.route); existing != nil {
+			existing.split.add(e.route.Weight, e.target)
 			return
 		}
 		e.split.add(e.route.Weight, e.target)
@@ -117,7 +121,7 @@
 	*l = slices.Insert(*l, at, e)
 }
 
-// splitOf returns the entry whose split a weighted route belongs to, or nil.
+// splitOf returns the entry with the split that a weighted route belongs to, or nil.
 func (l routeList) splitOf(r *Route) *routeEntry {
 	for i := range l {
 		e := &l[i]
@@ -128,13 +132,13 @@
 	return nil
 }
 
-// match walks down the path and returns the longest route that has the method,
-// or nil.
+// match descends along the path and returns the route of the longest matching prefix that
+// accepts the method, or nil.
 func (n *routeNode) match(method, path string) *routeEntry {
 	if path == "" || path[0] != '/' {
 		return nil
 	}
-	best := n.below.find(method)
+	best := n.belowOnly.find(method)
 	for rest, more := path[1:], true; more; {
 		var segment string
 		segment, rest, more = strings.Cut(rest, "/")
@@ -142,20 +146,20 @@
 		if n == nil {
 			break
 		}
-		if e := n.here.find(method); e != nil {
+		if e := n.exactOrBelow.find(method); e != nil {
 			best = e
 		}
 		if !more {
 			break
 		}
-		if e := n.below.find(method); e != nil {
+		if e := n.belowOnly.find(method); e != nil {
 			best = e
 		}
 	}
 	return best
 }
 
-// find returns the first entry that has the method, or nil.
+// find returns the first entry that accepts the method, or nil.
 func (l routeList) find(method string) *routeEntry {
 	for i := range l {
 		e := &l[i]
