--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -8,10 +8,10 @@
 	"gypsumstand/internal/finding"
 )
 
-// FuzzParse checks that whatever Parse takes can be used without a further
-// check, and that whatever it refuses has findings.
+// FuzzParse checks that settings that Parse accepts can be used without further checks, and
+// that a rejected text has findings.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(valid))
+	f.Add([]byte(validSettings))
 	f.Add([]byte("peers = [\"127.0.0.1\", 3]\n[platform]\ntimeout_ms = \"x\"\n[[signer]]\nkey = \"AAAA\"\n[tls]\nkey = \"k\"\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := Parse("f", data)
@@ -32,7 +32,7 @@
 			t.Errorf("%d of %d signers are trusted", len(s.TrustedSigners()), len(s.Signers))
 		}
 		if s.LeaveGrace() >= s.StopTimeout() || s.LeaveGrace() < 0 || s.Platform.Timeout() <= 0 {
-			t.Errorf("times %v, %v, %v", s.LeaveGrace(), s.StopTimeout(), s.Platform.Timeout())
+			t.Errorf("leave grace %v, stop timeout %v, platform timeout %v", s.LeaveGrace(), s.StopTimeout(), s.Platform.Timeout())
 		}
 	})
 }
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -11,7 +11,7 @@
 	"gypsumstand/internal/tomlfile"
 )
 
-// Defaults of absent fields.
+// Defaults of absent keys.
 const (
 	defaultLogLevel           = "info"
 	defaultStopTimeoutMs      = 30_000
@@ -21,12 +21,12 @@
 	defaultLocalDelayUs       = 100
 	defaultRemoteDelayUs      = 1000
 	defaultPlatformTimeoutMs  = 1000
-	defaultRequestLines       = 200
+	defaultRequestLogLines    = 200
 	defaultRetryRatio         = 0.2
 	defaultRetryExtra         = 50
 )
 
-// Bounds of fields.
+// Limits of the file and of its values.
 const (
 	maxFileBytes         = 1 << 20
 	minStopTimeoutMs     = 100
@@ -42,21 +42,21 @@
 	maxRetryExtra        = 1e6
 	maxWarmingRatio      = 100
 	maxWarmingExtra      = 1e4
-	maxRequestLines      = 100_000
+	maxRequestLogLines   = 100_000
 )
 
 var logLevels = []string{"debug", "info", "warn", "error"}
 
-// Parse reads settings from TOML, fills defaults and checks them. file names
-// the input in findings. The error is a finding.List with every fault.
+// Parse decodes settings from TOML, sets defaults and checks them. file names the input in
+// findings. The error is a finding.List with every finding.
 func Parse(file string, data []byte) (*Settings, error) { return parse(file, data, check) }
 
-// parse is Parse with the given checks.
+// parse implements Parse and Load, which differ in their checks.
 func parse(file string, data []byte, check func(*Settings, *tomlfile.Document)) (*Settings, error) {
 	if len(data) > maxFileBytes {
 		return nil, finding.List{{File: file, Message: fmt.Sprintf("%d bytes are over the bound of %d", len(data), maxFileBytes)}}
 	}
-	s := defaults()
+	s := defaultSettings()
 	doc := tomlfile.Decode(file, data, s)
 	if doc.HasSyntaxError() {
 		return nil, doc.Err()
@@ -68,10 +68,10 @@
 	return s, nil
 }
 
-func defaults() *Settings {
+func defaultSettings() *Settings {
 	return &Settings{
 		LogLevel:           defaultLogLevel,
-		RequestLogLines:    defaultRequestLines,
+		RequestLogLines:    defaultRequestLogLines,
 		StopTimeoutMs:      defaultStopTimeoutMs,
 		LeaveGraceMs:       defaultLeaveGraceMs,
 		MaxHeaderBytes:     defaultMaxHeaderBytes,
@@ -83,7 +83,7 @@
 	}
 }
 
-// check notes every fault of s in doc.
+// check adds a finding to doc for each invalid value in s.
 func check(s *Settings, doc *tomlfile.Document) {
 	doc.CheckName("instance", string(s.Instance))
 	doc.CheckName("service", string(s.Service))
@@ -93,20 +93,20 @@
 	checkPeers(s, doc)
 	checkSigners(s, doc)
 	checkTLS(&s.TLS, doc)
-	checkNumbers(s, doc)
+	checkLimits(s, doc)
 	if !slices.Contains(logLevels, s.LogLevel) {
 		doc.Add("log_level", "%q is not one of %s", s.LogLevel, strings.Join(logLevels, ", "))
 	}
 }
 
 func checkAddresses(s *Settings, doc *tomlfile.Document) {
-	own := ownAddresses{doc: doc}
-	own.add("caller_address", s.CallerAddress)
-	own.add("peer_address", s.PeerAddress)
-	own.add("operator_address", s.OperatorAddress)
-	own.add("worker_address", s.WorkerAddress)
-	reachable(doc, "peer_address", s.PeerAddress)
-	reachable(doc, "worker_address", s.WorkerAddress)
+	addresses := addressChecker{doc: doc}
+	addresses.check("caller_address", s.CallerAddress)
+	addresses.check("peer_address", s.PeerAddress)
+	addresses.check("operator_address", s.OperatorAddress)
+	addresses.check("worker_address", s.WorkerAddress)
+	checkConnectable(doc, "peer_address", s.PeerAddress)
+	checkConnectable(doc, "worker_address", s.WorkerAddress)
 	checkDirectory(&s.Directory, doc)
 	if s.Directory.Address == "" {
 		checkPlatform(s, doc)
@@ -114,19 +114,19 @@
 }
 
 func checkPlaces(s *Settings, doc *tomlfile.Document) {
-	taken := map[string]string{}
+	dataCentres := map[string]string{}
 	for i, p := range s.Places {
 		key := fmt.Sprintf("place[%d]", i)
 		doc.CheckName(key+".data_centre", string(p.DataCentre))
 		doc.CheckName(key+".region", string(p.Region))
-		unique(doc, taken, key+".data_centre", string(p.DataCentre))
+		checkUnique(doc, dataCentres, key+".data_centre", string(p.DataCentre))
 	}
 }
 
 func checkDirectory(d *Directory, doc *tomlfile.Document) {
 	if d.Address != "" {
 		doc.CheckAddress("directory.address", d.Address)
-		reachable(doc, "directory.address", d.Address)
+		checkConnectable(doc, "directory.address", d.Address)
 	}
 	doc.CheckFloatRange("directory.retry_ratio", d.RetryRatio, 0, 1)
 	doc.CheckFloatRange("directory.retry_extra", d.RetryExtra, 0, maxRetryExtra)
@@ -136,46 +136,47 @@
 
 func checkPlatform(s *Settings, doc *tomlfile.Document) {
 	doc.CheckAddress("platform.config_address", s.Platform.ConfigAddress)
-	reachable(doc, "platform.config_address", s.Platform.ConfigAddress)
+	checkConnectable(doc, "platform.config_address", s.Platform.ConfigAddress)
 	doc.CheckAddress("platform.list_address", s.Platform.ListAddress)
-	reachable(doc, "platform.list_address", s.Platform.ListAddress)
+	checkConnectable(doc, "platform.list_address", s.Platform.ListAddress)
 	doc.CheckIntRange("platform.timeout_ms", s.Platform.TimeoutMs, 1, maxPlatformTimeoutMs)
 }
 
-// ownAddresses notes addresses that cannot be told apart.
-type ownAddresses struct {
-	doc  *tomlfile.Document
-	keys []string
-	seen []netip.AddrPort
+// addressChecker finds invalid addresses of the node and its worker and conflicts between
+// them.
+type addressChecker struct {
+	doc       *tomlfile.Document
+	keys      []string
+	addresses []netip.AddrPort
 }
 
-func (o *ownAddresses) add(key, value string) {
+func (o *addressChecker) check(key, value string) {
 	addr, ok := o.doc.CheckAddress(key, value)
 	if !ok {
 		return
 	}
-	for i, other := range o.seen {
-		if collide(addr, other) {
+	for i, other := range o.addresses {
+		if addressesConflict(addr, other) {
 			o.doc.Add(key, "%s collides with %s %s", addr, o.keys[i], other)
 		}
 	}
 	o.keys = append(o.keys, key)
-	o.seen = append(o.seen, addr)
+	o.addresses = append(o.addresses, addr)
 }
 
-// collide tells whether two listeners could not have both addresses.
-func collide(a, b netip.AddrPort) bool {
+// addressesConflict reports whether two listeners cannot use these addresses at once.
+func addressesConflict(a, b netip.AddrPort) bool {
 	if a.Port() != b.Port() {
 		return false
 	}
 	return a.Addr().Unmap() == b.Addr().Unmap() || a.Addr().IsUnspecified() || b.Addr().IsUnspecified()
 }
 
-// reachable notes an address that others cannot connect to.
-func reachable(doc *tomlfile.Document, key, value string) {
+// checkConnectable reports an address that no client can connect to.
+func checkConnectable(doc *tomlfile.Document, key, value string) {
 	addr, err := netip.ParseAddrPort(value)
 	if err == nil && (addr.Addr().IsUnspecified() || addr.Addr().IsMulticast()) {
-		doc.Add(key, "%s is no address to connect to", value)
+		doc.Add(key, "%s must not be a wildcard or multicast address", value)
 	}
 }
 
@@ -187,22 +188,22 @@
 		if _, ok := doc.CheckAddress("peers", peer); !ok {
 			continue
 		}
-		reachable(doc, "peers", peer)
+		checkConnectable(doc, "peers", peer)
 		if slices.Contains(s.Peers[:i], peer) {
-			doc.Add("peers", "%s stands twice", peer)
+			doc.Add("peers", "%s is listed twice", peer)
 		}
 	}
 }
 
 func checkSigners(s *Settings, doc *tomlfile.Document) {
 	if len(s.Signers) == 0 && s.Directory.Address == "" {
-		doc.Add("signer", "missing: without a trusted signer no bundle is ever accepted")
+		doc.Add("signer", "missing: without a trusted signer no bundle is accepted")
 	}
-	names, public := map[string]string{}, map[string]string{}
+	names, publicKeys := map[string]string{}, map[string]string{}
 	for i, signer := range s.Signers {
 		key := fmt.Sprintf("signer[%d]", i)
 		doc.CheckName(key+".name", signer.Name)
-		unique(doc, names, key+".name", signer.Name)
+		checkUnique(doc, names, key+".name", signer.Name)
 		if !doc.Require(key + ".key") {
 			continue
 		}
@@ -210,18 +211,18 @@
 			doc.Add(key+".key", "%v", err)
 			continue
 		}
-		unique(doc, public, key+".key", signer.Key)
+		checkUnique(doc, publicKeys, key+".key", signer.Key)
 	}
 }
 
-// unique notes a value that another key has already.
-func unique(doc *tomlfile.Document, seen map[string]string, key, value string) {
+// checkUnique reports a value that another key already has.
+func checkUnique(doc *tomlfile.Document, keyByValue map[string]string, key, value string) {
 	if value == "" {
 		return
 	}
-	first, taken := seen[value]
-	if !taken {
-		seen[value] = key
+	first, found := keyByValue[value]
+	if !found {
+		keyByValue[value] = key
 		return
 	}
 	line, _ := doc.Position(first)
@@ -236,12 +237,12 @@
 		{"tls.certificate", t.Certificate}, {"tls.key", t.Key}, {"tls.authority", t.Authority},
 	} {
 		if f.value == "" {
-			doc.Add(f.key, "missing: certificate, key and authority stand together")
+			doc.Add(f.key, "missing: certificate, key and authority must be set together")
 		}
 	}
 }
 
-// checkTLSFiles notes the TLS files that cannot be used.
+// checkTLSFiles reports TLS files that cannot be loaded.
 func checkTLSFiles(t *TLS, doc *tomlfile.Document) {
 	if t.Certificate != "" && t.Key != "" {
 		if _, err := t.loadPair(); err != nil {
@@ -255,14 +256,14 @@
 	}
 }
 
-func checkNumbers(s *Settings, doc *tomlfile.Document) {
+func checkLimits(s *Settings, doc *tomlfile.Document) {
 	doc.CheckIntRange("stop_timeout_ms", s.StopTimeoutMs, minStopTimeoutMs, maxStopTimeoutMs)
 	doc.CheckIntRange("leave_grace_ms", s.LeaveGraceMs, 0, maxStopTimeoutMs)
 	doc.CheckIntRange("stop_margin_ms", s.StopMarginMs, 0, maxStopMarginMs)
 	if s.StopMarginMs >= s.StopTimeoutMs && s.StopMarginMs > 0 {
 		doc.Add("stop_margin_ms", "%d must be under stop_timeout_ms of %d", s.StopMarginMs, s.StopTimeoutMs)
 	}
-	doc.CheckIntRange("request_log_lines", int64(s.RequestLogLines), 0, maxRequestLines)
+	doc.CheckIntRange("request_log_lines", int64(s.RequestLogLines), 0, maxRequestLogLines)
 	doc.CheckIntRange("memory_limit_mb", s.MemoryLimitMb, 0, maxMemoryLimitMb)
 	if s.LeaveGraceMs >= s.StopTimeoutMs {
 		key := "leave_grace_ms"
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,7 +19,7 @@
 
 const publicKey = "A6EHv/POEL4dcN0Y50vAmWfk1jCbpQ1fHdyGZBJVMbg="
 
-const valid = `instance = "ledger-1"
+const validSettings = `instance = "ledger-1"
 service = "ledger"
 data_centre = "kigali-a"
 caller_address = "127.0.0.1:7001"
@@ -36,7 +36,7 @@
 `
 
 func TestParseFillsDefaults(t *testing.T) {
-	got, err := Parse("node.toml", []byte(valid))
+	got, err := Parse("node.toml", []byte(validSettings))
 	if err != nil {
 		t.Fatalf("Parse: %v", err)
 	}
@@ -56,8 +56,8 @@
 	}
 }
 
-func TestSettingsGiveTypedValues(t *testing.T) {
-	s, err := Parse("node.toml", []byte(valid))
+func TestSettingsAccessors(t *testing.T) {
+	s, err := Parse("node.toml", []byte(validSettings))
 	if err != nil {
 		t.Fatalf("Parse: %v", err)
 	}
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestParseFindings changes the valid settings in one place and names all that
-// must be found.
+// TestParseFindings changes the valid settings in one place and expects exactly the listed
+// findings.
 func TestParseFindings(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -97,24 +97,24 @@
 		{"address twice", "127.0.0.1:7003", "127.0.0.1:7001", []string{"node.toml:6:1: operator_address: 127.0.0.1:7001 collides with caller_address 127.0.0.1:7001"}},
 		{"address within a wildcard", "127.0.0.1:7001", "0.0.0.0:7002", []string{"node.toml:5:1: peer_address: 127.0.0.1:7002 collides with caller_address 0.0.0.0:7002"}},
 		{"same address in IPv6 form", "127.0.0.1:7001", "[::ffff:127.0.0.1]:7002", []string{"node.toml:5:1: peer_address: 127.0.0.1:7002 collides with caller_address [::ffff:127.0.0.1]:7002"}},
-		{"wildcard peer address", "127.0.0.1:7002", "0.0.0.0:7002", []string{"node.toml:5:1: peer_address: 0.0.0.0:7002 is no address to connect to"}},
-		{"addresses that none connects to", "127.0.0.1:7004\"\npeers = [\"127.0.0.1:7012\"]\n[platform]\nconfig_address = \"127.0.0.1:7500\"\nlist_address = \"127.0.0.1:7500", "0.0.0.0:7004\"\n[platform]\nconfig_address = \"[::]:7500\"\nlist_address = \"224.0.0.1:7500", []string{
-			"node.toml:7:1: worker_address: 0.0.0.0:7004 is no address to connect to",
-			"node.toml:9:1: platform.config_address: [::]:7500 is no address to connect to",
-			"node.toml:10:1: platform.list_address: 224.0.0.1:7500 is no address to connect to",
+		{"wildcard peer address", "127.0.0.1:7002", "0.0.0.0:7002", []string{"node.toml:5:1: peer_address: 0.0.0.0:7002 must not be a wildcard or multicast address"}},
+		{"wildcard and multicast addresses", "127.0.0.1:7004\"\npeers = [\"127.0.0.1:7012\"]\n[platform]\nconfig_address = \"127.0.0.1:7500\"\nlist_address = \"127.0.0.1:7500", "0.0.0.0:7004\"\n[platform]\nconfig_address = \"[::]:7500\"\nlist_address = \"224.0.0.1:7500", []string{
+			"node.toml:7:1: worker_address: 0.0.0.0:7004 must not be a wildcard or multicast address",
+			"node.toml:9:1: platform.config_address: [::]:7500 must not be a wildcard or multicast address",
+			"node.toml:10:1: platform.list_address: 224.0.0.1:7500 must not be a wildcard or multicast address",
 		}},
-		{"too many seeds", `["127.0.0.1:7012"]`, seeds(maxPeers + 1), []string{"node.toml:8:1: peers: 1001 peers are over the bound of 1000"}},
-		{"bad seed", `["127.0.0.1:7012"]`, `["127.0.0.1", "0.0.0.0:1", "10.0.0.1:2", "10.0.0.1:2"]`, []string{
+		{"too many peers", `["127.0.0.1:7012"]`, peerArray(maxPeers + 1), []string{"node.toml:8:1: peers: 1001 peers are over the bound of 1000"}},
+		{"bad peers", `["127.0.0.1:7012"]`, `["127.0.0.1", "0.0.0.0:1", "10.0.0.1:2", "10.0.0.1:2"]`, []string{
 			`node.toml:8:1: peers: "127.0.0.1" must be an IP number and a port, as in 10.0.0.7:7100 or [fd00::7]:7100`,
-			"node.toml:8:1: peers: 0.0.0.0:1 is no address to connect to",
-			"node.toml:8:1: peers: 10.0.0.1:2 stands twice",
+			"node.toml:8:1: peers: 0.0.0.0:1 must not be a wildcard or multicast address",
+			"node.toml:8:1: peers: 10.0.0.1:2 is listed twice",
 		}},
 		{"platform missing", "[platform]\nconfig_address = \"127.0.0.1:7500\"\nlist_address = \"127.0.0.1:7500\"\n", "", []string{
 			"node.toml: platform.config_address: missing",
 			"node.toml: platform.list_address: missing",
 		}},
 		{"platform timeout", "[[signer]]", "timeout_ms = 0\n[[signer]]", []string{"node.toml:12:1: platform.timeout_ms: 0 must be from 1 to 60000"}},
-		{"no signer", valid[strings.Index(valid, "[[signer]]"):], "", []string{"node.toml: signer: missing: without a trusted signer no bundle is ever accepted"}},
+		{"no signer", validSettings[strings.Index(validSettings, "[[signer]]"):], "", []string{"node.toml: signer: missing: without a trusted signer no bundle is accepted"}},
 		{"signer key not base64", publicKey, "!", []string{"node.toml:14:1: signer[0].key: must be base64"}},
 		{"signer key short", publicKey, "AAAA", []string{"node.toml:14:1: signer[0].key: must be 32 bytes in base64, found 3"}},
 		{"signer twice", "[[signer]]", "[[signer]]\nname = \"aline\"\nkey = \"" + publicKey + "\"\n[[signer]]", []string{
@@ -122,8 +122,8 @@
 			"node.toml:17:1: signer[1].key: is the same as signer[0].key on line 14",
 		}},
 		{"part of TLS", "[platform]", "[tls]\nkey = \"k\"\n[platform]", []string{
-			"node.toml:9:2: tls.certificate: missing: certificate, key and authority stand together",
-			"node.toml:9:2: tls.authority: missing: certificate, key and authority stand together",
+			"node.toml:9:2: tls.certificate: missing: certificate, key and authority must be set together",
+			"node.toml:9:2: tls.authority: missing: certificate, key and authority must be set together",
 		}},
 		{"log level", "[platform]", "log_level = \"loud\"\n[platform]", []string{`node.toml:9:1: log_level: "loud" is not one of debug, info, warn, error`}},
 		{"numbers", "[platform]", "stop_timeout_ms = 1\nleave_grace_ms = -1\nmax_header_bytes = 1\nmax_idle_connections = 0\nlocal_delay_us = 0\nremote_delay_us = -5\n[platform]", []string{
@@ -135,14 +135,14 @@
 			"node.toml:14:1: remote_delay_us: -5 must be from 1 to 10000000",
 		}},
 		{"grace over the stop", "[platform]", "stop_timeout_ms = 1000\n[platform]", []string{"node.toml:9:1: stop_timeout_ms: leave_grace_ms of 2000 must be under stop_timeout_ms of 1000"}},
-		{"several at once", valid, "instance = \"A\"\nspeed = 1\n[platform]\ntimeout_ms = \"x\"\n", []string{
+		{"several at once", validSettings, "instance = \"A\"\nspeed = 1\n[platform]\ntimeout_ms = \"x\"\n", []string{
 			"node.toml: service: missing",
 			"node.toml: data_centre: missing",
 			"node.toml: caller_address: missing",
 			"node.toml: peer_address: missing",
 			"node.toml: operator_address: missing",
 			"node.toml: worker_address: missing",
-			"node.toml: signer: missing: without a trusted signer no bundle is ever accepted",
+			"node.toml: signer: missing: without a trusted signer no bundle is accepted",
 			`node.toml:1:1: instance: "A" must be 1 to 64 characters of a-z, 0-9, '.', '_' and '-'`,
 			"node.toml:2:1: speed: unknown key",
 			"node.toml:3:2: platform.config_address: missing",
@@ -152,8 +152,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			text := strings.Replace(valid, tt.old, tt.new, 1)
-			if text == valid {
+			text := strings.Replace(validSettings, tt.old, tt.new, 1)
+			if text == validSettings {
 				t.Fatalf("%q is not in the valid settings", tt.old)
 			}
 			_, err := Parse("node.toml", []byte(text))
@@ -168,8 +168,8 @@
 	}
 }
 
-// seeds returns n different addresses as a TOML array.
-func seeds(n int) string {
+// peerArray returns n different addresses as a TOML array.
+func peerArray(n int) string {
 	out := make([]string, n)
 	for i := range out {
 		out[i] = fmt.Sprintf("\"127.0.0.1:%d\"", 10_000+i)
@@ -177,14 +177,14 @@
 	return "[" + strings.Join(out, ", ") + "]"
 }
 
-func TestParseRefusesOverAMegabyte(t *testing.T) {
+func TestParseRejectsOversizedText(t *testing.T) {
 	if _, err := Parse("node.toml", bytes.Repeat([]byte("#"), maxFileBytes+1)); err == nil {
-		t.Error("Parse took a file over the bound")
+		t.Error("Parse accepted a file over the size limit")
 	}
 }
 
-func TestLogShowsNoKey(t *testing.T) {
-	s, err := Parse("node.toml", []byte(valid))
+func TestLogOmitsKeys(t *testing.T) {
+	s, err := Parse("node.toml", []byte(validSettings))
 	if err != nil {
 		t.Fatalf("Parse: %v", err)
 	}
@@ -192,16 +192,16 @@
 	logger := zerolog.New(&out)
 	s.Log(&logger)
 	if !strings.Contains(out.String(), `"signers":"aline"`) || !strings.Contains(out.String(), `"event":150`) {
-		t.Errorf("log line lacks its fields: %s", out.String())
+		t.Errorf("fields are missing from the log line: %s", out.String())
 	}
 	if strings.Contains(out.String(), publicKey) {
-		t.Errorf("log line shows a key: %s", out.String())
+		t.Errorf("log line contains a key: %s", out.String())
 	}
 }
 
-func TestLoadReadsAFileAndNamesIt(t *testing.T) {
+func TestLoadReadsFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.toml")
-	if err := os.WriteFile(path, []byte(valid), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validSettings), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Load(path); err != nil {
--- a/internal/settings/tls.go
+++ b/internal/settings/tls.go
@@ -8,31 +8,32 @@
 	"os"
 )
 
-// TLS names the PEM files of mutual TLS among peers: all three or none.
+// TLS names the PEM files of mutual TLS between peers; all three are set or none.
 type TLS struct {
-	// Certificate is this node's own chain; it must have the IP number of the
-	// peer address among its names, and serve as server and as client.
+	// Certificate is the node's certificate chain. It must contain the IP address of the
+	// peer address as a subject alternative name and be valid for both server and client
+	// authentication.
 	Certificate string `toml:"certificate"`
 	// Key is the certificate's private key.
 	Key string `toml:"key"`
-	// Authority holds the certificates that peers' chains must end in.
+	// Authority holds the root certificates that peers' certificates are verified against.
 	Authority string `toml:"authority"`
 }
 
-// Enabled tells whether peers use TLS.
+// Enabled reports whether connections between peers use TLS.
 func (t *TLS) Enabled() bool { return t.Certificate != "" }
 
-func (t *TLS) name() string {
+// mode returns the security of the peer port for the log.
+func (t *TLS) mode() string {
 	if t.Enabled() {
 		return "mutual TLS"
 	}
 	return "none"
 }
 
-// Load reads the files and returns the configuration for both the peer port and
-// connections to peers: TLS 1.3, both sides show a certificate of the
-// authority. It returns nil when TLS is not enabled. Every file that cannot be
-// used is named in the error.
+// Load reads the files and returns the configuration for both the peer port and connections
+// to peers: TLS 1.3, with certificates of the authority on both sides. It returns nil if TLS
+// is not enabled. The error names every file that cannot be loaded.
 func (t *TLS) Load() (*tls.Config, error) {
 	if !t.Enabled() {
 		return nil, nil
@@ -66,7 +67,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(data) {
-		return nil, fmt.Errorf("authority %s: holds no PEM certificate", t.Authority)
+		return nil, fmt.Errorf("authority %s: contains no PEM certificate", t.Authority)
 	}
 	return pool, nil
 }
--- a/internal/settings/tls_test.go
+++ b/internal/settings/tls_test.go
@@ -17,9 +17,9 @@
 	"time"
 )
 
-// writePEM makes a self-signed certificate for loopback and returns the TLS
-// settings that name it as pair and as authority.
-func writePEM(t *testing.T, name string) TLS {
+// writeTLSFiles creates a self-signed certificate for loopback and returns TLS settings that
+// use it both as the node's certificate and as the authority.
+func writeTLSFiles(t *testing.T, name string) TLS {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -45,19 +45,19 @@
 	dir := t.TempDir()
 	out := TLS{Certificate: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem")}
 	out.Authority = out.Certificate
-	writeBlock(t, out.Certificate, "CERTIFICATE", der)
-	writeBlock(t, out.Key, "EC PRIVATE KEY", keyDER)
+	writePEMBlock(t, out.Certificate, "CERTIFICATE", der)
+	writePEMBlock(t, out.Key, "EC PRIVATE KEY", keyDER)
 	return out
 }
 
-func writeBlock(t *testing.T, path, kind string, der []byte) {
+func writePEMBlock(t *testing.T, path, kind string, der []byte) {
 	t.Helper()
 	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// handshake returns the errors of the two sides over a loopback connection.
+// handshake connects two peers over loopback and returns the handshake error of each side.
 func handshake(t *testing.T, server, client *TLS) (serverErr, clientErr error) {
 	t.Helper()
 	serverConfig, err := server.Load()
@@ -91,8 +91,8 @@
 	return conn.(*tls.Conn).Handshake()
 }
 
-func TestTLSAcceptsOnlyPeersOfTheAuthority(t *testing.T) {
-	ours, theirs := writePEM(t, "ours"), writePEM(t, "theirs")
+func TestTLSRejectsOtherAuthorities(t *testing.T) {
+	ours, theirs := writeTLSFiles(t, "ours"), writeTLSFiles(t, "theirs")
 	if serverErr, clientErr := handshake(t, &ours, &ours); serverErr != nil || clientErr != nil {
 		t.Errorf("peers of one authority: %v, %v", serverErr, clientErr)
 	}
@@ -106,29 +106,29 @@
 	}
 }
 
-func TestLoadFindsTLSFilesThatCannotBeUsed(t *testing.T) {
-	good := writePEM(t, "ours")
+func TestLoadReportsUnusableTLSFiles(t *testing.T) {
+	good := writeTLSFiles(t, "ours")
 	path := filepath.Join(t.TempDir(), "node.toml")
-	text := strings.Replace(valid, "[platform]", "[tls]\ncertificate = \""+good.Certificate+"\"\nkey = \""+good.Certificate+"\"\nauthority = \""+good.Key+"\"\n[platform]\ntimeout_ms = 0", 1)
+	text := strings.Replace(validSettings, "[platform]", "[tls]\ncertificate = \""+good.Certificate+"\"\nkey = \""+good.Certificate+"\"\nauthority = \""+good.Key+"\"\n[platform]\ntimeout_ms = 0", 1)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	_, err := Load(path)
 	if err == nil {
-		t.Fatal("Load took unusable TLS files")
+		t.Fatal("Load accepted unusable TLS files")
 	}
 	for _, want := range []string{
 		path + ":10:1: tls.certificate: certificate and key: ",
-		path + ":12:1: tls.authority: authority " + good.Key + ": holds no PEM certificate",
+		path + ":12:1: tls.authority: authority " + good.Key + ": contains no PEM certificate",
 		path + ":14:1: platform.timeout_ms: 0 must be from 1 to 60000",
 	} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("findings lack %q:\n%v", want, err)
+			t.Errorf("findings are missing %q:\n%v", want, err)
 		}
 	}
 }
 
-func TestTLSLoadWithoutFilesIsNil(t *testing.T) {
+func TestTLSLoadWithoutFiles(t *testing.T) {
 	if config, err := new(TLS).Load(); config != nil || err != nil {
 		t.Errorf("Load = %v, %v; want nil, nil", config, err)
 	}
