--- a/internal/bundle/parse_test.go
+++ b/internal/bundle/parse_test.go
@@ -230,7 +230,7 @@
 `
 	want := []string{
 		`test.toml:1:1: name: "INYANGE" ` + nameRule,
-		"test.toml:2:11: version: must be an integer from 0, found string",
+		"test.toml:2:11: version: must be a non-negative integer, found string",
 		"test.toml:3:1: colour: unknown key",
 		"test.toml:6:1: class[0].worth: NaN must be from 0 to 1e+06",
 		"test.toml:7:15: class[0].deadline_ms: must be an integer, found string",
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -92,7 +92,7 @@
 		{"wrong type", `service = "ledger"`, "service = 3", []string{"node.toml:2:11: service: must be a string, found integer"}},
 		{"host name", "127.0.0.1:7001", "localhost:7001", []string{`node.toml:4:1: caller_address: "localhost:7001" must be an IP number and a port, as in 10.0.0.7:7100 or [fd00::7]:7100`}},
 		{"no port", "127.0.0.1:7001", "127.0.0.1:0", []string{`node.toml:4:1: caller_address: "127.0.0.1:0" must have a port from 1 to 65535`}},
-		{"zone", "127.0.0.1:7001", "[fe80::1%eth0]:7001", []string{`node.toml:4:1: caller_address: "[fe80::1%eth0]:7001" must have no zone`}},
+		{"zone", "127.0.0.1:7001", "[fe80::1%eth0]:7001", []string{`node.toml:4:1: caller_address: "[fe80::1%eth0]:7001" must not have a zone`}},
 		{"address missing", `worker_address = "127.0.0.1:7004"`, "", []string{"node.toml: worker_address: missing"}},
 		{"address twice", "127.0.0.1:7003", "127.0.0.1:7001", []string{"node.toml:6:1: operator_address: 127.0.0.1:7001 collides with caller_address 127.0.0.1:7001"}},
 		{"address within a wildcard", "127.0.0.1:7001", "0.0.0.0:7002", []string{"node.toml:5:1: peer_address: 127.0.0.1:7002 collides with caller_address 0.0.0.0:7002"}},
--- a/internal/tomlfile/bench_test.go
+++ b/internal/tomlfile/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// manyUnknown returns about size bytes of unknown keys.
-func manyUnknown(size int) []byte {
+// unknownKeys returns about size bytes of unknown keys.
+func unknownKeys(size int) []byte {
 	var text strings.Builder
 	for i := 0; text.Len() < size; i++ {
 		fmt.Fprintf(&text, "a%d = 1\n", i)
@@ -16,11 +16,11 @@
 	return []byte(text.String())
 }
 
-// BenchmarkUnknownKeys reports how the cost grows when the text is four times
-// as long: 4 is proportional.
+// BenchmarkUnknownKeys reports the factor by which the cost grows for a text four times as
+// long; 4 means that the cost is linear.
 func BenchmarkUnknownKeys(b *testing.B) {
 	const size = 1 << 18
-	small, large := manyUnknown(size), manyUnknown(4*size)
+	small, large := unknownKeys(size), unknownKeys(4*size)
 	cost := func(data []byte) time.Duration {
 		begin := time.Now()
 		Decode("f", data, new(config))
--- a/internal/tomlfile/document.go
+++ b/internal/tomlfile/document.go
@@ -7,34 +7,34 @@
 	"gypsumstand/internal/finding"
 )
 
-// HasSyntaxError tells that the text is no TOML from some line on, so that what is
-// missing from the struct may stand there.
-func (d *Document) HasSyntaxError() bool { return d.syntax }
+// HasSyntaxError reports whether the text stops being valid TOML at some line. Keys that are
+// missing from the struct may follow after that line.
+func (d *Document) HasSyntaxError() bool { return d.hasSyntaxError }
 
-// Has tells whether the text sets key, rightly or not.
+// Has reports whether the text sets key, to a valid value or not.
 func (d *Document) Has(key string) bool {
 	_, ok := d.index.find(key)
 	return ok
 }
 
-// Rejected tells whether the value of key, or of a table that holds it, was not
-// taken, so that the struct's field says nothing.
+// Rejected reports whether the value of key, or of a table that contains it, was rejected,
+// so that the struct's field does not hold the value in the text.
 func (d *Document) Rejected(key string) bool {
-	for ; key != ""; key = parent(key) {
-		if d.refused[key] {
+	for ; key != ""; key = parentKey(key) {
+		if d.rejected[key] {
 			return true
 		}
 	}
 	return false
 }
 
-// RejectedWithin tells whether key or anything within it was not taken.
+// RejectedWithin reports whether the value of key, or of anything in it, was rejected.
 func (d *Document) RejectedWithin(key string) bool {
-	return d.holders[key] || d.Rejected(key)
+	return d.rejectedParents[key] || d.Rejected(key)
 }
 
-// Add notes a fault of key with the place of key, or of the innermost table
-// around it that the text has. Nothing is noted about a refused key.
+// Add adds a finding about key at the position of key, or of the innermost table around it
+// that the text contains. It ignores rejected keys, which have a finding already.
 func (d *Document) Add(key, format string, args ...any) {
 	if d.Rejected(key) {
 		return
@@ -44,32 +44,32 @@
 	d.findings.Add(f)
 }
 
-// Position returns the line and column of key or of the innermost table around
-// it, counted from one; zeros when the text has neither.
+// Position returns the line and column, from 1, of key or of the innermost table around it;
+// both are 0 if the text contains neither.
 func (d *Document) Position(key string) (line, column int) {
 	for key != "" {
 		if p, ok := d.index.find(key); ok {
 			return d.index.position(p.offset)
 		}
-		key = parent(key)
+		key = parentKey(key)
 	}
 	return 0, 0
 }
 
-// parent returns key without its last part or index.
-func parent(key string) string {
+// parentKey returns key without its last part or index.
+func parentKey(key string) string {
 	if i := strings.LastIndexAny(key, ".["); i >= 0 {
 		return key[:i]
 	}
 	return ""
 }
 
-// Err returns all findings as a finding.List in the order of their places, or
-// nil when there is none.
+// Err returns all findings as a finding.List in the order of their positions, or nil if there
+// are none.
 func (d *Document) Err() error { return d.findings.Err() }
 
-// Position returns the line and column of key in the text data; zeros when the
-// text has neither key nor a table around it.
+// Position returns the line and column, from 1, of key or of the innermost table around it in
+// the text data; both are 0 if the text contains neither.
 func Position(data []byte, key string) (line, column int) {
 	idx, _ := newIndex(data)
 	d := Document{index: idx}
--- a/internal/tomlfile/index.go
+++ b/internal/tomlfile/index.go
@@ -10,68 +10,72 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Bounds of what is indexed, so that the cost stays proportional to the text. No
-// schema comes near them; a key beyond is unknown anyway.
+// Limits of the index, which keep its cost proportional to the size of the text. All schemas
+// stay far below them, so that any key beyond them is unknown.
 const (
 	maxKeyParts = 16
 	maxNesting  = 8
 )
 
-// place is one key of the text: a key with its value, or a table header.
-type place struct {
-	// key is the dotted key with indexes, plain the same without indexes.
-	key   string
-	plain string
-	// offset is the first byte of the key.
+// keySpan is the position of one key in the text: of a key with its value, or of a table
+// header.
+type keySpan struct {
+	// key is the dotted key with indexes, schemaKey the same key without indexes.
+	key       string
+	schemaKey string
+	// offset is the offset of the key's first byte.
 	offset int
-	// start and end bound what goes when the key is blanked: the whole
-	// expression, or from a header to the next header.
+	// start and end delimit the text to blank when the key is rejected: the complete
+	// expression, or everything from a header to the next header.
 	start int
 	end   int
-	// header tells a table header from a key with its value.
-	header bool
-	// outer is the key of the expression that an inline table stands in.
-	outer string
+	// isHeader is true for a table header and false for a key with its value.
+	isHeader bool
+	// enclosing is the key of the expression around a key in an inline table; empty for
+	// other keys.
+	enclosing string
 }
 
-// index holds the places of all keys of one text, in the order of the text.
+// index holds the positions of all keys of one text, in the order of the text.
 type index struct {
-	places []place
-	// byKey maps a key to its first place.
+	spans []keySpan
+	// byKey maps a key to the index of its first span.
 	byKey map[string]int
-	lines []int
+	// lineStarts holds the offset of the first byte of each line.
+	lineStarts []int
 }
 
-// syntaxError is where and why the text is no TOML.
+// syntaxError is the position and the reason of a syntax error.
 type syntaxError struct {
 	offset  int
 	message string
 }
 
-// indexer walks the expressions of a text.
+// indexer builds the index from the expressions of a text.
 type indexer struct {
 	*index
 	parser unstable.Parser
-	// elements counts the elements of each array of tables by its key.
-	elements map[string]int
-	// key and plain are those of the table that the walk is in.
-	key   string
-	plain string
-	// section is the place of the open table header, or -1.
-	section int
+	// elementCounts holds the number of elements so far of each array of tables, by key.
+	elementCounts map[string]int
+	// tableKey and tableSchemaKey are the keys of the current table.
+	tableKey       string
+	tableSchemaKey string
+	// openHeader is the index of the current table's header in spans, or -1.
+	openHeader int
 }
 
+// newIndex indexes data up to its first syntax error, which it returns; nil means none.
 func newIndex(data []byte) (*index, *syntaxError) {
 	x := &indexer{
-		index:    &index{byKey: map[string]int{}, lines: lineStarts(data)},
-		elements: map[string]int{},
-		section:  -1,
+		index:         &index{byKey: map[string]int{}, lineStarts: findLineStarts(data)},
+		elementCounts: map[string]int{},
+		openHeader:    -1,
 	}
 	x.parser.Reset(data)
 	for x.parser.NextExpression() {
-		x.expression(x.parser.Expression())
+		x.addExpression(x.parser.Expression())
 	}
-	x.endSection(len(data))
+	x.closeHeader(len(data))
 	return x.index, x.syntaxError()
 }
 
@@ -87,104 +91,107 @@
 	return &syntaxError{offset: int(x.parser.Range(perr.Highlight).Offset), message: perr.Message}
 }
 
-func (x *indexer) expression(n *unstable.Node) {
+func (x *indexer) addExpression(n *unstable.Node) {
 	switch n.Kind {
 	case unstable.Table, unstable.ArrayTable:
-		x.header(n)
+		x.addHeader(n)
 	case unstable.KeyValue:
-		x.keyValue(n, x.key, x.plain, nil, 0)
+		x.addKeyValue(n, x.tableKey, x.tableSchemaKey, nil, 0)
 	}
 }
 
-func (x *indexer) header(n *unstable.Node) {
+// addHeader adds a table header and makes it the current table.
+func (x *indexer) addHeader(n *unstable.Node) {
 	parts, offset := keyParts(n)
-	start := lineStartOf(x.lines, offset)
-	x.endSection(start)
-	key, plain := "", ""
+	start := lineStartBefore(x.lineStarts, offset)
+	x.closeHeader(start)
+	key, schemaKey := "", ""
 	for i, part := range parts {
-		key, plain = join(key, part), join(plain, part)
+		key, schemaKey = joinKey(key, part), joinKey(schemaKey, part)
 		last := i == len(parts)-1
 		if last && n.Kind == unstable.ArrayTable {
-			x.elements[key]++
+			x.elementCounts[key]++
 		}
-		if count := x.elements[key]; count > 0 {
+		if count := x.elementCounts[key]; count > 0 {
 			key += "[" + strconv.Itoa(count-1) + "]"
 		}
 	}
-	x.key, x.plain = key, plain
-	x.section = x.add(place{key: key, plain: plain, offset: offset, start: start, header: true})
+	x.tableKey, x.tableSchemaKey = key, schemaKey
+	x.openHeader = x.add(keySpan{key: key, schemaKey: schemaKey, offset: offset, start: start, isHeader: true})
 }
 
-func (x *indexer) endSection(end int) {
-	if x.section >= 0 {
-		x.places[x.section].end = end
+// closeHeader sets the end of the current table.
+func (x *indexer) closeHeader(end int) {
+	if x.openHeader >= 0 {
+		x.spans[x.openHeader].end = end
 	}
 }
 
-// keyValue adds a key and what its value holds. outer is the place of the
-// expression that an inline table stands in.
-func (x *indexer) keyValue(n *unstable.Node, key, plain string, outer *place, depth int) {
+// addKeyValue adds a key and the keys in its value. enclosing is the span of the expression
+// around an inline table, or nil outside of inline tables.
+func (x *indexer) addKeyValue(n *unstable.Node, key, schemaKey string, enclosing *keySpan, depth int) {
 	parts, offset := keyParts(n)
 	for _, part := range parts {
-		key, plain = join(key, part), join(plain, part)
+		key, schemaKey = joinKey(key, part), joinKey(schemaKey, part)
 	}
-	p := place{key: key, plain: plain, offset: offset, start: int(n.Raw.Offset), end: int(n.Raw.Offset + n.Raw.Length)}
-	if outer != nil {
-		p.start, p.end, p.outer = outer.start, outer.end, outer.key
+	p := keySpan{key: key, schemaKey: schemaKey, offset: offset, start: int(n.Raw.Offset), end: int(n.Raw.Offset + n.Raw.Length)}
+	if enclosing != nil {
+		p.start, p.end, p.enclosing = enclosing.start, enclosing.end, enclosing.key
 	} else {
-		outer = &p
+		enclosing = &p
 	}
 	x.add(p)
-	x.value(n.Value(), key, plain, outer, depth+1)
+	x.addValue(n.Value(), key, schemaKey, enclosing, depth+1)
 }
 
-func (x *indexer) value(n *unstable.Node, key, plain string, outer *place, depth int) {
+// addValue adds the keys in inline tables within a value.
+func (x *indexer) addValue(n *unstable.Node, key, schemaKey string, enclosing *keySpan, depth int) {
 	if depth > maxNesting {
 		return
 	}
 	switch n.Kind {
 	case unstable.InlineTable:
 		for it := n.Children(); it.Next(); {
-			x.keyValue(it.Node(), key, plain, outer, depth)
+			x.addKeyValue(it.Node(), key, schemaKey, enclosing, depth)
 		}
 	case unstable.Array:
 		i := 0
 		for it := n.Children(); it.Next(); i++ {
 			element := it.Node()
 			if element.Kind == unstable.InlineTable || element.Kind == unstable.Array {
-				x.value(element, key+"["+strconv.Itoa(i)+"]", plain, outer, depth+1)
+				x.addValue(element, key+"["+strconv.Itoa(i)+"]", schemaKey, enclosing, depth+1)
 			}
 		}
 	}
 }
 
-func (x *indexer) add(p place) int {
-	i := len(x.places)
-	x.places = append(x.places, p)
-	if _, taken := x.byKey[p.key]; !taken {
+func (x *indexer) add(p keySpan) int {
+	i := len(x.spans)
+	x.spans = append(x.spans, p)
+	if _, exists := x.byKey[p.key]; !exists {
 		x.byKey[p.key] = i
 	}
 	return i
 }
 
-// find returns the place of key. A table that stands alone where an array of
-// tables is meant is its first element.
-func (x *index) find(key string) (*place, bool) {
+// find returns the span of key. A single table in place of an array of tables counts as the
+// array's first element.
+func (x *index) find(key string) (*keySpan, bool) {
 	if i, ok := x.byKey[key]; ok {
-		return &x.places[i], true
+		return &x.spans[i], true
 	}
 	if i, ok := x.byKey[strings.ReplaceAll(key, "[0]", "")]; ok {
-		return &x.places[i], true
+		return &x.spans[i], true
 	}
 	return nil, false
 }
 
-// at returns the innermost place whose expression holds offset. Keys come
-// before sections as they stand inside them.
-func (x *index) at(offset int) (p *place, ok bool) {
-	i := sort.Search(len(x.places), func(i int) bool { return x.places[i].offset > offset }) - 1
+// innermostAt returns the innermost span that contains offset. The search goes backwards from
+// the last key that starts before offset, so that it finds a key before the table around it.
+func (x *index) innermostAt(offset int) (p *keySpan, ok bool) {
+	i := sort.Search(len(x.spans), func(i int) bool { return x.spans[i].offset > offset }) - 1
 	for ; i >= 0; i-- {
-		p := &x.places[i]
+		p := &x.spans[i]
 		if p.start <= offset && offset < p.end {
 			return p, true
 		}
@@ -192,21 +199,22 @@
 	return nil, false
 }
 
-// position returns the line and column of offset, counted from one.
+// position returns the line and column of offset, both from 1.
 func (x *index) position(offset int) (line, column int) {
-	line = sort.SearchInts(x.lines, offset+1)
-	return line, offset - x.lines[line-1] + 1
+	line = sort.SearchInts(x.lineStarts, offset+1)
+	return line, offset - x.lineStarts[line-1] + 1
 }
 
-// offset is the reverse of position.
+// offset is the inverse of position; it returns 0 for a line that does not exist.
 func (x *index) offset(line, column int) int {
-	if line < 1 || line > len(x.lines) {
+	if line < 1 || line > len(x.lineStarts) {
 		return 0
 	}
-	return x.lines[line-1] + column - 1
+	return x.lineStarts[line-1] + column - 1
 }
 
-func lineStarts(data []byte) []int {
+// findLineStarts returns the offset of the first byte of each line.
+func findLineStarts(data []byte) []int {
 	starts := []int{0}
 	for i := 0; ; {
 		n := bytes.IndexByte(data[i:], '\n')
@@ -218,12 +226,13 @@
 	}
 }
 
-func lineStartOf(lines []int, offset int) int {
-	return lines[sort.SearchInts(lines, offset+1)-1]
+// lineStartBefore returns the start of the line that contains offset.
+func lineStartBefore(lineStarts []int, offset int) int {
+	return lineStarts[sort.SearchInts(lineStarts, offset+1)-1]
 }
 
-// keyParts returns the parts of a node's dotted key, up to a bound, and where it
-// begins.
+// keyParts returns the first maxKeyParts parts of a node's dotted key and the offset of the
+// key.
 func keyParts(n *unstable.Node) (parts []string, offset int) {
 	for it := n.Key(); it.Next(); {
 		k := it.Node()
@@ -231,26 +240,26 @@
 			offset = int(k.Raw.Offset)
 		}
 		if len(parts) < maxKeyParts {
-			parts = append(parts, quotePart(string(k.Data)))
+			parts = append(parts, quoteKeyPart(string(k.Data)))
 		}
 	}
 	return parts, offset
 }
 
-// quotePart quotes a key part that could be taken for several.
-func quotePart(part string) string {
-	if part == "" || strings.ContainsFunc(part, isNotBare) {
+// quoteKeyPart quotes a key part that is not a bare key, such as one that contains a dot.
+func quoteKeyPart(part string) string {
+	if part == "" || strings.ContainsFunc(part, isNotBareKeyRune) {
 		return strconv.Quote(part)
 	}
 	return part
 }
 
-func isNotBare(r rune) bool {
+func isNotBareKeyRune(r rune) bool {
 	bare := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_'
 	return !bare
 }
 
-func join(key, part string) string {
+func joinKey(key, part string) string {
 	if key == "" {
 		return part
 	}
--- a/internal/tomlfile/rules.go
+++ b/internal/tomlfile/rules.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// MaxNameBytes bounds a name.
+// MaxNameBytes is the maximum length of a name.
 const MaxNameBytes = 64
 
-// NameRule says what ValidName asks for, to follow the name in a message.
+// NameRule describes what ValidName accepts; it follows the name in a message.
 const NameRule = "must be 1 to 64 characters of a-z, 0-9, '.', '_' and '-'"
 
-// ValidName tells whether s may name a thing: such names become metric labels,
-// parts of headers and file names as they are.
+// ValidName reports whether s is a valid name. Names are used unescaped as metric labels, in
+// headers and in file names.
 func ValidName(s string) bool {
 	if s == "" || len(s) > MaxNameBytes {
 		return false
@@ -23,7 +23,7 @@
 	})
 }
 
-// CheckName notes a fault when the name at key is missing or not valid.
+// CheckName adds a finding if the name at key is missing or not valid.
 func (d *Document) CheckName(key, value string) {
 	switch {
 	case value == "" && !d.Has(key):
@@ -33,8 +33,7 @@
 	}
 }
 
-// Require notes a fault when the text does not set key, and tells whether it
-// does.
+// Require adds a finding if the text does not set key, and reports whether it does.
 func (d *Document) Require(key string) bool {
 	if d.Has(key) {
 		return true
@@ -43,29 +42,30 @@
 	return false
 }
 
-// CheckIntRange notes a fault when value is not within low and high.
+// CheckIntRange adds a finding if value is not from low to high.
 func (d *Document) CheckIntRange(key string, value, low, high int64) {
 	if value < low || value > high {
 		d.Add(key, "%d must be from %d to %d", value, low, high)
 	}
 }
 
-// CheckFloatRange notes a fault when value is not a number within low and high.
+// CheckFloatRange adds a finding if value is not a number from low to high.
 func (d *Document) CheckFloatRange(key string, value, low, high float64) {
 	if math.IsNaN(value) || value < low || value > high {
 		d.Add(key, "%g must be from %g to %g", value, low, high)
 	}
 }
 
-// CheckFloatAbove notes a fault when value is not a number over low and up to high.
+// CheckFloatAbove adds a finding if value is not a number over low and at most high.
 func (d *Document) CheckFloatAbove(key string, value, low, high float64) {
 	if math.IsNaN(value) || value <= low || value > high {
 		d.Add(key, "%g must be over %g and at most %g", value, low, high)
 	}
 }
 
-// CheckAddress notes a fault when value is not "ip:port" with a port from 1, and
-// returns the address. A host name is a fault: nodes look no names up.
+// CheckAddress adds a finding if value is not "ip:port" with a port from 1 to 65535, and
+// returns the address. ok is false if the address is not valid or was rejected. Host names
+// are not valid, because nodes resolve none.
 func (d *Document) CheckAddress(key, value string) (addr netip.AddrPort, ok bool) {
 	if value == "" && !d.Has(key) {
 		d.Add(key, "missing")
@@ -78,7 +78,7 @@
 	case addr.Port() == 0:
 		d.Add(key, "%q must have a port from 1 to 65535", value)
 	case addr.Addr().Zone() != "":
-		d.Add(key, "%q must have no zone", value)
+		d.Add(key, "%q must not have a zone", value)
 	default:
 		return addr, !d.Rejected(key)
 	}
--- a/internal/tomlfile/schema.go
+++ b/internal/tomlfile/schema.go
@@ -5,9 +5,11 @@
 	"strings"
 )
 
-// schema maps each key that a type knows, without indexes, to its type.
+// schema maps each key of a struct type, dotted and without indexes, to the type of its
+// field.
 type schema map[string]reflect.Type
 
+// schemaOf returns the schema of a struct type from its toml tags.
 func schemaOf(t reflect.Type) schema {
 	s := schema{}
 	s.addFields("", t)
@@ -21,7 +23,7 @@
 		if name == "" || name == "-" {
 			continue
 		}
-		key := join(prefix, name)
+		key := joinKey(prefix, name)
 		s[key] = field.Type
 		if inner := elementOf(field.Type); inner.Kind() == reflect.Struct {
 			s.addFields(key, inner)
@@ -29,7 +31,7 @@
 	}
 }
 
-// elementOf strips pointers and slices.
+// elementOf returns the type that pointers and slices of t lead to.
 func elementOf(t reflect.Type) reflect.Type {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
 		t = t.Elem()
@@ -37,21 +39,22 @@
 	return t
 }
 
-// wanted says in words what a key's value must be.
-func (s schema) wanted(plain string) string {
-	t, ok := s[plain]
+// expectedType describes the type that a key's value must have.
+func (s schema) expectedType(schemaKey string) string {
+	t, ok := s[schemaKey]
 	if !ok {
 		return "another type"
 	}
-	return typeWords(t)
+	return describeType(t)
 }
 
-func typeWords(t reflect.Type) string {
+// describeType describes the TOML type that decodes into t.
+func describeType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Pointer:
-		return typeWords(t.Elem())
+		return describeType(t.Elem())
 	case reflect.Slice:
-		return "an array of " + pluralWords(t.Elem())
+		return "an array of " + describeElements(t.Elem())
 	case reflect.Struct:
 		return "a table"
 	case reflect.String:
@@ -61,13 +64,14 @@
 	case reflect.Float64, reflect.Float32:
 		return "a number"
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		return "an integer from 0"
+		return "a non-negative integer"
 	default:
 		return "an integer"
 	}
 }
 
-func pluralWords(t reflect.Type) string {
+// describeElements describes the elements of an array of t.
+func describeElements(t reflect.Type) string {
 	if t.Kind() == reflect.Struct {
 		return "tables"
 	}
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,7 +1,6 @@
-// Package tomlfile decodes a TOML text strictly into a struct and reports every
-// fault of it in one pass, each with file, line, column and dotted key. It also
-// tells where a key stands, so that later checks can report their findings with
-// the place. Bundles, keys and settings share it.
+// Package tomlfile decodes a TOML text strictly into a struct and reports all errors in it
+// together, each with file, line, column and dotted key. It also maps keys to positions, so
+// that later checks can add findings with a position. Bundles, keys and settings use it.
 package tomlfile
 
 import (
@@ -16,153 +15,158 @@
 	"gypsumstand/internal/finding"
 )
 
-// maxFaults bounds the faults of type and duplication that are looked for in one
-// text: the decoder stops at the first, so each costs another decoding.
-const maxFaults = 100
+// maxDecodeErrors is the maximum number of type errors and duplicate keys reported for one
+// text: the decoder stops at the first error, so that each error costs another decoding.
+const maxDecodeErrors = 100
 
-// Document is a decoded text with the places of its keys and its findings.
-// Keys are dotted; elements of arrays of tables are counted from zero, as in
-// "service[0].route[2].path".
+// Document is a decoded text with the positions of its keys and its findings. Keys are
+// dotted; elements of arrays of tables have an index from 0, as in
+// "service[0].route[2].path". A Document is not safe for concurrent use.
 type Document struct {
 	file     string
 	index    *index
 	findings finding.List
-	// refused are the keys whose values the decoder did not take. What they
-	// would have set is absent from the struct, so nothing is said about them
-	// a second time.
-	refused map[string]bool
-	// holders are the keys of all tables around refused keys.
-	holders map[string]bool
-	syntax  bool
+	// rejected holds the keys whose values were not decoded. Their values are missing from the struct,
+	// so that later findings about them are dropped.
+	rejected map[string]bool
+	// rejectedParents holds the keys of all tables around rejected keys.
+	rejectedParents map[string]bool
+	hasSyntaxError  bool
 }
 
-// Decode decodes data into v, which holds the defaults, and notes each fault in
-// the returned document. Faulty keys leave v's fields at their defaults. Of
-// several values of a wrong type in one inline table only the first is noted.
-// file names the text in findings.
+// Decode decodes data into v, which holds the defaults, and adds a finding to the returned
+// document for each error. Rejected keys leave v's fields at their defaults. Of several
+// values of a wrong type in one inline table, only the first is reported. file names the
+// text in findings. Decode does not modify data.
 func Decode[T any](file string, data []byte, v *T) *Document {
-	idx, syntax := newIndex(data)
-	d := &Document{file: file, index: idx, refused: map[string]bool{}, holders: map[string]bool{}}
-	sch := schemaOf(reflect.TypeFor[T]())
+	idx, syntaxErr := newIndex(data)
+	d := &Document{file: file, index: idx, rejected: map[string]bool{}, rejectedParents: map[string]bool{}}
+	keyTypes := schemaOf(reflect.TypeFor[T]())
 	text := bytes.Clone(data)
-	if syntax != nil {
-		d.addSyntaxError(syntax)
-		text = text[:d.lastWhole()]
+	if syntaxErr != nil {
+		d.addSyntaxError(syntaxErr)
+		text = text[:d.endOfLastKeyValue()]
 	}
-	d.refuseUnknown(sch, text)
+	d.rejectUnknownKeys(keyTypes, text)
 	initial := *v
-	for range maxFaults {
+	for range maxDecodeErrors {
 		*v = initial
 		err := decodeStrict(text, v)
-		if err == nil || !d.refuse(sch, text, err) {
+		if err == nil || !d.rejectDecodeError(keyTypes, text, err) {
 			return d
 		}
 	}
-	d.findings.Add(finding.Finding{File: file, Message: fmt.Sprintf("more than %d faults; the rest is not listed", maxFaults)})
+	d.findings.Add(finding.Finding{File: file, Message: fmt.Sprintf("more than %d errors; the rest are not listed", maxDecodeErrors)})
 	return d
 }
 
+// decodeStrict decodes text into v and rejects keys without a field.
 func decodeStrict(text []byte, v any) error {
 	return toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(v)
 }
 
 func (d *Document) addSyntaxError(e *syntaxError) {
-	d.syntax = true
+	d.hasSyntaxError = true
 	line, column := d.index.position(e.offset)
 	d.findings.Add(finding.Finding{File: d.file, Line: line, Column: column, Message: e.message})
 }
 
-// lastWhole returns the end of the text's last whole expression.
-func (d *Document) lastWhole() int {
+// endOfLastKeyValue returns the end of the last complete key with its value.
+func (d *Document) endOfLastKeyValue() int {
 	end := 0
-	for i := range d.index.places {
-		p := &d.index.places[i]
-		if !p.header {
+	for i := range d.index.spans {
+		p := &d.index.spans[i]
+		if !p.isHeader {
 			end = max(end, p.end)
 		}
 	}
 	return end
 }
 
-// refuseUnknown reports and blanks the keys that the schema does not know. The
-// decoder would report them too, at a cost that grows with their square; it
-// also takes keys written in another case.
-func (d *Document) refuseUnknown(sch schema, text []byte) {
-	for i := range d.index.places {
-		p := &d.index.places[i]
-		if _, known := sch[p.plain]; known || d.Rejected(p.key) {
+// rejectUnknownKeys reports and blanks the keys that are not in the schema. The decoder
+// would report them too, but at a cost quadratic in their number, and it would accept keys
+// that differ only in case.
+func (d *Document) rejectUnknownKeys(keyTypes schema, text []byte) {
+	for i := range d.index.spans {
+		p := &d.index.spans[i]
+		if _, known := keyTypes[p.schemaKey]; known || d.Rejected(p.key) {
 			continue
 		}
 		line, column := d.index.position(p.offset)
 		d.findings.Add(finding.Finding{File: d.file, Line: line, Column: column, Key: p.key, Message: "unknown key"})
-		if p.outer != "" {
-			// The rest of the inline table is still to be decoded.
-			d.noteRefused(p.key)
+		if p.enclosing != "" {
+			// The rest of the inline table is still decoded.
+			d.markRejected(p.key)
 			continue
 		}
 		d.blank(text, p)
 	}
 }
 
-// refuse notes the decoder's error and blanks the expression at fault, so that
-// the next decoding finds the next; false means that there is no more to find.
-func (d *Document) refuse(sch schema, text []byte, err error) bool {
+// rejectDecodeError reports the decoder's error and blanks the expression that caused it, so
+// that the next decoding finds the next error. It returns false if it blanked nothing, so
+// that decoding again would find nothing new.
+func (d *Document) rejectDecodeError(keyTypes schema, text []byte, err error) bool {
 	var missing *toml.StrictMissingError
 	if errors.As(err, &missing) {
-		return d.refuseMissing(sch, text, missing)
+		return d.rejectStrictError(keyTypes, text, missing)
 	}
-	var one *toml.DecodeError
-	if errors.As(err, &one) {
-		return d.refuseAt(sch, text, one)
+	var single *toml.DecodeError
+	if errors.As(err, &single) {
+		return d.rejectAt(keyTypes, text, single)
 	}
 	d.findings.Add(finding.Finding{File: d.file, Message: err.Error()})
 	return false
 }
 
-// refuseMissing notes the first unknown key that refuseUnknown has not noted.
-func (d *Document) refuseMissing(sch schema, text []byte, missing *toml.StrictMissingError) bool {
+// rejectStrictError reports the first unknown key that rejectUnknownKeys has not reported.
+// It returns false if there is none.
+func (d *Document) rejectStrictError(keyTypes schema, text []byte, missing *toml.StrictMissingError) bool {
 	for i := range missing.Errors {
 		err := &missing.Errors[i]
-		p, ok := d.index.at(d.index.offset(err.Position()))
+		p, ok := d.index.innermostAt(d.index.offset(err.Position()))
 		if !ok || !d.Rejected(p.key) {
-			return d.refuseAt(sch, text, err)
+			return d.rejectAt(keyTypes, text, err)
 		}
 	}
 	return false
 }
 
-func (d *Document) refuseAt(sch schema, text []byte, err *toml.DecodeError) bool {
+// rejectAt reports err and blanks the innermost key at its position. It returns false if
+// there is no key at that position.
+func (d *Document) rejectAt(keyTypes schema, text []byte, err *toml.DecodeError) bool {
 	line, column := err.Position()
 	f := finding.Finding{File: d.file, Line: line, Column: column, Message: strings.TrimPrefix(err.Error(), "toml: ")}
-	p, ok := d.index.at(d.index.offset(line, column))
+	p, ok := d.index.innermostAt(d.index.offset(line, column))
 	if ok {
 		f.Key = p.key
-		f.Message = reword(f.Message, sch.wanted(p.plain))
+		f.Message = describeTypeError(f.Message, keyTypes.expectedType(p.schemaKey))
 		d.blank(text, p)
 	}
 	d.findings.Add(f)
 	return ok
 }
 
-// reword puts the decoder's messages about Go types into words about TOML.
-func reword(message, wanted string) string {
+// describeTypeError replaces the decoder's messages about Go types by messages about TOML
+// types; other messages are returned unchanged.
+func describeTypeError(message, expected string) string {
 	rest, ok := strings.CutPrefix(message, "cannot decode TOML ")
 	if !ok {
 		return message
 	}
 	kind, _, _ := strings.Cut(rest, " into ")
-	return "must be " + wanted + ", found " + kind
+	return "must be " + expected + ", found " + kind
 }
 
-// blank overwrites an expression with spaces and keeps its line ends, so that
-// what follows stays at its place.
-func (d *Document) blank(text []byte, p *place) {
-	d.noteRefused(p.key)
-	if p.outer != "" {
-		d.noteRefused(p.outer)
+// blank marks a key as rejected and overwrites its expression with spaces. Line ends stay, so
+// that the positions of the following text do not change.
+func (d *Document) blank(text []byte, p *keySpan) {
+	d.markRejected(p.key)
+	if p.enclosing != "" {
+		d.markRejected(p.enclosing)
 	}
-	if p.header {
-		d.noteRefused(withoutLastIndex(p.key))
+	if p.isHeader {
+		d.markRejected(withoutLastIndex(p.key))
 	}
 	for i := p.start; i < min(p.end, len(text)); i++ {
 		if text[i] != '\n' && text[i] != '\r' {
@@ -171,10 +175,11 @@
 	}
 }
 
-func (d *Document) noteRefused(key string) {
-	d.refused[key] = true
-	for key = parent(key); key != ""; key = parent(key) {
-		d.holders[key] = true
+// markRejected records a rejected key and the tables around it.
+func (d *Document) markRejected(key string) {
+	d.rejected[key] = true
+	for key = parentKey(key); key != ""; key = parentKey(key) {
+		d.rejectedParents[key] = true
 	}
 }
 
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -34,7 +34,7 @@
 	Name string `toml:"name"`
 }
 
-func findings(t *testing.T, text string) (*config, []string) {
+func decodeFindings(t *testing.T, text string) (*config, []string) {
 	t.Helper()
 	var c config
 	err := Decode("f", []byte(text), &c).Err()
@@ -44,12 +44,12 @@
 	return &c, strings.Split(err.Error(), "\n")
 }
 
-func TestDecodeReportsEachFaultWithItsPlace(t *testing.T) {
+func TestDecodeFindings(t *testing.T) {
 	tests := []struct {
 		name, text string
 		want       []string
 	}{
-		{"sound", "name = \"a\"\nratio = 3\n[part]\nsize = 1\n", nil},
+		{"valid", "name = \"a\"\nratio = 3\n[part]\nsize = 1\n", nil},
 		{"string for integer", "count = \"a\"", []string{"f:1:9: count: must be an integer, found string"}},
 		{"integer for string", "name = 1", []string{"f:1:8: name: must be a string, found integer"}},
 		{"string for number", "ratio = \"a\"", []string{"f:1:9: ratio: must be a number, found string"}},
@@ -68,25 +68,25 @@
 		{"duplicates", "name = \"a\"\nname = \"b\"\nname = \"c\"\n[part]\n[part]\n", []string{
 			"f:2:1: name: key name is already defined", "f:3:1: name: key name is already defined", "f:5:2: part: table part already exists",
 		}},
-		{"unknown keys and another fault in an inline table", "item = [{name = \"a\", y = 1}, {name = 2, x = 1}]", []string{
+		{"unknown keys and another error in an inline table", "item = [{name = \"a\", y = 1}, {name = 2, x = 1}]", []string{
 			"f:1:22: item[0].y: unknown key", "f:1:38: item[1].name: must be a string, found integer", "f:1:41: item[1].x: unknown key",
 		}},
-		{"type fault in an inline table", "item = [{name = \"a\"}, {name = 2}]", []string{"f:1:31: item[1].name: must be a string, found integer"}},
+		{"type error in an inline table", "item = [{name = \"a\"}, {name = 2}]", []string{"f:1:31: item[1].name: must be a string, found integer"}},
 		{"elements are counted within their parent", "[[item]]\n[[item.sub]]\n[[item]]\n[[item.sub]]\n[[item.sub]]\nname = 1\n", []string{
 			"f:6:8: item[1].sub[1].name: must be a string, found integer",
 		}},
-		{"syntax error ends the text but not what stands before", "count = \"a\"\nx = 1\nname = \n", []string{
+		{"syntax error ends the text but not the findings before it", "count = \"a\"\nx = 1\nname = \n", []string{
 			"f:1:9: count: must be an integer, found string", "f:2:1: x: unknown key", "f:3:8: unexpected character U+000A at start of value",
 		}},
 		{"multi-line values", "name = \"\"\"\na\nb\"\"\"\ncount = 1.5", []string{"f:4:9: count: must be an integer, found float"}},
-		{"faults after a multi-line fault", "name = [\n1,\n2,\n]\ncount = \"a\"\n", []string{
+		{"errors after a multi-line error", "name = [\n1,\n2,\n]\ncount = \"a\"\n", []string{
 			"f:1:8: name: must be a string, found array", "f:5:9: count: must be an integer, found string",
 		}},
-		{"bytes that are no UTF-8", "name = \"\xff\"", []string{"f:1:9: invalid UTF-8 character in basic string"}},
+		{"invalid UTF-8", "name = \"\xff\"", []string{"f:1:9: invalid UTF-8 character in basic string"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			_, got := findings(t, tt.text)
+			_, got := decodeFindings(t, tt.text)
 			if diff := cmp.Diff(tt.want, got); diff != "" {
 				t.Errorf("findings differ (-want +got):\n%s", diff)
 			}
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestDecodeTakesWhatIsSoundBesideFaults(t *testing.T) {
+func TestDecodeKeepsValidKeysBesideInvalid(t *testing.T) {
 	c := config{Ratio: 0.5}
 	Decode("f", []byte("name = \"a\"\ncount = \"x\"\nratio = \"y\"\n[[item]]\nname = \"b\"\nspeed = 1\n"), &c)
 	want := config{Name: "a", Ratio: 0.5, Items: []item{{Name: "b"}}}
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestDecodeLeavesNoPartOfARefusedValue(t *testing.T) {
+func TestDecodeLeavesNoPartOfRejectedValue(t *testing.T) {
 	c := config{Part: part{Size: 7}}
 	Decode("f", []byte("item = [{name = \"a\"}, {name = 2}]\npart = {size = 1, size = 2}\n"), &c)
 	if diff := cmp.Diff(config{Part: part{Size: 7}}, c); diff != "" {
@@ -111,21 +111,21 @@
 	}
 }
 
-func TestDecodeListsABoundedNumberOfFaults(t *testing.T) {
+func TestDecodeLimitsFindings(t *testing.T) {
 	var text strings.Builder
-	for range maxFaults + 10 {
+	for range maxDecodeErrors + 10 {
 		text.WriteString("[[item]]\nname = 1\n")
 	}
-	_, got := findings(t, text.String())
-	if len(got) != maxFaults+1 {
-		t.Fatalf("%d findings, want %d and a note", len(got), maxFaults)
+	_, got := decodeFindings(t, text.String())
+	if len(got) != maxDecodeErrors+1 {
+		t.Fatalf("%d findings, want %d and a summary", len(got), maxDecodeErrors)
 	}
-	if want := fmt.Sprintf("f: more than %d faults; the rest is not listed", maxFaults); got[0] != want {
+	if want := fmt.Sprintf("f: more than %d errors; the rest are not listed", maxDecodeErrors); got[0] != want {
 		t.Errorf("first finding %q, want %q", got[0], want)
 	}
 }
 
-func TestDeepKeysAndValuesAreBounded(t *testing.T) {
+func TestIndexLimitsDepth(t *testing.T) {
 	const depth = 5000
 	for _, text := range []string{
 		strings.Repeat("a.", depth) + "a = 1",
@@ -137,21 +137,21 @@
 		if syntax != nil {
 			t.Fatalf("%.20s: %v", text, syntax.message)
 		}
-		for _, p := range idx.places {
+		for _, p := range idx.spans {
 			if len(p.key) > 100 {
 				t.Errorf("%.20s: key of %d bytes", text, len(p.key))
 			}
 		}
-		if len(idx.places) > 2*maxNesting {
-			t.Errorf("%.20s: %d places", text, len(idx.places))
+		if len(idx.spans) > 2*maxNesting {
+			t.Errorf("%.20s: %d keys", text, len(idx.spans))
 		}
-		if _, got := findings(t, text); len(got) != 1 || !strings.HasSuffix(got[0], "unknown key") {
+		if _, got := decodeFindings(t, text); len(got) != 1 || !strings.HasSuffix(got[0], "unknown key") {
 			t.Errorf("%.20s: findings %.200v", text, got)
 		}
 	}
 }
 
-func TestAddGivesThePlaceOfTheKeyOrItsTable(t *testing.T) {
+func TestAddReportsPositionOfKeyOrTable(t *testing.T) {
 	var c config
 	d := Decode("f", []byte("name = \"a\"\n[[item]]\n[[item]]\nname = \"b\"\n"), &c)
 	d.Add("item[1].name", "n")
@@ -163,43 +163,43 @@
 	}
 }
 
-func TestAddIsSilentOnRefusedKeys(t *testing.T) {
+func TestAddIgnoresRejectedKeys(t *testing.T) {
 	var c config
 	d := Decode("f", []byte("count = \"a\"\npart = 1\nitem = [{name = 1}]\n"), &c)
 	d2 := Decode("f", []byte("[[part]]\nsize = 1\n"), &c)
 	if !d2.Rejected("part.size") {
-		t.Error("part.size is not refused with its header")
+		t.Error("part.size is not rejected with its header")
 	}
 	before := d.Err().Error()
 	for _, key := range []string{"count", "part", "part.size", "item", "item[0].name", "item[0].tags"} {
 		if !d.Rejected(key) {
-			t.Errorf("%s is not refused", key)
+			t.Errorf("%s is not rejected", key)
 		}
 		d.Add(key, "again")
 	}
 	if d.Rejected("name") || d.Rejected("countdown") {
-		t.Error("a sound key is refused")
+		t.Error("a valid key is rejected")
 	}
 	if diff := cmp.Diff(before, d.Err().Error()); diff != "" {
 		t.Errorf("findings were added (-want +got):\n%s", diff)
 	}
 }
 
-func TestRefusedBelowLooksInsideTables(t *testing.T) {
+func TestRejectedWithinLooksInsideTables(t *testing.T) {
 	var c config
 	d := Decode("f", []byte("[[item]]\ntags = 1\n[[item]]\ntags = []\n"), &c)
 	if !d.RejectedWithin("item[0]") || d.RejectedWithin("item[1]") || !d.RejectedWithin("item[0].tags") {
-		t.Errorf("refused below item[0] %v, item[1] %v", d.RejectedWithin("item[0]"), d.RejectedWithin("item[1]"))
+		t.Errorf("rejected within item[0] %v, item[1] %v", d.RejectedWithin("item[0]"), d.RejectedWithin("item[1]"))
 	}
 }
 
-func TestASingleTableIsTheFirstElement(t *testing.T) {
+func TestPositionOfSingleTableAsFirstElement(t *testing.T) {
 	if line, column := Position([]byte("\n[item]\nname = \"a\"\n"), "item[0].name"); line != 3 || column != 1 {
 		t.Errorf("position %d:%d, want 3:1", line, column)
 	}
 }
 
-func TestRules(t *testing.T) {
+func TestChecks(t *testing.T) {
 	var c config
 	d := Decode("f", nil, &c)
 	d.CheckName("a", "ok-1.x_y")
@@ -209,10 +209,10 @@
 	d.CheckFloatRange("e", 1, 0, 1)
 	d.CheckFloatAbove("f", 0, 0, 1)
 	if addr, ok := d.CheckAddress("g", "[::1]:80"); !ok || addr.String() != "[::1]:80" {
-		t.Errorf("Address = %v, %v", addr, ok)
+		t.Errorf("CheckAddress = %v, %v", addr, ok)
 	}
 	if _, ok := d.CheckAddress("h", "::1:80"); ok {
-		t.Error("an address without brackets was taken")
+		t.Error("CheckAddress accepted an IPv6 address without brackets")
 	}
 	want := `f: b: "Ä" must be 1 to 64 characters of a-z, 0-9, '.', '_' and '-'
 f: d: 6 must be from 1 to 5
@@ -223,7 +223,8 @@
 	}
 }
 
-// FuzzDecode checks that every finding has a place within the text.
+// FuzzDecode checks that Decode does not modify its input, that every finding has a position
+// within the text, and that a syntax error has a finding.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte("name = \"a\"\n[[item]]\ntags = [\"x\", 1]\n[[item.sub]]\nname = 'b'\n"))
 	f.Add([]byte("item = [{name = \"a\", x = 1}]\npart.size = -1\nname = \"a\"\nname = 1\n"))
@@ -233,16 +234,16 @@
 		before := bytes.Clone(data)
 		d := Decode("f", data, &c)
 		if !bytes.Equal(before, data) {
-			t.Fatal("Decode changed its input")
+			t.Fatal("Decode modified its input")
 		}
 		lines := bytes.Count(data, []byte("\n")) + 1
 		for _, finding := range d.findings {
 			if finding.Line < 0 || finding.Line > lines || finding.Column < 0 || finding.Column > len(data)+1 {
-				t.Errorf("finding %v outside of %d lines", finding, lines)
+				t.Errorf("position of finding %v is outside of the text of %d lines", finding, lines)
 			}
 		}
 		if d.HasSyntaxError() && len(d.findings) == 0 {
-			t.Error("broken without a finding")
+			t.Error("HasSyntaxError without a finding")
 		}
 	})
 }
