--- a/internal/finding/finding.go
+++ b/internal/finding/finding.go
@@ -1,5 +1,5 @@
-// Package finding collects faults of input with their place (file, line, key),
-// so that all are reported together instead of one a run (house style).
+// Package finding collects errors in input files with their positions, so that a single run
+// reports all of them.
 package finding
 
 import (
@@ -9,19 +9,21 @@
 	"strings"
 )
 
-// Finding is one fault of an input file.
+// Finding is one error in an input file.
 type Finding struct {
-	// File is the input's name as the user gave it; may be empty.
+	// File is the name of the input as given by the user; may be empty.
 	File string
-	// Line and Column count from one; zero means the place has none.
+	// Line and Column count from 1; 0 means that the finding has none.
 	Line   int
 	Column int
-	// Key is the dotted TOML key, with indexes for arrays of tables.
-	Key     string
+	// Key is the dotted TOML key with indexes for arrays of tables, or the name of another
+	// input such as a flag; may be empty.
+	Key string
+	// Message describes the error without its position.
 	Message string
 }
 
-// String returns "file:line:column: key: message" without the absent parts.
+// String returns "file:line:column: key: message" without the parts that are empty.
 func (f Finding) String() string {
 	var b strings.Builder
 	if f.File != "" {
@@ -45,13 +47,15 @@
 	return b.String()
 }
 
-// List is a set of findings. It is an error when it is not empty; use Err.
+// List collects findings. A list that is not empty is an error; Err returns it. It is not safe
+// for concurrent use.
 type List []Finding
 
-// Add appends a finding made from its parts.
+// Add appends f.
 func (l *List) Add(f Finding) { *l = append(*l, f) }
 
-// Err returns l as an error, or nil when it is empty. The order is by place.
+// Err sorts l by file, line and column and returns it as an error, or nil if it is empty.
+// Findings at the same position keep their order.
 func (l List) Err() error {
 	if len(l) == 0 {
 		return nil
@@ -62,7 +66,7 @@
 	return l
 }
 
-// Error returns all findings, one a line.
+// Error returns all findings, one per line.
 func (l List) Error() string {
 	lines := make([]string, len(l))
 	for i, f := range l {
