--- a/internal/fake/delay/delay.go
+++ b/internal/fake/delay/delay.go
@@ -1,5 +1,5 @@
-// Package delay gives connections the one-way time of a link between data
-// centres, for demonstrations and measurements on loopback.
+// Package delay adds the one-way latency of a link between data centres to connections,
+// for demonstrations and measurements on loopback.
 package delay
 
 import (
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Dialer opens TCP connections on which each direction takes OneWay longer.
+// Dialer opens TCP connections with added latency in both directions.
 type Dialer struct {
-	// OneWay returns the added one-way time to an address; zero means none.
+	// OneWay returns the added one-way latency to an address; zero means none.
 	OneWay func(address string) time.Duration
 }
 
-// DialContext is net.Dialer's.
+// DialContext dials like net.Dialer.DialContext and adds the latency.
 func (d Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, network, address)
@@ -30,37 +30,37 @@
 	return newConn(conn, oneWay), nil
 }
 
-// queueLength bounds the writes that are under way in one direction.
-const queueLength = 256
+// maxQueuedWrites bounds the packets in flight in one direction.
+const maxQueuedWrites = 256
 
-// readBytes is the size of one read from the connection below.
-const readBytes = 32 << 10
+// readBufferBytes is the size of one read from the underlying connection.
+const readBufferBytes = 32 << 10
 
-// parcel is data under way and when it arrives.
-type parcel struct {
+// packet is data in flight and its time of arrival.
+type packet struct {
 	data []byte
 	err  error
 	at   time.Time
 }
 
-// Conn delays both directions of a connection.
+// Conn delays both directions of the underlying connection.
 type Conn struct {
 	net.Conn
-	oneWay time.Duration
-	out    chan parcel
-	in     chan parcel
-	done   chan struct{}
-	close  sync.Once
+	oneWay   time.Duration
+	outgoing chan packet
+	incoming chan packet
+	done     chan struct{}
+	close    sync.Once
 
 	mu       sync.Mutex
 	writeErr error
 
-	rest     []byte
+	unread   []byte
 	readErr  error
 	deadline deadline
 }
 
-// deadline wakes a waiting Read when it is set anew.
+// deadline is a read deadline; changing it wakes a waiting Read.
 type deadline struct {
 	mu      sync.Mutex
 	at      time.Time
@@ -69,11 +69,11 @@
 
 func newConn(below net.Conn, oneWay time.Duration) *Conn {
 	c := &Conn{
-		Conn:   below,
-		oneWay: oneWay,
-		out:    make(chan parcel, queueLength),
-		in:     make(chan parcel, queueLength),
-		done:   make(chan struct{}),
+		Conn:     below,
+		oneWay:   oneWay,
+		outgoing: make(chan packet, maxQueuedWrites),
+		incoming: make(chan packet, maxQueuedWrites),
+		done:     make(chan struct{}),
 	}
 	c.deadline.changed = make(chan struct{})
 	go c.deliverWrites()
@@ -81,7 +81,7 @@
 	return c
 }
 
-// Write implements net.Conn: the data leaves after the delay.
+// Write implements net.Conn. It returns at once; the data is sent after the delay.
 func (c *Conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	err := c.writeErr
@@ -91,7 +91,7 @@
 	}
 	data := append([]byte(nil), p...)
 	select {
-	case c.out <- parcel{data: data, at: time.Now().Add(c.oneWay)}:
+	case c.outgoing <- packet{data: data, at: time.Now().Add(c.oneWay)}:
 		return len(p), nil
 	case <-c.done:
 		return 0, net.ErrClosed
@@ -103,7 +103,7 @@
 		select {
 		case <-c.done:
 			return
-		case p := <-c.out:
+		case p := <-c.outgoing:
 			c.sleepUntil(p.at)
 			if _, err := c.Conn.Write(p.data); err != nil {
 				c.mu.Lock()
@@ -125,10 +125,10 @@
 
 func (c *Conn) collectReads() {
 	for {
-		buf := make([]byte, readBytes)
+		buf := make([]byte, readBufferBytes)
 		n, err := c.Conn.Read(buf)
 		select {
-		case c.in <- parcel{data: buf[:n], err: err, at: time.Now().Add(c.oneWay)}:
+		case c.incoming <- packet{data: buf[:n], err: err, at: time.Now().Add(c.oneWay)}:
 		case <-c.done:
 			return
 		}
@@ -140,21 +140,21 @@
 
 // Read implements net.Conn.
 func (c *Conn) Read(p []byte) (int, error) {
-	for len(c.rest) == 0 {
+	for len(c.unread) == 0 {
 		if c.readErr != nil {
 			return 0, c.readErr
 		}
-		if err := c.next(); err != nil {
+		if err := c.receive(); err != nil {
 			return 0, err
 		}
 	}
-	n := copy(p, c.rest)
-	c.rest = c.rest[n:]
+	n := copy(p, c.unread)
+	c.unread = c.unread[n:]
 	return n, nil
 }
 
-// next waits for one parcel, a new deadline or the close.
-func (c *Conn) next() error {
+// receive waits for a packet, the deadline or the close.
+func (c *Conn) receive() error {
 	for {
 		at, changed := c.deadline.get()
 		var expired <-chan time.Time
@@ -164,9 +164,9 @@
 			expired = timer.C
 		}
 		select {
-		case p := <-c.in:
+		case p := <-c.incoming:
 			c.sleepUntil(p.at)
-			c.rest, c.readErr = p.data, p.err
+			c.unread, c.readErr = p.data, p.err
 			return nil
 		case <-expired:
 			return os.ErrDeadlineExceeded
@@ -197,11 +197,11 @@
 	return nil
 }
 
-// SetDeadline implements net.Conn; writes never wait longer than the delay.
+// SetDeadline implements net.Conn. It sets the read deadline only, since writes are
+// queued.
 func (c *Conn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
-// Close implements net.Conn. What is still under way is lost, as on a link that
-// is cut.
+// Close implements net.Conn. Data in flight is lost, as on a link that is cut.
 func (c *Conn) Close() error {
 	c.close.Do(func() { close(c.done) })
 	return c.Conn.Close()
--- a/internal/fake/delay/delay_test.go
+++ b/internal/fake/delay/delay_test.go
@@ -11,7 +11,7 @@
 	"gypsumstand/internal/fake/delay"
 )
 
-// echoServer sends back what it gets.
+// echoServer starts a server that sends back what it receives, and returns its address.
 func echoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,7 +34,7 @@
 	return l.Addr().String()
 }
 
-func TestBothWaysTakeTheDelayAndNothingIsLost(t *testing.T) {
+func TestDelayAppliesInBothDirections(t *testing.T) {
 	const oneWay = 20 * time.Millisecond
 	d := delay.Dialer{OneWay: func(string) time.Duration { return oneWay }}
 	conn, err := d.DialContext(context.Background(), "tcp", echoServer(t))
@@ -50,13 +50,13 @@
 	if _, err := io.ReadFull(conn, got); err != nil {
 		t.Fatal(err)
 	}
-	// A lower bound holds on a busy machine, too.
+	// Only a lower bound holds on a busy machine.
 	if took := time.Since(began); took < 2*oneWay || string(got) != "there and back" {
-		t.Errorf("took %v, got %q", took, got)
+		t.Errorf("round trip took %v and returned %q", took, got)
 	}
 }
 
-func TestAReadDeadlineEndsAWaitingRead(t *testing.T) {
+func TestReadDeadlineInterruptsWaitingRead(t *testing.T) {
 	d := delay.Dialer{OneWay: func(string) time.Duration { return time.Millisecond }}
 	conn, err := d.DialContext(context.Background(), "tcp", echoServer(t))
 	if err != nil {
@@ -72,6 +72,6 @@
 		t.Fatal(err)
 	}
 	if err := <-ended; err != os.ErrDeadlineExceeded {
-		t.Errorf("Read: %v", err)
+		t.Errorf("Read: %v, want os.ErrDeadlineExceeded", err)
 	}
 }
--- a/internal/fake/listen/listen.go
+++ b/internal/fake/listen/listen.go
@@ -1,6 +1,6 @@
-// Package listen gives the stand-ins listeners whose faults can be set while
-// they serve: refused connections on a port that stays theirs, a bound on open
-// connections, a slow start of each connection, and cut connections.
+// Package listen provides listeners with injectable faults for tests: refused connections
+// on a port that stays reserved, a limit on open connections, a delayed first read, and
+// reset connections.
 package listen
 
 import (
@@ -11,25 +11,25 @@
 	"time"
 )
 
-// Counts count connections since the listener was made.
+// Counts count connections since the listener was created.
 type Counts struct {
-	// Open is the number of open connections, Peak the largest there was.
+	// Open is the number of open connections, Peak its maximum.
 	Open int `json:"open"`
 	Peak int `json:"peak"`
-	// Accepted counts connections that were handed on.
+	// Accepted counts connections that Accept returned.
 	Accepted uint64 `json:"accepted"`
-	// OverLimit counts connections that were cut at once, being over the limit.
+	// OverLimit counts connections that were reset at once because of the limit.
 	OverLimit uint64 `json:"over_limit"`
 }
 
-// Listener is a TCP listener with settable faults. It implements net.Listener;
-// its methods are safe for concurrent use.
+// Listener is a TCP listener with injectable faults. It implements net.Listener; its
+// methods are safe for concurrent use.
 type Listener struct {
 	address net.Addr
 
 	mu      sync.Mutex
-	inner   net.Listener // nil while connections are refused
-	reserve *reservation // holds the port while connections are refused
+	inner   net.Listener     // nil while connections are refused
+	reserve *portReservation // holds the port while connections are refused
 	wake    chan struct{}
 	closed  bool
 	limit   int
@@ -40,7 +40,7 @@
 
 var _ net.Listener = (*Listener)(nil)
 
-// TCP listens on address, an "ip:port"; port 0 takes a free one.
+// TCP listens on address, an "ip:port"; port 0 selects a free one.
 func TCP(address string) (*Listener, error) {
 	inner, err := net.Listen("tcp", address)
 	if err != nil {
@@ -54,10 +54,10 @@
 	}, nil
 }
 
-// Addr implements net.Listener; it stays the same while connections are refused.
+// Addr implements net.Listener; the address stays the same while connections are refused.
 func (l *Listener) Addr() net.Addr { return l.address }
 
-// Accept implements net.Listener. While connections are refused it waits.
+// Accept implements net.Listener. It blocks while connections are refused.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		inner, wake, err := l.current()
@@ -70,7 +70,7 @@
 		}
 		c, err := inner.Accept()
 		if err != nil {
-			if l.stillCurrent(inner) {
+			if l.isCurrent(inner) {
 				return nil, err
 			}
 			continue
@@ -90,19 +90,20 @@
 	return l.inner, l.wake, nil
 }
 
-func (l *Listener) stillCurrent(inner net.Listener) bool {
+func (l *Listener) isCurrent(inner net.Listener) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.inner == inner && !l.closed
 }
 
-// admit counts and wraps a connection, or cuts one over the limit.
+// admit wraps and counts a connection, or resets it and returns nil if it is over the
+// limit.
 func (l *Listener) admit(inner net.Conn) net.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.limit > 0 && len(l.open) >= l.limit {
 		l.counts.OverLimit++
-		reset(inner)
+		resetConn(inner)
 		return nil
 	}
 	c := &conn{Conn: inner, listener: l, delay: l.delay}
@@ -112,7 +113,7 @@
 	return c
 }
 
-// Close implements net.Listener; open connections stay.
+// Close implements net.Listener; open connections stay open.
 func (l *Listener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -127,9 +128,9 @@
 	return l.reserve.close()
 }
 
-// Refuse closes the listening socket but keeps the port, so that the system
-// refuses connections; accepted connections stay, those not yet accepted are
-// reset. It does nothing when connections are refused already.
+// Refuse closes the listening socket but keeps the port reserved, so that the operating
+// system refuses connections. Accepted connections stay open, those not yet accepted are
+// reset. It does nothing if connections are already refused.
 func (l *Listener) Refuse() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -148,7 +149,7 @@
 	return nil
 }
 
-// Allow ends Refuse.
+// Allow listens again after Refuse.
 func (l *Listener) Allow() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -165,15 +166,15 @@
 	return nil
 }
 
-// SetLimit bounds the open connections; those over it are cut at once. Zero
-// means no bound. Connections that are open already stay.
+// SetLimit bounds the number of open connections; new ones over it are reset. Zero means
+// no limit. Connections that are already open stay open.
 func (l *Listener) SetLimit(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limit = n
 }
 
-// SetDelay makes each new connection take d until its first byte is read.
+// SetDelay delays the first read of each new connection by d.
 func (l *Listener) SetDelay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -189,11 +190,11 @@
 	}
 	l.mu.Unlock()
 	for _, c := range open {
-		c.cut()
+		c.reset()
 	}
 }
 
-// Counts returns the counts as they stand.
+// Counts returns a snapshot of the counts.
 func (l *Listener) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -202,7 +203,7 @@
 	return out
 }
 
-func (l *Listener) forget(c *conn) {
+func (l *Listener) remove(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.open, c)
@@ -211,15 +212,15 @@
 // conn is an accepted connection.
 type conn struct {
 	net.Conn
-	listener *Listener
-	delay    time.Duration
-	started  sync.Once
-	ended    sync.Once
+	listener  *Listener
+	delay     time.Duration
+	firstRead sync.Once
+	closeOnce sync.Once
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
-	c.started.Do(func() {
+	c.firstRead.Do(func() {
 		if c.delay > 0 {
 			time.Sleep(c.delay)
 		}
@@ -229,22 +230,22 @@
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
-	c.ended.Do(func() { c.listener.forget(c) })
+	c.closeOnce.Do(func() { c.listener.remove(c) })
 	return c.Conn.Close()
 }
 
-func (c *conn) cut() {
-	c.ended.Do(func() { c.listener.forget(c) })
-	reset(c.Conn)
+func (c *conn) reset() {
+	c.closeOnce.Do(func() { c.listener.remove(c) })
+	resetConn(c.Conn)
 }
 
-// reset closes a connection so that the other end sees a reset.
-func reset(c net.Conn) {
+// resetConn closes a connection with a TCP reset.
+func resetConn(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // else the other end sees a plain end: as broken
+		_ = tcp.SetLinger(0) // otherwise the peer would see an orderly close
 	}
 	_ = c.Close()
 }
 
-// ErrNotTCP: the address to reserve is not TCP.
+// ErrNotTCP reports that the address to reserve is not a TCP address.
 var ErrNotTCP = errors.New("not a TCP address")
--- a/internal/fake/listen/listen_test.go
+++ b/internal/fake/listen/listen_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// serve accepts and echoes until the listener closes.
+// serve starts an echo server that runs until the test ends.
 func serve(t *testing.T) *Listener {
 	t.Helper()
 	l, err := TCP("127.0.0.1:0")
@@ -47,7 +47,7 @@
 	return c
 }
 
-// echoes tells whether the other end answers.
+// echoes reports whether the other end echoes a byte.
 func echoes(c net.Conn) bool {
 	if _, err := c.Write([]byte{'x'}); err != nil {
 		return false
@@ -56,11 +56,11 @@
 	return err == nil
 }
 
-func TestRefusedPortIsRefusedAndKept(t *testing.T) {
+func TestRefuseKeepsThePort(t *testing.T) {
 	l := serve(t)
 	old := dial(t, l)
-	if !echoes(old) { // now it is accepted; the system resets those that are not
-		t.Fatal("no answer before Refuse")
+	if !echoes(old) { // ensures that it is accepted; Refuse resets pending ones
+		t.Fatal("no echo before Refuse")
 	}
 	for range 3 {
 		if err := l.Refuse(); err != nil {
@@ -73,17 +73,17 @@
 		}
 		if other, err := net.Listen("tcp", l.Addr().String()); err == nil {
 			_ = other.Close()
-			t.Fatal("the refused port could be taken by another listener")
+			t.Fatal("another listener could bind the refused port")
 		}
 		if err := l.Allow(); err != nil {
 			t.Fatal(err)
 		}
 		if !echoes(dial(t, l)) {
-			t.Fatal("no answer after Allow")
+			t.Fatal("no echo after Allow")
 		}
 	}
 	if !echoes(old) {
-		t.Error("a connection from before Refuse was cut")
+		t.Error("Refuse closed a connection accepted before it")
 	}
 }
 
@@ -92,9 +92,9 @@
 	l.SetLimit(2)
 	a, b := dial(t, l), dial(t, l)
 	if !echoes(a) || !echoes(b) {
-		t.Fatal("a connection within the limit was cut")
+		t.Fatal("a connection within the limit was reset")
 	}
-	// The reset may come while the client still connects.
+	// The reset may arrive during the connect.
 	if c, err := net.Dial("tcp", l.Addr().String()); err == nil {
 		defer c.Close()
 		if echoes(c) {
@@ -102,22 +102,22 @@
 		}
 	}
 	if got := l.Counts(); got.OverLimit != 1 || got.Peak != 2 || got.Accepted != 2 {
-		t.Errorf("counts %+v", got)
+		t.Errorf("counts %+v, want 1 over the limit, a peak of 2 and 2 accepted", got)
 	}
 }
 
-func TestCutAllResetsOpenConnections(t *testing.T) {
+func TestResetAllResetsOpenConnections(t *testing.T) {
 	l := serve(t)
 	c := dial(t, l)
 	if !echoes(c) {
-		t.Fatal("no answer")
+		t.Fatal("no echo")
 	}
 	l.ResetAll()
 	if echoes(c) {
-		t.Error("a cut connection answers")
+		t.Error("a connection still echoes after ResetAll")
 	}
 	if got := l.Counts().Open; got != 0 {
-		t.Errorf("%d connections open", got)
+		t.Errorf("%d connections open after ResetAll, want 0", got)
 	}
 }
 
--- a/internal/fake/listen/pipe.go
+++ b/internal/fake/listen/pipe.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// Pipe is a listener whose connections are in memory, so that clients and
-// servers can be tested on the fake clock of testing/synctest.
+// Pipe is an in-memory listener for tests of clients and servers on the fake clock of
+// testing/synctest.
 type Pipe struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -16,12 +16,12 @@
 
 var _ net.Listener = (*Pipe)(nil)
 
-// NewPipe returns a listener that Dial connects to.
+// NewPipe returns a listener that accepts connections made by Dial.
 func NewPipe() *Pipe {
 	return &Pipe{conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
-// Dial connects to the listener whatever the address; it fits
+// Dial connects to the listener and ignores the address. It can serve as
 // http.Transport.DialContext.
 func (p *Pipe) Dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	client, server := net.Pipe()
@@ -45,7 +45,7 @@
 	}
 }
 
-// Close implements net.Listener; open connections stay.
+// Close implements net.Listener; open connections stay open.
 func (p *Pipe) Close() error {
 	p.close.Do(func() { close(p.done) })
 	return nil
--- a/internal/fake/listen/reserve.go
+++ b/internal/fake/listen/reserve.go
@@ -6,16 +6,16 @@
 	"syscall"
 )
 
-// backlog is the length of the queue of a listening socket.
+// backlog is the length of the accept queue of a listening socket.
 const backlog = 512
 
-// reservation is a bound socket that does not listen. It keeps the port from
-// being taken: an unbound port of the range for outgoing connections may be
-// given to a client that connects to it, which then is connected to itself.
-type reservation struct{ file *os.File }
+// portReservation is a bound socket that does not listen. It keeps the port from being
+// reused: the operating system may assign a free port of the ephemeral range to a client
+// that dials this very port, and that client would then connect to itself.
+type portReservation struct{ file *os.File }
 
 // reservePort binds address without listening.
-func reservePort(address net.Addr) (*reservation, error) {
+func reservePort(address net.Addr) (*portReservation, error) {
 	tcp, ok := address.(*net.TCPAddr)
 	if !ok {
 		return nil, ErrNotTCP
@@ -25,16 +25,16 @@
 	if err != nil {
 		return nil, os.NewSyscallError("socket", err)
 	}
-	if err := bindAlone(fd, sockaddr); err != nil {
+	if err := bindExclusive(fd, sockaddr); err != nil {
 		_ = syscall.Close(fd)
 		return nil, err
 	}
-	return &reservation{file: os.NewFile(uintptr(fd), "reserved "+address.String())}, nil
+	return &portReservation{file: os.NewFile(uintptr(fd), "reserved "+address.String())}, nil
 }
 
-// bindAlone binds beside connections of the former listener, then lets no other
-// socket bind.
-func bindAlone(fd int, sockaddr syscall.Sockaddr) error {
+// bindExclusive binds although connections of the former listener may still use the port,
+// and then prevents other sockets from binding to it.
+func bindExclusive(fd int, sockaddr syscall.Sockaddr) error {
 	if err := setReuse(fd, 1); err != nil {
 		return err
 	}
@@ -55,20 +55,20 @@
 	return syscall.AF_INET6, &syscall.SockaddrInet6{Port: a.Port, Addr: [16]byte(a.IP.To16())}
 }
 
-// listen turns the reservation into a listener; it must not be used again
-// unless the call failed.
-func (r *reservation) listen() (net.Listener, error) {
+// listen turns the reservation into a listener. After a success the reservation must not
+// be used again.
+func (r *portReservation) listen() (net.Listener, error) {
 	if err := setReuse(int(r.file.Fd()), 1); err != nil {
 		return nil, err
 	}
 	if err := syscall.Listen(int(r.file.Fd()), backlog); err != nil {
 		return nil, os.NewSyscallError("listen", err)
 	}
-	l, err := net.FileListener(r.file) // a duplicate of the socket
+	l, err := net.FileListener(r.file) // duplicates the socket
 	if err != nil {
 		return nil, err
 	}
 	return l, r.file.Close()
 }
 
-func (r *reservation) close() error { return r.file.Close() }
+func (r *portReservation) close() error { return r.file.Close() }
--- a/internal/fake/platform/control.go
+++ b/internal/fake/platform/control.go
@@ -28,33 +28,33 @@
 	State string `json:"state"`
 }
 
-// Control returns the handler that a demonstration drives the stand-in by:
+// Control returns the handler through which demonstrations drive the platform:
 //
-//	GET /faults, PATCH /faults   the faults; only the fields sent change
+//	GET /faults, PATCH /faults   the faults; PATCH changes only the given fields
 //	GET /counters                the counters
 //	GET /instances               the whole list, without lag
 //	PUT /instances/{id}          adds or replaces an instance
-//	POST /instances/{id}         {"state":"leaving"} marks it
-//	DELETE /instances/{id}       takes it off the list
-//	PUT /values                  publishes a signed bundle by its own name and version
-//	PUT /values/{name}?version=N publishes any bytes
+//	POST /instances/{id}         {"state":"leaving"} sets its state
+//	DELETE /instances/{id}       removes it from the list
+//	PUT /values                  publishes a signed bundle under its own name and version
+//	PUT /values/{name}?version=N publishes the body as it is
 func (p *Platform) Control() http.Handler {
 	r := mux.NewRouter()
 	r.Path(ControlFaultsPath).Methods(http.MethodGet).HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Faults()) })
-	r.Path(ControlFaultsPath).Methods(http.MethodPatch).Handler(act(p.patchFaults))
+	r.Path(ControlFaultsPath).Methods(http.MethodPatch).Handler(controlAction(p.patchFaults))
 	r.Path(ControlCountersPath).Methods(http.MethodGet).HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.Counters()) })
 	r.Path(ControlInstancesPath).Methods(http.MethodGet).HandlerFunc(p.showInstances)
-	r.Path(ControlInstancesPath + "/{id}").Methods(http.MethodPut).Handler(act(p.putInstance))
-	r.Path(ControlInstancesPath + "/{id}").Methods(http.MethodPost).Handler(act(p.markInstance))
-	r.Path(ControlInstancesPath + "/{id}").Methods(http.MethodDelete).Handler(act(p.removeInstance))
-	r.Path(ControlValuesPath).Methods(http.MethodPut).Handler(act(p.putSigned))
-	r.Path(ControlValuesPath + "/{name}").Methods(http.MethodPut).Handler(act(p.putValue))
+	r.Path(ControlInstancesPath + "/{id}").Methods(http.MethodPut).Handler(controlAction(p.putInstance))
+	r.Path(ControlInstancesPath + "/{id}").Methods(http.MethodPost).Handler(controlAction(p.postInstanceState))
+	r.Path(ControlInstancesPath + "/{id}").Methods(http.MethodDelete).Handler(controlAction(p.removeInstance))
+	r.Path(ControlValuesPath).Methods(http.MethodPut).Handler(controlAction(p.putSigned))
+	r.Path(ControlValuesPath + "/{name}").Methods(http.MethodPut).Handler(controlAction(p.putValue))
 	return r
 }
 
-// act makes a handler of a function that reads a bounded body and changes the
-// platform: 204 when it succeeds, else 400 with the findings.
-func act(change func(r *http.Request, body []byte) error) http.Handler {
+// controlAction returns a handler that reads a bounded body and passes it to change. It
+// responds with 204, or with 400 and the error's text.
+func controlAction(change func(r *http.Request, body []byte) error) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, protocol.MaxValueBytes))
 		if err == nil {
@@ -106,7 +106,7 @@
 	return nil
 }
 
-func (p *Platform) markInstance(r *http.Request, body []byte) error {
+func (p *Platform) postInstanceState(r *http.Request, body []byte) error {
 	var change stateChange
 	if err := decodeStrict(body, &change); err != nil {
 		return err
--- a/internal/fake/platform/counters.go
+++ b/internal/fake/platform/counters.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Counters count calls since the start, by what became of them. Calls is the
-// sum over all kinds.
+// Counters count calls since the platform was created, by outcome. Calls counts all of
+// them.
 type Counters struct {
 	Calls uint64 `json:"calls"`
-	// ListFull, ListChanges, Index and Value are answered calls.
+	// ListFull, ListChanges, Index and Value are successful calls by kind.
 	ListFull    uint64 `json:"list_full"`
 	ListChanges uint64 `json:"list_changes"`
 	Index       uint64 `json:"index"`
 	Value       uint64 `json:"value"`
-	// Limited calls were answered 429.
+	// Limited calls were answered with 429.
 	Limited uint64 `json:"limited"`
-	// Failed calls met an outage.
+	// Failed calls were hit by an outage.
 	Failed uint64 `json:"failed"`
-	// NotFound calls named a value or a path that there is not.
+	// NotFound calls named an unknown value or path.
 	NotFound uint64 `json:"not_found"`
-	// Malformed calls were answered 400 or 405.
+	// Malformed calls were answered with 400 or 405.
 	Malformed uint64 `json:"malformed"`
-	// PeakPerSecond is the largest number of calls within one second of the
-	// clock, counted or refused.
+	// PeakPerSecond is the largest number of calls within one second of the clock,
+	// rate-limited ones included.
 	PeakPerSecond uint64 `json:"peak_per_second"`
 }
 
@@ -30,24 +30,24 @@
 	calls  uint64
 }
 
-// Counters returns the counters as they stand.
+// Counters returns a snapshot of the counters.
 func (p *Platform) Counters() Counters {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counters
 }
 
-// countCall counts one call of any kind at now. The caller holds the lock.
+// countCall counts one call of any kind at now; the caller holds p.mu.
 func (p *Platform) countCall(now time.Time) {
 	p.counters.Calls++
-	if s := now.Unix(); s != p.second.second {
-		p.second = secondCount{second: s}
+	if s := now.Unix(); s != p.currentSecond.second {
+		p.currentSecond = secondCount{second: s}
 	}
-	p.second.calls++
-	p.counters.PeakPerSecond = max(p.counters.PeakPerSecond, p.second.calls)
+	p.currentSecond.calls++
+	p.counters.PeakPerSecond = max(p.counters.PeakPerSecond, p.currentSecond.calls)
 }
 
-// count adds one to a counter.
+// count increments a counter.
 func (p *Platform) count(counter *uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fake/platform/faults.go
+++ b/internal/fake/platform/faults.go
@@ -9,19 +9,19 @@
 	"gypsumstand/internal/finding"
 )
 
-// Outage is how a service of the platform fails.
+// Outage is the way in which one of the platform's services fails.
 type Outage uint8
 
 // The outages.
 const (
-	// OutageNone: the service answers.
+	// OutageNone is normal service.
 	OutageNone Outage = iota
-	// OutageRefuse: each call's connection is cut without an answer.
+	// OutageRefuse cuts each call's connection without a response.
 	OutageRefuse
-	// OutageError: each call is answered 503.
+	// OutageError answers each call with 503.
 	OutageError
-	// OutageHang: calls get no answer until the caller gives up or the faults
-	// change; then they are cut.
+	// OutageHang leaves calls without a response until the caller gives up or the faults
+	// change, and then cuts them.
 	OutageHang
 )
 
@@ -49,22 +49,24 @@
 	return fmt.Errorf("outage %q: want one of %q", text, outageNames)
 }
 
-// Faults are the settable faults. The zero value, but for the rate, has none.
+// Faults are the injected faults. The zero value injects none, but is invalid because
+// RatePerSecond must be above 0.
 type Faults struct {
-	// ListLagMs is how late the list shows changes, in milliseconds.
+	// ListLagMs is the delay, in milliseconds, after which the list shows a change.
 	ListLagMs int64 `json:"list_lag_ms"`
-	// ListFrozenAt and ConfigFrozenAt make a service show its content as of that
-	// time; the zero time means it is not frozen.
+	// ListFrozenAt and ConfigFrozenAt make a service show its content as of that time;
+	// the zero time disables this.
 	ListFrozenAt   time.Time `json:"list_frozen_at"`
 	ConfigFrozenAt time.Time `json:"config_frozen_at"`
 	// ListOutage and ConfigOutage fail the calls of a service.
 	ListOutage   Outage `json:"list_outage"`
 	ConfigOutage Outage `json:"config_outage"`
-	// RatePerSecond bounds the calls of all readers together; over it 429.
+	// RatePerSecond bounds the calls of all readers together; calls over it are answered
+	// with 429.
 	RatePerSecond float64 `json:"rate_per_second"`
 }
 
-// check returns a finding.List with every fault of f itself.
+// check returns a finding.List with every invalid field of f.
 func (f Faults) check() error {
 	var findings finding.List
 	if f.ListLagMs < 0 {
@@ -82,15 +84,15 @@
 	return findings.Err()
 }
 
-// Faults returns the faults in force.
+// Faults returns the active faults.
 func (p *Platform) Faults() Faults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults
 }
 
-// ChangeFaults lets change edit the faults in force and puts them in force when
-// they pass; the error is a finding.List. change must not call the platform.
+// ChangeFaults edits a copy of the active faults with change and activates it if it is
+// valid; the error is a finding.List. change must not call the platform.
 func (p *Platform) ChangeFaults(change func(*Faults)) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,11 +112,11 @@
 	return nil
 }
 
-// FreezeConfig makes the configuration service show what it holds now, however
-// long; ThawConfig ends it.
+// FreezeConfig makes the configuration service keep showing its current content until
+// ThawConfig.
 func (p *Platform) FreezeConfig() {
 	now := p.now()
-	_ = p.ChangeFaults(func(f *Faults) { f.ConfigFrozenAt = now }) // can't make a fault that check finds
+	_ = p.ChangeFaults(func(f *Faults) { f.ConfigFrozenAt = now }) // always valid
 }
 
 // ThawConfig ends FreezeConfig.
@@ -122,8 +124,7 @@
 	_ = p.ChangeFaults(func(f *Faults) { f.ConfigFrozenAt = time.Time{} })
 }
 
-// FreezeList makes the list show what it shows now, however long; ThawList ends
-// it.
+// FreezeList makes the list keep showing its current content until ThawList.
 func (p *Platform) FreezeList() {
 	now := p.now()
 	_ = p.ChangeFaults(func(f *Faults) { f.ListFrozenAt = now.Add(-f.listLag()) })
@@ -136,12 +137,12 @@
 
 func (f Faults) listLag() time.Duration { return time.Duration(f.ListLagMs) * time.Millisecond }
 
-// listAsOf returns the time whose list is shown at now.
+// listAsOf returns the time as of which the list is shown at now.
 func (f Faults) listAsOf(now time.Time) time.Time {
 	return earlier(now.Add(-f.listLag()), f.ListFrozenAt)
 }
 
-// configAsOf returns the time whose configuration is shown at now.
+// configAsOf returns the time as of which the configuration is shown at now.
 func (f Faults) configAsOf(now time.Time) time.Time { return earlier(now, f.ConfigFrozenAt) }
 
 func earlier(t, frozen time.Time) time.Time {
--- a/internal/fake/platform/log.go
+++ b/internal/fake/platform/history.go
@@ -8,12 +8,12 @@
 	protocol "gypsumstand/internal/registry"
 )
 
-// Bounds of what the stand-in remembers.
+// Bounds of the stored history.
 const (
-	// maxChanges bounds the remembered changes of the list; a reader whose
-	// revision is older gets the whole list.
+	// maxChanges is the number of list changes that are kept at least; a reader with an
+	// older revision gets the full list.
 	maxChanges = 1 << 14
-	// maxVersions bounds the remembered versions of one configuration value.
+	// maxVersions bounds the stored versions of one configuration value.
 	maxVersions = 64
 )
 
@@ -24,9 +24,10 @@
 	entry    protocol.InstanceEntry
 }
 
-// instanceLog is the list with its history, so that it can be shown as it was.
+// instanceLog holds the list with its history, so that it can be shown as of an earlier
+// time.
 type instanceLog struct {
-	// base is the list before the remembered changes.
+	// base is the list before the first entry of changes.
 	base         map[string]protocol.InstanceEntry
 	baseRevision uint64
 	changes      []instanceChange
@@ -39,7 +40,7 @@
 	}
 }
 
-// compactTo moves all but the newest changes into the base.
+// compactTo moves all but the newest kept changes into the base.
 func (l *instanceLog) compactTo(kept int) {
 	cut := max(len(l.changes)-kept, 0)
 	for _, c := range l.changes[:cut] {
@@ -64,16 +65,16 @@
 	return l.changes[len(l.changes)-1].revision
 }
 
-// seen returns the changes that a reader who sees the list as of at may know.
-func (l *instanceLog) seen(at time.Time) []instanceChange {
+// changesUntil returns the changes made no later than at.
+func (l *instanceLog) changesUntil(at time.Time) []instanceChange {
 	n := sort.Search(len(l.changes), func(i int) bool { return l.changes[i].at.After(at) })
 	return l.changes[:n]
 }
 
-// latest returns the whole list as it is.
-func (l *instanceLog) latest() map[string]protocol.InstanceEntry { return l.whole(l.changes) }
+// latest returns the full list as it is now.
+func (l *instanceLog) latest() map[string]protocol.InstanceEntry { return l.fullList(l.changes) }
 
-func (l *instanceLog) whole(changes []instanceChange) map[string]protocol.InstanceEntry {
+func (l *instanceLog) fullList(changes []instanceChange) map[string]protocol.InstanceEntry {
 	out := make(map[string]protocol.InstanceEntry, len(l.base)+len(changes))
 	for id, e := range l.base {
 		out[id] = e
@@ -84,10 +85,11 @@
 	return out
 }
 
-// read returns the list as of at: the changes after since when it can, else the
-// whole. A reader that is ahead of a stale list gets the whole stale list.
+// read returns the list as of at: the changes after the revision since if they are still
+// stored, else the full list. A reader with a newer revision than a stale list shows gets
+// the full stale list.
 func (l *instanceLog) read(at time.Time, since uint64) protocol.InstanceList {
-	seen := l.seen(at)
+	seen := l.changesUntil(at)
 	revision := l.baseRevision
 	if len(seen) > 0 {
 		revision = seen[len(seen)-1].revision
@@ -95,7 +97,7 @@
 	full := since == 0 || since < l.baseRevision || since > revision
 	list := protocol.InstanceList{Revision: &revision, Full: &full}
 	if full {
-		list.Instances = sorted(l.whole(seen))
+		list.Instances = sorted(l.fullList(seen))
 		return list
 	}
 	first := sort.Search(len(seen), func(i int) bool { return seen[i].revision > since })
@@ -127,10 +129,10 @@
 	data    []byte
 }
 
-// valueLog is the configuration with its history.
+// valueLog holds the configuration with its history.
 type valueLog struct {
 	revision uint64
-	// revisions holds the time of each revision, from 1, newest last.
+	// revisions holds the times of the newest revisions, oldest first.
 	revisions []time.Time
 	values    map[string][]valueChange
 }
@@ -149,7 +151,7 @@
 	l.values[name] = changes
 }
 
-// value returns the value of that name as of at.
+// value returns the named value as of at.
 func (l *valueLog) value(at time.Time, name string) (valueChange, bool) {
 	changes := l.values[name]
 	n := sort.Search(len(changes), func(i int) bool { return changes[i].at.After(at) })
--- a/internal/fake/platform/platform.go
+++ b/internal/fake/platform/platform.go
@@ -1,7 +1,7 @@
-// Package platform is a stand-in for the platform: it holds configuration
-// values and a list of instances, serves both by the platform's protocol, and
-// has settable faults (a lagging list, stale content, outages, the rate that
-// all readers share). It counts every call. For tests and demonstrations.
+// Package platform simulates the platform for tests and demonstrations: it holds
+// configuration values and a list of instances, serves both over the platform's protocol,
+// injects faults (a lagging list, stale content, outages, a rate limit that all readers
+// share), and counts every call.
 package platform
 
 import (
@@ -17,37 +17,37 @@
 	protocol "gypsumstand/internal/registry"
 )
 
-// DefaultRatePerSecond is the number of calls a second that the platform
-// answers over all its readers.
+// DefaultRatePerSecond is the default limit on the calls a second of all readers
+// together.
 const DefaultRatePerSecond = 2000
 
-// burstShare is the rate limiter's depth in seconds' worth of calls.
+// burstShare is the rate limiter's burst, in seconds' worth of calls.
 const burstShare = 0.1
 
-// Config is a platform's fixed setting.
+// Config holds the settings that stay fixed for a platform's lifetime.
 type Config struct {
-	// RatePerSecond is the first value of Faults.RatePerSecond; zero means
+	// RatePerSecond is the initial value of Faults.RatePerSecond; zero means
 	// DefaultRatePerSecond.
 	RatePerSecond float64
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
 }
 
-// Platform is the stand-in. Its methods are safe for concurrent use.
+// Platform simulates the platform. Its methods are safe for concurrent use.
 type Platform struct {
 	now func() time.Time
 
-	mu       sync.Mutex
-	faults   Faults
-	changed  chan struct{} // closed when faults change
-	limiter  *rate.Limiter
-	counters Counters
-	second   secondCount
-	list     instanceLog
-	config   valueLog
+	mu            sync.Mutex
+	faults        Faults
+	changed       chan struct{} // closed when faults change
+	limiter       *rate.Limiter
+	counters      Counters
+	currentSecond secondCount
+	list          instanceLog
+	config        valueLog
 }
 
-// New returns a platform that holds nothing and has no fault.
+// New returns an empty platform without faults.
 func New(cfg Config) *Platform {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// RemoveInstance takes an instance off the list; changes show it as gone.
+// RemoveInstance removes an instance from the list; the list of changes shows it as gone.
 func (p *Platform) RemoveInstance(id model.InstanceID) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// Publish makes data the configuration value of that name, whatever it holds,
-// and whether or not version is newer than the one before.
+// Publish sets the named configuration value to data. It checks neither the content nor
+// that the version is newer than the one before.
 func (p *Platform) Publish(v model.BundleVersion, data []byte) error {
 	var findings finding.List
 	if err := protocol.CheckName(string(v.Name)); err != nil {
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// PublishSigned publishes a signed bundle under the name and version that it
-// holds. It does not check the signature: that is the nodes' task.
+// PublishSigned publishes a signed bundle under the name and version that the bundle
+// states. It does not check the signature, which is the nodes' task.
 func (p *Platform) PublishSigned(s bundle.Signed) (model.BundleVersion, error) {
 	b, err := bundle.Parse("signed bundle", s.Bundle)
 	if err != nil {
--- a/internal/fake/platform/platform_test.go
+++ b/internal/fake/platform/platform_test.go
@@ -24,14 +24,14 @@
 	protocol "gypsumstand/internal/registry"
 )
 
-// stand is a platform in a bubble of testing/synctest with a client.
-type stand struct {
+// harness is a platform with a client, within a testing/synctest bubble.
+type harness struct {
 	*Platform
 	client *protocol.Client
 }
 
-// inBubble runs f with a platform and a client on the fake clock.
-func inBubble(t *testing.T, cfg Config, f func(t *testing.T, s stand)) {
+// runSynctest runs f with a platform and a client on the fake clock of testing/synctest.
+func runSynctest(t *testing.T, cfg Config, f func(t *testing.T, s harness)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := New(cfg)
 		pipe := listen.NewPipe()
@@ -41,7 +41,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f(t, stand{Platform: p, client: client})
+		f(t, harness{Platform: p, client: client})
 		client.Close()
 		_ = server.Close()
 		_ = pipe.Close()
@@ -52,7 +52,7 @@
 	return model.Instance{ID: model.InstanceID(id), Service: "s", DataCentre: "k1", PeerAddress: "127.0.0.1:70", State: model.StateLive}
 }
 
-func (s stand) list(t *testing.T, since uint64) control.ListRead {
+func (s harness) list(t *testing.T, since uint64) control.ListRead {
 	t.Helper()
 	list, err := s.client.List(context.Background(), since)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return list
 }
 
-// states returns "id=state" of each instance.
+// states returns "id=state" of each instance, separated by spaces.
 func states(list control.ListRead) string {
 	var out []string
 	for _, in := range list.Instances {
@@ -70,8 +70,8 @@
 	return strings.Join(out, " ")
 }
 
-func TestChangesSinceARevision(t *testing.T) {
-	inBubble(t, Config{}, func(t *testing.T, s stand) {
+func TestChangesSinceRevision(t *testing.T) {
+	runSynctest(t, Config{}, func(t *testing.T, s harness) {
 		if list := s.list(t, 0); list.Revision != 0 || !list.Full || len(list.Instances) != 0 {
 			t.Errorf("empty list: %+v", list)
 		}
@@ -103,14 +103,14 @@
 			}
 		}
 		if err := s.SetState("c", model.StateLive); err == nil {
-			t.Error("a removed instance could be marked")
+			t.Error("the state of a removed instance could be set")
 		}
 	})
 }
 
-// TestChangesEqualTheWhole: whoever applies changes ends with the whole list,
-// whatever the revision it started from and however often the log was compacted.
-func TestChangesEqualTheWhole(t *testing.T) {
+// A reader that applies the changes it reads must end up with the full list, whatever
+// revision it started from and however often the log was compacted.
+func TestChangesAddUpToTheFullList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := instanceLog{base: map[string]protocol.InstanceEntry{}}
 		at := time.Unix(1000, 0)
@@ -142,8 +142,8 @@
 	})
 }
 
-func TestLaggingListShowsChangesLate(t *testing.T) {
-	inBubble(t, Config{}, func(t *testing.T, s stand) {
+func TestListLagDelaysChanges(t *testing.T) {
+	runSynctest(t, Config{}, func(t *testing.T, s harness) {
 		if err := s.ChangeFaults(func(f *Faults) { f.ListLagMs = 5000 }); err != nil {
 			t.Fatal(err)
 		}
@@ -159,8 +159,8 @@
 	})
 }
 
-func TestFrozenContentStaysAndThaws(t *testing.T) {
-	inBubble(t, Config{}, func(t *testing.T, s stand) {
+func TestFreezeAndThaw(t *testing.T) {
+	runSynctest(t, Config{}, func(t *testing.T, s harness) {
 		publish := func(version uint64) {
 			t.Helper()
 			if err := s.Publish(model.BundleVersion{Name: "b", Version: version}, fmt.Append(nil, version)); err != nil {
@@ -199,13 +199,13 @@
 		check(3, 3, "a=live")
 		s.ThawList()
 		check(3, 3, "a=live b=live")
-		publish(2) // an older version published again is shown as it is
+		publish(2) // an older version may be published again
 		check(4, 2, "a=live b=live")
 	})
 }
 
 func TestOutages(t *testing.T) {
-	inBubble(t, Config{}, func(t *testing.T, s stand) {
+	runSynctest(t, Config{}, func(t *testing.T, s harness) {
 		if err := s.Publish(model.BundleVersion{Name: "b", Version: 1}, []byte("x")); err != nil {
 			t.Fatal(err)
 		}
@@ -214,12 +214,12 @@
 				t.Fatal(err)
 			}
 			if _, err := s.client.Index(context.Background()); err == nil {
-				t.Errorf("%v: the index was read", kind)
+				t.Errorf("%v: reading the index succeeded", kind)
 			}
 			if _, err := s.client.Value(context.Background(), "b"); err == nil {
-				t.Errorf("%v: the value was read", kind)
+				t.Errorf("%v: reading the value succeeded", kind)
 			}
-			s.list(t, 0) // the list is not concerned
+			s.list(t, 0) // the list is unaffected
 		}
 		if err := s.ChangeFaults(func(f *Faults) { f.ConfigOutage, f.ListOutage = OutageNone, OutageError }); err != nil {
 			t.Fatal(err)
@@ -233,8 +233,8 @@
 	})
 }
 
-func TestEndOfAHangCutsTheCallsThatHung(t *testing.T) {
-	inBubble(t, Config{}, func(t *testing.T, s stand) {
+func TestEndOfHangCutsPendingCalls(t *testing.T) {
+	runSynctest(t, Config{}, func(t *testing.T, s harness) {
 		if err := s.ChangeFaults(func(f *Faults) { f.ConfigOutage = OutageHang }); err != nil {
 			t.Fatal(err)
 		}
@@ -248,12 +248,12 @@
 			t.Fatal(err)
 		}
 		if err := <-ended; err == nil || errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("hung call ended with %v, want a cut", err)
+			t.Errorf("hung call returned %v, want a cut connection", err)
 		}
 	})
 }
 
-func TestRateHoldsOverAllCallsAndEveryCallCounts(t *testing.T) {
+func TestRateLimitAndCountersCoverAllCalls(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := New(Config{RatePerSecond: 50, Now: func() time.Time { return now }})
 	handler := p.Handler()
@@ -263,7 +263,7 @@
 		return w.Code
 	}
 	paths := []string{"/v1/instances", "/v1/instances?since=0", "/v1/config", "/v1/config/none", "/v1/instances?since=x"}
-	for i := range 5 { // the bucket's depth is a tenth of a second's worth
+	for i := range 5 { // the burst is a tenth of a second's worth
 		if code := call(paths[i]); code == http.StatusTooManyRequests {
 			t.Errorf("call %d was limited", i)
 		}
@@ -275,23 +275,23 @@
 	}
 	now = now.Add(20 * time.Millisecond)
 	if code := call("/v1/config"); code != http.StatusOK {
-		t.Errorf("after the bucket filled: status %d", code)
+		t.Errorf("after a token was refilled: status %d", code)
 	}
 	if code := call("/v1/config"); code != http.StatusTooManyRequests {
-		t.Errorf("after one call: status %d", code)
+		t.Errorf("after the refilled token was spent: status %d", code)
 	}
 	want := Counters{Calls: 12, ListFull: 2, Index: 2, NotFound: 1, Malformed: 1, Limited: 6, PeakPerSecond: 12}
 	if diff := cmp.Diff(want, p.Counters()); diff != "" {
 		t.Error(diff)
 	}
 	if err := p.ChangeFaults(func(f *Faults) { f.RatePerSecond = 0 }); err == nil {
-		t.Error("a rate of 0 was taken")
+		t.Error("a rate of 0 was accepted")
 	}
 }
 
 const testBundle = "name = \"b\"\nversion = 3\n"
 
-func TestControlDrivesTheStandIn(t *testing.T) {
+func TestControlHandler(t *testing.T) {
 	p := New(Config{})
 	_, key, err := ed25519.GenerateKey(bytes.NewReader(make([]byte, 64)))
 	if err != nil {
@@ -337,14 +337,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if state := p.list.latest()["a"].State; state != "leaving" {
-		t.Errorf("instance a is %q", state)
+		t.Errorf("state of instance a: %q, want \"leaving\"", state)
 	}
 	if v, ok := p.config.value(p.now(), "b"); !ok || v.version != 3 || !bytes.Equal(v.data, signed) {
-		t.Errorf("value b: %v version %d", ok, v.version)
+		t.Errorf("value b: found %v, version %d; want version 3 with the signed bytes", ok, v.version)
 	}
 }
 
-func TestReadersCanWriteNothing(t *testing.T) {
+func TestReadersCannotWrite(t *testing.T) {
 	p := New(Config{})
 	server := httptest.NewServer(p.Handler())
 	defer server.Close()
--- a/internal/fake/platform/serve.go
+++ b/internal/fake/platform/serve.go
@@ -17,13 +17,13 @@
 	r.Path(protocol.InstancesPath).Methods(http.MethodGet).HandlerFunc(p.serveList)
 	r.Path(protocol.ConfigPath).Methods(http.MethodGet).HandlerFunc(p.serveIndex)
 	r.Path(protocol.ConfigPath + "/{name}").Methods(http.MethodGet).HandlerFunc(p.serveValue)
-	r.NotFoundHandler = p.fail(&p.counters.NotFound, http.StatusNotFound)
-	r.MethodNotAllowedHandler = p.fail(&p.counters.Malformed, http.StatusMethodNotAllowed)
-	return p.admit(r)
+	r.NotFoundHandler = p.errorHandler(&p.counters.NotFound, http.StatusNotFound)
+	r.MethodNotAllowedHandler = p.errorHandler(&p.counters.Malformed, http.StatusMethodNotAllowed)
+	return p.limitRate(r)
 }
 
-// admit counts every call and holds the rate of all of them.
-func (p *Platform) admit(next http.Handler) http.Handler {
+// limitRate counts every call and enforces the rate limit that all calls share.
+func (p *Platform) limitRate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		now := p.now()
@@ -41,7 +41,7 @@
 	})
 }
 
-func (p *Platform) fail(counter *uint64, status int) http.Handler {
+func (p *Platform) errorHandler(counter *uint64, status int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		p.count(counter)
 		http.Error(w, http.StatusText(status), status)
@@ -49,12 +49,12 @@
 }
 
 func (p *Platform) serveList(w http.ResponseWriter, r *http.Request) {
-	if p.outage(w, r, func(f Faults) Outage { return f.ListOutage }) {
+	if p.injectOutage(w, r, func(f Faults) Outage { return f.ListOutage }) {
 		return
 	}
 	since, err := parseSince(r)
 	if err != nil {
-		p.fail(&p.counters.Malformed, http.StatusBadRequest).ServeHTTP(w, r)
+		p.errorHandler(&p.counters.Malformed, http.StatusBadRequest).ServeHTTP(w, r)
 		return
 	}
 	p.mu.Lock()
@@ -77,7 +77,7 @@
 }
 
 func (p *Platform) serveIndex(w http.ResponseWriter, r *http.Request) {
-	if p.outage(w, r, func(f Faults) Outage { return f.ConfigOutage }) {
+	if p.injectOutage(w, r, func(f Faults) Outage { return f.ConfigOutage }) {
 		return
 	}
 	p.mu.Lock()
@@ -88,7 +88,7 @@
 }
 
 func (p *Platform) serveValue(w http.ResponseWriter, r *http.Request) {
-	if p.outage(w, r, func(f Faults) Outage { return f.ConfigOutage }) {
+	if p.injectOutage(w, r, func(f Faults) Outage { return f.ConfigOutage }) {
 		return
 	}
 	p.mu.Lock()
@@ -98,16 +98,16 @@
 	}
 	p.mu.Unlock()
 	if !ok {
-		p.fail(&p.counters.NotFound, http.StatusNotFound).ServeHTTP(w, r)
+		p.errorHandler(&p.counters.NotFound, http.StatusNotFound).ServeHTTP(w, r)
 		return
 	}
 	w.Header().Set("Content-Type", "application/cbor")
-	_, _ = w.Write(value.data) // the reader is gone when this fails
+	_, _ = w.Write(value.data) // fails only if the reader disconnected
 }
 
-// outage plays the outage that pick finds, if any, and tells whether it did. It
+// injectOutage applies the outage that pick selects and reports whether it responded. It
 // panics with http.ErrAbortHandler to cut the connection.
-func (p *Platform) outage(w http.ResponseWriter, r *http.Request, pick func(Faults) Outage) bool {
+func (p *Platform) injectOutage(w http.ResponseWriter, r *http.Request, pick func(Faults) Outage) bool {
 	p.mu.Lock()
 	kind := pick(p.faults)
 	changed := p.changed
@@ -132,17 +132,17 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the reader is gone when this fails
+	_ = json.NewEncoder(w).Encode(v) // fails only if the reader disconnected
 }
 
-// server bounds; a stand-in's readers are on the same machine.
+// Timeouts of the server; its readers run on the same host.
 const (
 	headerTimeout = 5 * time.Second
 	idleTimeout   = time.Minute
 )
 
-// NewServer returns a server of the platform's protocol with bounds set; the
-// caller gives it a listener and shuts it down.
+// NewServer returns a server of the platform's protocol with timeouts set; the caller
+// gives it a listener and shuts it down.
 func (p *Platform) NewServer() *http.Server {
 	return &http.Server{Handler: p.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 }
--- a/internal/fake/worker/call.go
+++ b/internal/fake/worker/call.go
@@ -15,18 +15,18 @@
 	"gypsumstand/internal/wire"
 )
 
-// DepthParam is the query parameter with the number of calls that a request
-// makes one below the other; each call carries one less.
+// DepthParam is the query parameter with the remaining number of nested calls; each call
+// carries one less than the request that makes it.
 const DepthParam = "depth"
 
-// Bounds of the calls to other services.
+// Limits of the calls to other services.
 const (
-	maxIdlePerHost   = 64
-	idleConnTimeout  = 30 * time.Second
-	defaultCallLimit = 10 * time.Second
-	// callBody keeps net/http from sending a request again by itself: it replays
+	maxIdlePerHost  = 64
+	idleConnTimeout = 30 * time.Second
+	callTimeout     = 10 * time.Second
+	// callBodyText is sent as a body that can't be rewound, because net/http replays
 	// requests without a body that carry an Idempotency-Key.
-	callBody = "call"
+	callBodyText = "call"
 )
 
 func newClient(transport http.RoundTripper) *http.Client {
@@ -43,8 +43,8 @@
 	}
 }
 
-// callNext makes the call below a request when its depth asks for one.
-func (w *Worker) callNext(ctx context.Context, job *work) error {
+// callNext makes the nested call of a request whose depth is above 0.
+func (w *Worker) callNext(ctx context.Context, job *workRequest) error {
 	query := job.http.URL.Query()
 	depth, err := strconv.Atoi(query.Get(DepthParam))
 	if err != nil || depth <= 0 || w.cfg.Node == "" {
@@ -59,10 +59,10 @@
 	return nil
 }
 
-func (w *Worker) call(ctx context.Context, job *work, query url.Values, depth int) error {
-	ctx, cancel := context.WithTimeout(ctx, defaultCallLimit)
+func (w *Worker) call(ctx context.Context, job *workRequest, query url.Values, depth int) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	req, want, err := w.newCall(ctx, job, query, depth)
+	req, expected, err := w.newCall(ctx, job, query, depth)
 	if err != nil {
 		return err
 	}
@@ -78,11 +78,12 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("status %d, outcome %q", resp.StatusCode, resp.Header.Get(wire.HeaderOutcome))
 	}
-	return answer.Check(body, want)
+	return answer.Check(body, expected)
 }
 
-// newCall makes the request below job and says what its answer must be to.
-func (w *Worker) newCall(ctx context.Context, job *work, query url.Values, depth int) (*http.Request, answer.Request, error) {
+// newCall builds the nested call of a request and returns the request that its answer
+// must match.
+func (w *Worker) newCall(ctx context.Context, job *workRequest, query url.Values, depth int) (*http.Request, answer.Request, error) {
 	path := job.profile.Next
 	if path == "" {
 		path = job.http.URL.Path
@@ -90,33 +91,34 @@
 	target := (&url.URL{Path: path, RawQuery: query.Encode()}).RequestURI()
 	text := ""
 	if job.http.Method != http.MethodGet {
-		text = callBody
+		text = callBodyText
 	}
-	req, err := http.NewRequestWithContext(ctx, job.http.Method, "http://"+w.cfg.Node+target, once(text))
+	req, err := http.NewRequestWithContext(ctx, job.http.Method, "http://"+w.cfg.Node+target, singleReadBody(text))
 	if err != nil {
 		return nil, answer.Request{}, err
 	}
 	req.ContentLength = int64(len(text))
-	want := answer.Request{Target: target, BodyHash: answer.Hash([]byte(text))}
+	expected := answer.Request{Target: target, BodyHash: answer.Hash([]byte(text))}
 	if job.request.ID != "" && job.http.Method != http.MethodGet {
-		want.ID = job.request.ID + model.RequestID("."+strconv.Itoa(depth))
-		req.Header.Set(wire.HeaderIdempotencyKey, string(want.ID))
+		expected.ID = job.request.ID + model.RequestID("."+strconv.Itoa(depth))
+		req.Header.Set(wire.HeaderIdempotencyKey, string(expected.ID))
 	}
-	passOn(ctx, req.Header, job.http.Header)
-	return req, want, nil
+	propagateHeaders(ctx, req.Header, job.http.Header)
+	return req, expected, nil
 }
 
-// once returns a body that can be read once only; nil for an empty text.
-func once(text string) io.Reader {
+// singleReadBody returns a body that can't be rewound for a replay; nil for an empty
+// text.
+func singleReadBody(text string) io.Reader {
 	if text == "" {
 		return nil
 	}
 	return io.NopCloser(strings.NewReader(text))
 }
 
-// passOn gives a call what belongs to the whole path: the remaining time, the
+// propagateHeaders copies what applies to the whole call chain: the remaining time, the
 // retry budget and the tenant.
-func passOn(ctx context.Context, to, from http.Header) {
+func propagateHeaders(ctx context.Context, to, from http.Header) {
 	if deadline, ok := ctx.Deadline(); ok {
 		to.Set(wire.HeaderTimeout, strconv.FormatInt(max(time.Until(deadline).Milliseconds(), 1), 10))
 	}
--- a/internal/fake/worker/parts_test.go
+++ b/internal/fake/worker/components_test.go
@@ -23,7 +23,7 @@
 	"gypsumstand/internal/wire"
 )
 
-func (s stand) read(t *testing.T, path string) (int, Report) {
+func (s harness) readReport(t *testing.T, path string) (int, Report) {
 	t.Helper()
 	resp, err := s.client.Get("http://worker" + path)
 	if err != nil {
@@ -37,29 +37,29 @@
 	return resp.StatusCode, out
 }
 
-func TestReportsLagAndLie(t *testing.T) {
-	inBubble(t, Config{Slots: 1, Profiles: slow}, func(t *testing.T, s stand) {
+func TestReportsLagAndOverrides(t *testing.T) {
+	runSynctest(t, Config{Slots: 1, Profiles: slow}, func(t *testing.T, s harness) {
 		check := func(when string, wantStatus int, want Report) {
 			t.Helper()
-			status, got := s.read(t, HealthPath)
-			_, load := s.read(t, LoadPath)
+			status, got := s.readReport(t, HealthPath)
+			_, load := s.readReport(t, LoadPath)
 			if status != wantStatus || got != want || load != want {
 				t.Errorf("%s: %d %+v, load %+v; want %d %+v", when, status, got, load, wantStatus, want)
 			}
 		}
 		idle := Report{State: "live", Slots: 1}
 		busy := Report{State: "live", Slots: 1, Running: 1, Waiting: 1}
-		s.change(t, func(f *Faults) { f.ReportLagMs = 500 })
+		s.changeFaults(t, func(f *Faults) { f.ReportLagMs = 500 })
 		time.Sleep(time.Second)
 		done := make(chan []result)
-		go func() { done <- s.together(t, calls(2, "/a")...) }()
+		go func() { done <- s.doConcurrently(t, calls(2, "/a")...) }()
 		time.Sleep(400 * time.Millisecond)
 		check("before the lag", http.StatusOK, idle)
 		time.Sleep(200 * time.Millisecond)
 		check("after the lag", http.StatusOK, busy)
-		s.change(t, func(f *Faults) { f.LieHealthy, f.LieRunning = new(false), new(7) })
+		s.changeFaults(t, func(f *Faults) { f.LieHealthy, f.LieRunning = new(false), new(7) })
 		check("lying", http.StatusServiceUnavailable, Report{State: "cold", Slots: 1, Running: 7, Waiting: 1})
-		s.change(t, func(f *Faults) { *f = Faults{Draining: true} })
+		s.changeFaults(t, func(f *Faults) { *f = Faults{Draining: true} })
 		check("draining", http.StatusServiceUnavailable, Report{State: "leaving", Slots: 1, Running: 1, Waiting: 1})
 		<-done
 		if got := s.Counters(); got.Measuring != 8 || got.MeasuringPeak == 0 || got.Received != 2 {
@@ -68,7 +68,7 @@
 	})
 }
 
-func TestServiceTimesHaveTheGivenMean(t *testing.T) {
+func TestServiceTimeMean(t *testing.T) {
 	const n, mean = 200_000, 8.0
 	for _, p := range []Profile{
 		{Distribution: Exponential, MeanMs: mean},
@@ -85,13 +85,13 @@
 		if got := sum / n; math.Abs(got-mean) > 0.02*mean {
 			t.Errorf("%s: mean %v, want %v", p.Distribution, got, mean)
 		}
-		if most > maxTimesMean*mean || p.Distribution != Constant && most < 3*mean {
-			t.Errorf("%s: largest %v", p.Distribution, most)
+		if most > maxMeanMultiple*mean || p.Distribution != Constant && most < 3*mean {
+			t.Errorf("%s: largest service time %v ms", p.Distribution, most)
 		}
 	}
 }
 
-func TestTheLongestPrefixWins(t *testing.T) {
+func TestLongestProfilePrefixWins(t *testing.T) {
 	w, err := New(Config{Profiles: []Profile{{Path: "/a", SizeBytes: 1}, {Path: "/a/b", SizeBytes: 2}, {Path: "/", SizeBytes: 3}}})
 	if err != nil {
 		t.Fatal(err)
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestEveryFaultOfASettingIsFound(t *testing.T) {
+func TestNewReportsEveryInvalidField(t *testing.T) {
 	_, err := New(Config{Slots: -1, QueueMs: -1, Profiles: []Profile{{}, {
 		Path: "/", Next: "x", Distribution: "flat", MeanMs: math.NaN(), Sigma: -1, SizeBytes: -1}}})
 	var list finding.List
@@ -138,9 +138,8 @@
 	}
 }
 
-// TestAPathOfCallsCarriesItsBudgetAndTime: a worker whose node is itself calls
-// itself down to depth 0.
-func TestAPathOfCallsCarriesItsBudgetAndTime(t *testing.T) {
+// A worker whose node is the worker itself makes nested calls down to depth 0.
+func TestNestedCallsPropagateBudgetAndDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pipe := listen.NewPipe()
 		transport := &http.Transport{DialContext: pipe.Dial, MaxIdleConnsPerHost: 100}
@@ -149,10 +148,10 @@
 			t.Fatal(err)
 		}
 		var budgets, timeouts []string
-		loseBelow, lost := false, 0
+		dropNested, lost := false, 0
 		inner := w.Handler()
 		server := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-			if loseBelow && strings.Contains(r.Header.Get(wire.HeaderIdempotencyKey), ".") {
+			if dropNested && strings.Contains(r.Header.Get(wire.HeaderIdempotencyKey), ".") {
 				lost++
 				panic(http.ErrAbortHandler)
 			}
@@ -161,7 +160,7 @@
 			inner.ServeHTTP(rw, r)
 		})}
 		go func() { _ = server.Serve(pipe) }()
-		s := stand{Worker: w, client: &http.Client{Transport: transport}}
+		s := harness{Worker: w, client: &http.Client{Transport: transport}}
 		req, err := http.NewRequest(http.MethodPost, "http://worker/a?depth=3&n=7", strings.NewReader("x"))
 		if err != nil {
 			t.Fatal(err)
@@ -188,13 +187,13 @@
 				t.Errorf("%s ran %d times", id, w.Ledger().Runs(id))
 			}
 		}
-		s.change(t, func(f *Faults) { f.CrossedBodyShare = 1 })
+		s.changeFaults(t, func(f *Faults) { f.CrossedBodyShare = 1 })
 		if r := s.do(t, call{path: "/a?depth=1", id: "y"}); r.status != http.StatusBadGateway {
-			t.Errorf("a crossed answer below: status %d, want 502", r.status)
+			t.Errorf("crossed answer to the nested call: status %d, want 502", r.status)
 		}
-		loseBelow = true
+		dropNested = true
 		if r := s.do(t, call{path: "/a?depth=1", id: "z"}); r.status != http.StatusBadGateway || lost != 1 {
-			t.Errorf("a lost answer below: status %d, sent %d times; want 502, once", r.status, lost)
+			t.Errorf("lost answer to the nested call: status %d, sent %d times; want 502, once", r.status, lost)
 		}
 		if got := w.Counters(); got.Calls != 5 || got.CallsFailed != 2 {
 			t.Errorf("%+v", got)
@@ -204,7 +203,7 @@
 	})
 }
 
-func TestAColdWorkerRefusesConnections(t *testing.T) {
+func TestColdRefuseClosesThePort(t *testing.T) {
 	l, err := listen.TCP("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -226,7 +225,7 @@
 	get := func() error {
 		resp, err := http.Get("http://" + l.Addr().String() + "/a")
 		if err == nil {
-			_, _ = io.Copy(io.Discard, resp.Body) // so that the connection stays open
+			_, _ = io.Copy(io.Discard, resp.Body) // keeps the connection reusable
 			_ = resp.Body.Close()
 		}
 		return err
@@ -256,7 +255,7 @@
 	}
 }
 
-func TestRefusedFaultsChangeNothing(t *testing.T) {
+func TestInvalidFaultsChangeNothing(t *testing.T) {
 	w, err := New(Config{})
 	if err != nil {
 		t.Fatal(err)
@@ -267,14 +266,14 @@
 	want := w.Faults()
 	refused := w.ChangeFaults(func(f *Faults) { *f.LieRunning, *f.LieHealthy, f.CutShare = 2, false, 2 })
 	if refused == nil {
-		t.Error("a share of 2 was taken")
+		t.Error("a share of 2 was accepted")
 	}
 	if diff := cmp.Diff(want, w.Faults()); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestControlDrivesTheWorker(t *testing.T) {
+func TestControlHandler(t *testing.T) {
 	w, err := New(Config{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fake/worker/control.go
+++ b/internal/fake/worker/control.go
@@ -23,7 +23,7 @@
 	ControlDuplicatesPath = "/duplicates"
 )
 
-// Bounds of what the control handler reads.
+// Limits of control requests.
 const (
 	maxControlBytes = 8 << 20
 	maxPause        = 10 * time.Minute
@@ -34,19 +34,19 @@
 	IDs []model.RequestID `json:"ids"`
 }
 
-// RunsReply says how often requests ran, in the order of the query.
+// RunsReply reports how often requests ran, in the order of the query.
 type RunsReply struct {
 	Runs []RunCount `json:"runs"`
-	// Forgotten is Ledger.Forgotten.
+	// Forgotten is the value of Ledger.Forgotten.
 	Forgotten uint64 `json:"forgotten"`
 }
 
-// Control returns the handler that a demonstration drives the stand-in by:
+// Control returns the handler through which demonstrations drive the worker:
 //
-//	GET /faults, PATCH /faults  the faults; only the fields sent change
+//	GET /faults, PATCH /faults  the faults; PATCH changes only the given fields
 //	GET /counters               the counters
-//	POST /pause?ms=N            Pause
-//	POST /runs                  {"ids":[...]}: how often each ran
+//	POST /pause?ms=N            calls Pause
+//	POST /runs                  {"ids":[...]}; returns how often each ran
 //	GET /duplicates             the ids that ran more than once
 func (w *Worker) Control() http.Handler {
 	r := mux.NewRouter()
@@ -112,7 +112,7 @@
 	return io.ReadAll(http.MaxBytesReader(rw, r.Body, maxControlBytes))
 }
 
-// reply answers 204, or 400 with the findings.
+// reply responds with 204, or with 400 and the error's text.
 func reply(rw http.ResponseWriter, err error) {
 	if err != nil {
 		http.Error(rw, err.Error(), http.StatusBadRequest)
--- a/internal/fake/worker/faults.go
+++ b/internal/fake/worker/faults.go
@@ -8,17 +8,17 @@
 	"gypsumstand/internal/finding"
 )
 
-// ColdMode is how a worker that is starting behaves.
+// ColdMode is how a starting worker rejects work.
 type ColdMode uint8
 
-// The ways of being cold.
+// The cold modes.
 const (
-	// ColdNone: the worker is warm.
+	// ColdNone is a warm worker, which serves normally.
 	ColdNone ColdMode = iota
-	// ColdRefuse: connections are refused, as by a process that has not yet
-	// opened its port; going cold cuts the open ones.
+	// ColdRefuse refuses connections, as a process does before it opens its port;
+	// entering it resets open connections.
 	ColdRefuse
-	// ColdShed: requests are answered 503, not run.
+	// ColdShed answers requests with 503 and does not run them.
 	ColdShed
 )
 
@@ -46,43 +46,45 @@
 	return fmt.Errorf("cold %q: want one of %q", text, coldNames)
 }
 
-// Faults are the settable faults; the zero value has none. Shares are from 0 to
-// 1 and drawn for each request.
+// Faults are the injected faults; the zero value injects none. A share is the
+// probability, from 0 to 1, that the fault hits a request.
 type Faults struct {
 	Cold ColdMode `json:"cold"`
-	// Draining: requests that arrive are answered 503, not run; those that were
-	// admitted are finished; the health endpoint says so.
+	// Draining answers new requests with 503 and does not run them, finishes the admitted
+	// ones, and shows in the health endpoint.
 	Draining bool `json:"draining"`
-	// ShedShare of the requests are answered 503, not run.
+	// ShedShare of the requests are answered with 503 and not run.
 	ShedShare float64 `json:"shed_share"`
-	// FailShare of the requests are answered 500 at once; they count as run.
+	// FailShare of the requests are answered with 500 at once; they count as run.
 	FailShare float64 `json:"fail_share"`
 	// SlowFactor multiplies service times; zero means 1.
 	SlowFactor float64 `json:"slow_factor"`
 	// CutShare of the answers end in the middle of their body.
 	CutShare float64 `json:"cut_share"`
-	// CrossedShare of the answers are another request's, echo included.
+	// CrossedShare of the answers are another request's, attempt echo included.
 	CrossedShare float64 `json:"crossed_share"`
-	// CrossedBodyShare of the answers have the right echo and another's body.
+	// CrossedBodyShare of the answers have the right attempt echo and another request's
+	// body.
 	CrossedBodyShare float64 `json:"crossed_body_share"`
-	// CloseShare of the requests are read whole and counted as run, and their
+	// CloseShare of the requests are read completely and counted as run, and their
 	// connection is closed without an answer.
 	CloseShare float64 `json:"close_share"`
-	// CloseReusedShare is CloseShare for requests that are not the first on
-	// their connection: what makes net/http replay them.
+	// CloseReusedShare is CloseShare for requests that are not the first on their
+	// connection, which is when net/http replays a request.
 	CloseReusedShare float64 `json:"close_reused_share"`
-	// IgnoreCancel and IgnoreDeadline make runs go on to their end.
+	// IgnoreCancel and IgnoreDeadline let runs complete after a cancellation or past the
+	// deadline.
 	IgnoreCancel   bool `json:"ignore_cancel"`
 	IgnoreDeadline bool `json:"ignore_deadline"`
-	// ReportLagMs is how late the health and load endpoints show changes, in
-	// milliseconds.
+	// ReportLagMs is the delay, in milliseconds, after which the health and load
+	// endpoints show a change.
 	ReportLagMs int64 `json:"report_lag_ms"`
-	// LieHealthy and LieRunning, when present, are what the endpoints say.
+	// LieHealthy and LieRunning, when not nil, override what the endpoints report.
 	LieHealthy *bool `json:"lie_healthy"`
 	LieRunning *int  `json:"lie_running"`
 }
 
-// check returns a finding.List with every fault of f itself.
+// check returns a finding.List with every invalid field of f.
 func (f Faults) check() error {
 	var findings finding.List
 	shares := []struct {
@@ -105,12 +107,12 @@
 		findings.Add(finding.Finding{Key: "report_lag_ms", Message: "must not be negative"})
 	}
 	if int(f.Cold) >= len(coldNames) {
-		findings.Add(finding.Finding{Key: "cold", Message: "is not a way of being cold"})
+		findings.Add(finding.Finding{Key: "cold", Message: "is not a cold mode"})
 	}
 	return findings.Err()
 }
 
-// clone returns a copy that shares nothing with f.
+// clone returns a deep copy of f.
 func (f Faults) clone() Faults {
 	if f.LieHealthy != nil {
 		f.LieHealthy = new(*f.LieHealthy)
@@ -121,19 +123,18 @@
 	return f
 }
 
-// Faults returns the faults in force.
+// Faults returns a copy of the active faults.
 func (w *Worker) Faults() Faults {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.faults.clone()
 }
 
-// ChangeFaults lets change edit the faults in force and puts them in force when
-// they pass. The error is a finding.List, or that of the listener. change must
-// not call the worker.
+// ChangeFaults edits a copy of the active faults with change and activates it if it is
+// valid. The error is a finding.List or the listener's. change must not call the worker.
 func (w *Worker) ChangeFaults(change func(*Faults)) error {
-	w.changing.Lock()
-	defer w.changing.Unlock()
+	w.faultsMu.Lock()
+	defer w.faultsMu.Unlock()
 	w.mu.Lock()
 	next := w.faults.clone()
 	change(&next)
@@ -144,7 +145,7 @@
 	before := w.faults
 	w.faults = next
 	w.mu.Unlock()
-	w.record()
+	w.recordReport()
 	if before.Cold == next.Cold {
 		return nil
 	}
@@ -167,9 +168,9 @@
 	return err
 }
 
-// Pause makes the worker do nothing at all for d, as a stopped process: requests
-// wait, runs stand still, and endpoints don't answer. What arrived meanwhile is
-// served afterwards as if it had just come. A pause within a pause is ignored.
+// Pause suspends the worker for d like a stopped process: requests wait, runs make no
+// progress, and endpoints don't respond. Requests that arrive meanwhile are served
+// afterwards as if they had just arrived. A pause during a pause is ignored.
 func (w *Worker) Pause(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -186,8 +187,8 @@
 	})
 }
 
-// awaitPause returns at once unless the worker is paused, else after the pause.
-func (w *Worker) awaitPause() {
+// waitForPause blocks while the worker is paused.
+func (w *Worker) waitForPause() {
 	w.mu.Lock()
 	ended := w.paused
 	w.mu.Unlock()
@@ -196,8 +197,8 @@
 	}
 }
 
-// drawn tells whether a fault of that share strikes.
-func (w *Worker) drawn(share func(*Faults) float64) bool {
+// drawFault reports whether a fault of the given share hits this request.
+func (w *Worker) drawFault(share func(*Faults) float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := share(&w.faults)
--- a/internal/fake/worker/bubble_test.go
+++ b/internal/fake/worker/harness_test.go
@@ -16,14 +16,14 @@
 	"gypsumstand/internal/wire"
 )
 
-// stand is a worker in a bubble of testing/synctest with a client.
-type stand struct {
+// harness is a worker with a client, within a testing/synctest bubble.
+type harness struct {
 	*Worker
 	client *http.Client
 }
 
-// inBubble runs f with a worker and a client on the fake clock.
-func inBubble(t *testing.T, cfg Config, f func(t *testing.T, s stand)) {
+// runSynctest runs f with a worker and a client on the fake clock of testing/synctest.
+func runSynctest(t *testing.T, cfg Config, f func(t *testing.T, s harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w, err := New(cfg)
@@ -34,7 +34,7 @@
 		server := w.NewServer(nil)
 		go func() { _ = server.Serve(pipe) }()
 		transport := &http.Transport{DialContext: pipe.Dial, MaxIdleConnsPerHost: 100}
-		f(t, stand{Worker: w, client: &http.Client{Transport: transport}})
+		f(t, harness{Worker: w, client: &http.Client{Transport: transport}})
 		transport.CloseIdleConnections()
 		_ = server.Close()
 	})
@@ -48,7 +48,7 @@
 	ctx     context.Context
 }
 
-// result is what came of a call.
+// result is the outcome of a call.
 type result struct {
 	status  int
 	notRun  bool
@@ -60,8 +60,8 @@
 
 const callText = "body"
 
-// do makes one POST; its attempt is "e/1/" and the id.
-func (s stand) do(t *testing.T, c call) result {
+// do sends one POST with the attempt id "e/1/" + c.id.
+func (s harness) do(t *testing.T, c call) result {
 	t.Helper()
 	if c.ctx == nil {
 		c.ctx = context.Background()
@@ -93,8 +93,9 @@
 	}
 }
 
-// together makes calls at once and returns their results in the order of calls.
-func (s stand) together(t *testing.T, calls ...call) []result {
+// doConcurrently makes concurrent calls that arrive in order, and returns their results
+// in that order.
+func (s harness) doConcurrently(t *testing.T, calls ...call) []result {
 	t.Helper()
 	out := make([]result, len(calls))
 	done := make(chan struct{})
@@ -103,7 +104,7 @@
 			out[i] = s.do(t, c)
 			done <- struct{}{}
 		}()
-		synctest.Wait() // so that they arrive in order
+		synctest.Wait() // ensures that the calls arrive in order
 	}
 	for range calls {
 		<-done
@@ -111,26 +112,26 @@
 	return out
 }
 
-func (s stand) change(t *testing.T, change func(*Faults)) {
+func (s harness) changeFaults(t *testing.T, change func(*Faults)) {
 	t.Helper()
 	if err := s.ChangeFaults(change); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// own returns what c's answer must be to.
-func own(c call) answer.Request {
+// expectedAnswer returns the request that the answer to c must match.
+func expectedAnswer(c call) answer.Request {
 	return answer.Request{ID: c.id, Target: c.path, BodyHash: answer.Hash([]byte(callText))}
 }
 
-// checkOwn fails unless r is the whole answer to c.
-func checkOwn(t *testing.T, c call, r result) {
+// checkOwnAnswer fails the test unless r is the complete answer to c.
+func checkOwnAnswer(t *testing.T, c call, r result) {
 	t.Helper()
 	if r.err != nil || r.status != http.StatusOK {
 		t.Errorf("%s: status %d, %v", c.id, r.status, r.err)
 		return
 	}
-	if err := answer.Check(r.body, own(c)); err != nil {
+	if err := answer.Check(r.body, expectedAnswer(c)); err != nil {
 		t.Errorf("%s: %v", c.id, err)
 	}
 	if want := "e/1/" + string(c.id); r.attempt != want {
@@ -138,8 +139,8 @@
 	}
 }
 
-// checkNotRun fails unless r says not run and c never ran.
-func (s stand) checkNotRun(t *testing.T, c call, r result) {
+// checkNotRun fails the test unless r reports that c was not run and c never ran.
+func (s harness) checkNotRun(t *testing.T, c call, r result) {
 	t.Helper()
 	if r.status != http.StatusServiceUnavailable || !r.notRun {
 		t.Errorf("%s: status %d, not run %v, %v; want 503 not run", c.id, r.status, r.notRun, r.err)
--- a/internal/fake/worker/ledger.go
+++ b/internal/fake/worker/ledger.go
@@ -10,14 +10,14 @@
 // defaultLedgerSize is the number of request ids that a ledger remembers.
 const defaultLedgerSize = 1 << 20
 
-// RunCount is how often a request ran.
+// RunCount is the number of times a request ran.
 type RunCount struct {
 	ID   model.RequestID `json:"id"`
 	Runs int             `json:"runs"`
 }
 
-// Ledger counts runs by request id. It remembers at least half of its size of
-// the newest ids. Safe for concurrent use.
+// Ledger counts runs by request id. It remembers at least the newest size/2 ids, at most
+// size. It is safe for concurrent use.
 type Ledger struct {
 	size int
 
@@ -27,7 +27,7 @@
 	forgotten uint64
 }
 
-// NewLedger returns a ledger for size ids; zero means the default.
+// NewLedger returns a ledger for size ids; zero means the default of 1 << 20.
 func NewLedger(size int) *Ledger {
 	if size <= 0 {
 		size = defaultLedgerSize
@@ -48,15 +48,15 @@
 	}
 }
 
-// Runs returns how often the request of that id ran.
+// Runs returns how often the request id ran, zero if the id is unknown or forgotten.
 func (l *Ledger) Runs(id model.RequestID) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.newer[id] + l.older[id]
 }
 
-// Duplicates returns the ids that ran more than once, in the order of ids. It
-// does not know which requests may run twice.
+// Duplicates returns the ids that ran more than once, sorted. It does not know which
+// requests are allowed to run twice.
 func (l *Ledger) Duplicates() []RunCount {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,8 +72,8 @@
 	return out
 }
 
-// Forgotten returns the number of ids that the ledger no longer remembers; over
-// zero, its word on old ids proves nothing.
+// Forgotten returns the number of ids that the ledger has dropped. If it is above zero,
+// the counts of old ids may be too low.
 func (l *Ledger) Forgotten() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fake/worker/report.go
+++ b/internal/fake/worker/report.go
@@ -9,23 +9,23 @@
 	"gypsumstand/internal/model"
 )
 
-// Report is the JSON of the health and load endpoints.
+// Report is the JSON body of the health and load endpoints.
 type Report struct {
 	// State is "cold", "live" or "leaving" (names of model.UpstreamState).
 	State string `json:"state"`
 	Slots int    `json:"slots"`
-	// Running and Waiting are the numbers of requests.
+	// Running and Waiting are the numbers of requests that run and that wait for a slot.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 }
 
-// Bounds of the remembered reports: the newest per step of time.
+// Bounds of the report history: one report per step, up to historySize steps.
 const (
 	historyStep = 10 * time.Millisecond
 	historySize = 8192
 )
 
-// MaxReportLag is how late a report can be made.
+// MaxReportLag is the longest lag for which the history holds a report.
 const MaxReportLag = historySize * historyStep / 2
 
 type sample struct {
@@ -33,7 +33,7 @@
 	report Report
 }
 
-// history holds the reports of the last MaxReportLag at least, oldest first.
+// history holds the reports of at least the last MaxReportLag, oldest first.
 type history struct{ samples []sample }
 
 func (h *history) add(now time.Time, r Report) {
@@ -48,22 +48,22 @@
 	h.samples = append(h.samples, sample{at: now, report: r})
 }
 
-// asOf returns the newest report from at or before, or the oldest there is.
+// asOf returns the newest report made no later than at, or else the oldest.
 func (h *history) asOf(at time.Time) Report {
 	n := sort.Search(len(h.samples), func(i int) bool { return h.samples[i].at.After(at) })
 	return h.samples[max(n-1, 0)].report
 }
 
-// record remembers the worker's state for late reports.
-func (w *Worker) record() {
+// recordReport adds the worker's current report to the history, for lagging endpoints.
+func (w *Worker) recordReport() {
 	running, waiting := w.slots.load()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.history.add(time.Now(), w.reportOf(running, waiting))
+	w.history.add(time.Now(), w.currentReport(running, waiting))
 }
 
-// reportOf makes a true report; the caller holds the lock.
-func (w *Worker) reportOf(running, waiting int) Report {
+// currentReport returns a report without lag or overrides; the caller holds w.mu.
+func (w *Worker) currentReport(running, waiting int) Report {
 	state := model.StateLive
 	switch {
 	case w.faults.Cold != ColdNone:
@@ -74,12 +74,12 @@
 	return Report{State: state.String(), Slots: w.cfg.Slots, Running: running, Waiting: waiting}
 }
 
-// report returns what the endpoints say: late, and with the lies in force.
+// report returns what the endpoints show, with the active lag and overrides applied.
 func (w *Worker) report() Report {
 	running, waiting := w.slots.load()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	out := w.reportOf(running, waiting)
+	out := w.currentReport(running, waiting)
 	if lag := time.Duration(w.faults.ReportLagMs) * time.Millisecond; lag > 0 {
 		out = w.history.asOf(time.Now().Add(-lag))
 	}
@@ -95,9 +95,9 @@
 	return out
 }
 
-// serveHealth answers 200 when the report says live, else 503.
+// serveHealth responds with 200 if the report's state is live, else with 503.
 func (w *Worker) serveHealth(rw http.ResponseWriter, r *http.Request) {
-	w.measure(r)
+	w.handleProbe(r)
 	report := w.report()
 	status := http.StatusOK
 	if report.State != model.StateLive.String() {
@@ -107,16 +107,16 @@
 }
 
 func (w *Worker) serveLoad(rw http.ResponseWriter, r *http.Request) {
-	w.measure(r)
+	w.handleProbe(r)
 	writeJSON(rw, http.StatusOK, w.report())
 }
 
-// measure counts a measuring call and plays the faults that keep it from being
-// answered.
-func (w *Worker) measure(r *http.Request) {
-	w.countMeasuring()
+// handleProbe counts a health or load probe and applies the faults that delay or abort
+// it.
+func (w *Worker) handleProbe(r *http.Request) {
+	w.countProbe()
 	countOnConnection(r)
-	w.awaitPause()
+	w.waitForPause()
 	if w.Faults().Cold == ColdRefuse {
 		panic(http.ErrAbortHandler)
 	}
@@ -125,5 +125,5 @@
 func writeJSON(rw http.ResponseWriter, status int, v any) {
 	rw.Header().Set("Content-Type", "application/json")
 	rw.WriteHeader(status)
-	_ = json.NewEncoder(rw).Encode(v) // the reader is gone when this fails
+	_ = json.NewEncoder(rw).Encode(v) // fails only if the reader disconnected
 }
--- a/internal/fake/worker/serve.go
+++ b/internal/fake/worker/serve.go
@@ -18,21 +18,21 @@
 	"gypsumstand/internal/wire"
 )
 
-// retryAfterSeconds is the advice that goes with a shed request.
+// retryAfterSeconds is the Retry-After value of a shed request.
 const retryAfterSeconds = "1"
 
-// previousAnswer is what a crossed answer shows.
+// previousAnswer is the answer that a crossed answer repeats.
 type previousAnswer struct {
 	attempt string
 	body    []byte
 }
 
-// work is one request for work.
-type work struct {
+// workRequest is a request for work with its parsed headers.
+type workRequest struct {
 	request answer.Request
 	attempt string
 	profile Profile
-	// deadline is zero when the request named none.
+	// deadline is zero when the request has none.
 	deadline time.Time
 	http     *http.Request
 }
@@ -40,56 +40,57 @@
 // connKey is the context key of a connection's request counter.
 type connKey struct{}
 
-// countRequests gives each connection a counter of its requests.
+// countRequests attaches a request counter to each connection.
 func countRequests(ctx context.Context, _ net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, new(atomic.Int64))
 }
 
-// countOnConnection counts the request on its connection and tells whether the
-// connection was used before.
+// countOnConnection counts the request on its connection and reports whether it is not
+// the connection's first.
 func countOnConnection(r *http.Request) (reused bool) {
 	n, ok := r.Context().Value(connKey{}).(*atomic.Int64)
 	return ok && n.Add(1) > 1
 }
 
-// serveWork serves every path but the measuring ones. It panics with
+// serveWork serves every path except the health and load endpoints. It panics with
 // http.ErrAbortHandler where a fault cuts the connection.
 func (w *Worker) serveWork(rw http.ResponseWriter, r *http.Request) {
 	w.count(&w.counters.Received)
 	reused := countOnConnection(r)
-	w.awaitPause()
-	if w.refusesWork(rw, r) {
+	w.waitForPause()
+	if w.rejectByFault(rw, r) {
 		return
 	}
-	job, err := w.read(rw, r)
+	job, err := w.readRequest(rw, r)
 	if err != nil {
 		w.count(&w.counters.BrokenBody)
 		http.Error(rw, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !w.enter(rw, job) {
+	if !w.acquireSlot(rw, job) {
 		return
 	}
-	release := onceOnly(w.slots.release)
+	release := callOnce(w.slots.release)
 	defer release()
-	w.start(job)
-	w.closeFault(reused)
-	if w.drawn(func(f *Faults) float64 { return f.FailShare }) {
+	w.countRun(job)
+	w.injectClose(reused)
+	if w.drawFault(func(f *Faults) float64 { return f.FailShare }) {
 		w.count(&w.counters.Failed)
 		release()
-		w.fail(rw, job, http.StatusInternalServerError, "failing fast")
+		w.respondError(rw, job, http.StatusInternalServerError, "failing fast")
 		return
 	}
 	if !w.run(rw, job) {
 		return
 	}
-	// The slot is free before the caller can know that the run has ended.
+	// The slot is freed before the caller can observe the end of the run.
 	release()
-	w.answer(rw, job)
+	w.respond(rw, job)
 }
 
-// onceOnly returns f bounded to one call; for one goroutine.
-func onceOnly(f func()) func() {
+// callOnce returns a function that calls f the first time only; it is not safe for
+// concurrent use.
+func callOnce(f func()) func() {
 	done := false
 	return func() {
 		if !done {
@@ -99,8 +100,9 @@
 	}
 }
 
-// refusesWork plays the faults that keep a request from being admitted.
-func (w *Worker) refusesWork(rw http.ResponseWriter, r *http.Request) bool {
+// rejectByFault applies the faults that prevent a request's admission and reports whether
+// one did.
+func (w *Worker) rejectByFault(rw http.ResponseWriter, r *http.Request) bool {
 	f := w.Faults()
 	switch {
 	case f.Cold == ColdRefuse:
@@ -110,7 +112,7 @@
 		w.shed(rw, r, "cold")
 	case f.Draining:
 		w.shed(rw, r, "draining")
-	case w.drawn(func(f *Faults) float64 { return f.ShedShare }):
+	case w.drawFault(func(f *Faults) float64 { return f.ShedShare }):
 		w.shed(rw, r, "shedding load")
 	default:
 		return false
@@ -118,9 +120,9 @@
 	return true
 }
 
-// shed answers that the request was not run, in its own name, so that the word
-// cannot be taken for another request's.
-func (w *Worker) shed(rw http.ResponseWriter, r *http.Request, why string) {
+// shed responds that the request was not run. It echoes the request's own attempt, so
+// that the response can't be attributed to another request.
+func (w *Worker) shed(rw http.ResponseWriter, r *http.Request, reason string) {
 	w.count(&w.counters.Shed)
 	h := rw.Header()
 	if echo := r.Header.Get(wire.HeaderAttempt); echo != "" {
@@ -128,13 +130,13 @@
 	}
 	h.Set(wire.HeaderNotRun, "true")
 	h.Set(wire.HeaderRetryAfter, retryAfterSeconds)
-	http.Error(rw, why, http.StatusServiceUnavailable)
+	http.Error(rw, reason, http.StatusServiceUnavailable)
 }
 
-// read takes in the whole request.
-func (w *Worker) read(rw http.ResponseWriter, r *http.Request) (*work, error) {
+// readRequest parses the headers and reads the complete body.
+func (w *Worker) readRequest(rw http.ResponseWriter, r *http.Request) (*workRequest, error) {
 	arrived := time.Now()
-	job := &work{
+	job := &workRequest{
 		request: answer.Request{ID: model.RequestID(r.Header.Get(wire.HeaderIdempotencyKey)), Target: r.URL.RequestURI()},
 		attempt: r.Header.Get(wire.HeaderAttempt),
 		profile: w.profile(r.URL.Path),
@@ -155,32 +157,33 @@
 	return job, nil
 }
 
-// enter waits for a slot; when there is none it answers and returns false.
-func (w *Worker) enter(rw http.ResponseWriter, job *work) bool {
-	patience := time.Duration(w.cfg.QueueMs) * time.Millisecond
+// acquireSlot waits for a slot. It returns false if it got none; the request is then
+// already shed, unless its caller disconnected.
+func (w *Worker) acquireSlot(rw http.ResponseWriter, job *workRequest) bool {
+	maxWait := time.Duration(w.cfg.QueueMs) * time.Millisecond
 	if !job.deadline.IsZero() && !w.Faults().IgnoreDeadline {
-		patience = min(patience, time.Until(job.deadline))
+		maxWait = min(maxWait, time.Until(job.deadline))
 	}
-	result, queued := w.slots.take(job.http.Context(), patience)
+	result, queued := w.slots.acquire(job.http.Context(), maxWait)
 	if queued {
 		w.count(&w.counters.OverSlots)
 	}
 	switch result {
-	case slotTaken:
+	case slotAcquired:
 		return true
 	case slotCancelled:
 		w.count(&w.counters.LeftQueue)
-	case slotFull:
+	case slotQueueFull:
 		w.shed(rw, job.http, "queue is full")
-	case slotLate:
+	case slotTimedOut:
 		w.count(&w.counters.LeftQueue)
 		w.shed(rw, job.http, "no slot came free in time")
 	}
 	return false
 }
 
-// start counts the run; from here on the request has run.
-func (w *Worker) start(job *work) {
+// countRun counts the start of a run; from here on the request counts as run.
+func (w *Worker) countRun(job *workRequest) {
 	if job.request.ID != "" {
 		w.ledger.add(job.request.ID)
 	}
@@ -191,9 +194,9 @@
 	w.counters.PeakRunning = max(w.counters.PeakRunning, running)
 }
 
-// end ends the worker's process, which is back after a while; a worker that is down ends
-// no second time.
-func (w *Worker) end() {
+// crash simulates a crash of the worker's process, followed by a restart after
+// RestartDelay. It does nothing while the worker is down.
+func (w *Worker) crash() {
 	if w.Faults().Cold == ColdRefuse {
 		return
 	}
@@ -201,17 +204,17 @@
 	time.AfterFunc(w.cfg.RestartDelay, func() { w.setCold(ColdNone) })
 }
 
-// setCold changes one fault that passes all checks.
+// setCold sets the cold mode, which is valid by construction.
 func (w *Worker) setCold(c ColdMode) {
-	// The listener's error comes only once the worker is closed for good.
+	// The listener only fails once the worker is closed for good.
 	_ = w.ChangeFaults(func(f *Faults) { f.Cold = c })
 }
 
-// closeFault plays the faults that lose a whole answer.
-func (w *Worker) closeFault(reused bool) {
-	closes := w.drawn(func(f *Faults) float64 { return f.CloseShare })
+// injectClose applies the faults that close the connection instead of answering.
+func (w *Worker) injectClose(reused bool) {
+	closes := w.drawFault(func(f *Faults) float64 { return f.CloseShare })
 	if reused && !closes {
-		closes = w.drawn(func(f *Faults) float64 { return f.CloseReusedShare })
+		closes = w.drawFault(func(f *Faults) float64 { return f.CloseReusedShare })
 	}
 	if closes {
 		w.count(&w.counters.Closed)
@@ -220,9 +223,9 @@
 	}
 }
 
-// run spends the service time and makes the calls below; false means that the
-// run ended early and was answered, or that nobody waits for an answer.
-func (w *Worker) run(rw http.ResponseWriter, job *work) bool {
+// run waits out the service time and makes the nested call. It returns false if the run
+// did not complete; the error response is then already written.
+func (w *Worker) run(rw http.ResponseWriter, job *workRequest) bool {
 	f := w.Faults()
 	ctx := job.http.Context()
 	if f.IgnoreCancel {
@@ -235,88 +238,88 @@
 	}
 	if w.cfg.CrashOn != nil && w.cfg.CrashOn(job.request) {
 		pause.For(context.Background(), w.cfg.CrashDelay)
-		w.end()
+		w.crash()
 		panic(http.ErrAbortHandler)
 	}
 	err := pause.For(ctx, w.serviceTime(&job.profile))
 	if err == nil {
 		err = w.callNext(ctx, job)
 	}
-	w.awaitPause()
+	w.waitForPause()
 	if err == nil {
 		return true
 	}
-	w.endEarly(ctx, rw, job, err)
+	w.respondIncomplete(ctx, rw, job, err)
 	return false
 }
 
-// endEarly answers a run that did not come to its end.
-func (w *Worker) endEarly(ctx context.Context, rw http.ResponseWriter, job *work, err error) {
+// respondIncomplete responds to a run that did not complete.
+func (w *Worker) respondIncomplete(ctx context.Context, rw http.ResponseWriter, job *workRequest, err error) {
 	switch ctx.Err() {
 	case context.Canceled:
 		w.count(&w.counters.Cancelled)
 		panic(http.ErrAbortHandler)
 	case context.DeadlineExceeded:
 		w.count(&w.counters.Expired)
-		w.fail(rw, job, http.StatusGatewayTimeout, "deadline passed")
+		w.respondError(rw, job, http.StatusGatewayTimeout, "deadline passed")
 	default:
 		w.count(&w.counters.Failed)
-		w.fail(rw, job, http.StatusBadGateway, err.Error())
+		w.respondError(rw, job, http.StatusBadGateway, err.Error())
 	}
 }
 
-// fail answers with the worker's own error.
-func (w *Worker) fail(rw http.ResponseWriter, job *work, status int, why string) {
+// respondError writes an error response of the worker itself.
+func (w *Worker) respondError(rw http.ResponseWriter, job *workRequest, status int, reason string) {
 	if job.attempt != "" {
 		rw.Header().Set(wire.HeaderAttempt, job.attempt)
 	}
-	http.Error(rw, why, status)
+	http.Error(rw, reason, status)
 }
 
-// answer sends the answer, or what faults make of it.
-func (w *Worker) answer(rw http.ResponseWriter, job *work) {
+// respond writes the answer, altered by the active faults.
+func (w *Worker) respond(rw http.ResponseWriter, job *workRequest) {
 	w.count(&w.counters.Finished)
-	own := previousAnswer{attempt: job.attempt, body: answer.Make(job.request, job.profile.SizeBytes)}
-	sent := w.cross(own)
+	current := previousAnswer{attempt: job.attempt, body: answer.Make(job.request, job.profile.SizeBytes)}
+	sent := w.injectCrossed(current)
 	h := rw.Header()
 	if sent.attempt != "" {
 		h.Set(wire.HeaderAttempt, sent.attempt)
 	}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Content-Length", strconv.Itoa(len(sent.body)))
-	if w.drawn(func(f *Faults) float64 { return f.CutShare }) {
+	if w.drawFault(func(f *Faults) float64 { return f.CutShare }) {
 		w.count(&w.counters.Cut)
-		_, _ = rw.Write(sent.body[:len(sent.body)/2]) // cut either way
+		_, _ = rw.Write(sent.body[:len(sent.body)/2]) // the connection is cut even if this fails
 		_ = http.NewResponseController(rw).Flush()
 		panic(http.ErrAbortHandler)
 	}
-	_, _ = rw.Write(sent.body) // the caller is gone when this fails
+	_, _ = rw.Write(sent.body) // fails only if the caller disconnected
 }
 
-// cross remembers own for later crossed answers and returns what is sent.
-func (w *Worker) cross(own previousAnswer) previousAnswer {
-	wholly := w.drawn(func(f *Faults) float64 { return f.CrossedShare })
-	body := w.drawn(func(f *Faults) float64 { return f.CrossedBodyShare })
+// injectCrossed stores current for later crossed answers and returns the answer to send.
+func (w *Worker) injectCrossed(current previousAnswer) previousAnswer {
+	fully := w.drawFault(func(f *Faults) float64 { return f.CrossedShare })
+	bodyOnly := w.drawFault(func(f *Faults) float64 { return f.CrossedBodyShare })
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	other := w.previous
-	w.previous = own
+	w.previous = current
 	if other.body == nil {
-		other = madeUpAnswer()
+		other = placeholderAnswer()
 	}
 	switch {
-	case wholly:
+	case fully:
 		w.counters.Crossed++
 		return other
-	case body:
+	case bodyOnly:
 		w.counters.Crossed++
-		return previousAnswer{attempt: own.attempt, body: other.body}
+		return previousAnswer{attempt: current.attempt, body: other.body}
 	}
-	return own
+	return current
 }
 
-// madeUpAnswer stands for another request's answer before there was any.
-func madeUpAnswer() previousAnswer {
+// placeholderAnswer stands in for another request's answer before any was given.
+func placeholderAnswer() previousAnswer {
 	r := answer.Request{ID: "made-up", Target: "/made-up"}
 	return previousAnswer{attempt: "made-up/1/1", body: answer.Make(r, 0)}
 }
--- a/internal/fake/worker/service.go
+++ b/internal/fake/worker/service.go
@@ -15,36 +15,36 @@
 
 // The distributions.
 const (
-	// Constant: always the mean.
+	// Constant always yields the mean.
 	Constant Distribution = "constant"
-	// Exponential with the given mean.
+	// Exponential has the given mean.
 	Exponential Distribution = "exponential"
-	// Lognormal with the given mean and sigma.
+	// Lognormal has the given mean and sigma.
 	Lognormal Distribution = "lognormal"
 )
 
-// maxTimesMean bounds a drawn service time in multiples of the mean, so that a
-// run is bounded in time.
-const maxTimesMean = 50
+// maxMeanMultiple caps a drawn service time at this multiple of the mean, so that runs
+// are bounded in time.
+const maxMeanMultiple = 50
 
-// Profile says how the requests of a path are served.
+// Profile defines how the requests of a path are served.
 type Profile struct {
-	// Path is a prefix of the request's path.
+	// Path is a prefix of the request's path; it starts with a slash.
 	Path string `toml:"path"`
 	// Distribution of the service time; empty means Constant.
 	Distribution Distribution `toml:"distribution"`
 	// MeanMs is the mean service time in milliseconds.
 	MeanMs float64 `toml:"mean_ms"`
-	// Sigma is the standard deviation of the logarithm, for Lognormal.
+	// Sigma is the standard deviation of the service time's logarithm, for Lognormal.
 	Sigma float64 `toml:"sigma"`
 	// SizeBytes is the size of an answer.
 	SizeBytes int `toml:"size_bytes"`
-	// Next is the path that a request of this one calls through the worker's
-	// node while its depth is over 0; empty means the same path.
+	// Next is the path of the nested call that a request makes through the worker's node
+	// while its depth is above 0; empty means the request's own path.
 	Next string `toml:"next"`
 }
 
-// Check calls add with every fault: the TOML key of the field and a message.
+// Check calls add for every invalid field, with the field's TOML key and a message.
 func (p *Profile) Check(add func(field, message string)) {
 	if !strings.HasPrefix(p.Path, "/") {
 		add("path", fmt.Sprintf("%q does not start with /", p.Path))
@@ -68,21 +68,21 @@
 	}
 }
 
-// draw returns a service time.
+// draw returns a random service time.
 func (p *Profile) draw(rng *rand.Rand) time.Duration {
 	ms := p.MeanMs
 	switch p.Distribution {
 	case Exponential:
 		ms *= rng.ExpFloat64()
 	case Lognormal:
-		// exp(mu + sigma^2/2) is the mean, so mu makes it MeanMs.
+		// The mean of a lognormal is exp(mu + sigma^2/2); this mu makes it MeanMs.
 		ms *= math.Exp(p.Sigma*rng.NormFloat64() - p.Sigma*p.Sigma/2)
 	}
-	ms = min(ms, maxTimesMean*p.MeanMs)
+	ms = min(ms, maxMeanMultiple*p.MeanMs)
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// profile returns the profile of a path.
+// profile returns the profile with the longest prefix of path, or the zero profile.
 func (w *Worker) profile(path string) Profile {
 	var best Profile
 	for _, p := range w.cfg.Profiles {
@@ -93,7 +93,7 @@
 	return best
 }
 
-// serviceTime draws the time that a request takes, faults included.
+// serviceTime draws a request's service time and applies the slow-down fault.
 func (w *Worker) serviceTime(p *Profile) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/fake/worker/slots.go
+++ b/internal/fake/worker/slots.go
@@ -6,77 +6,76 @@
 	"time"
 )
 
-// slots bounds the requests that run at once and those that wait, first come,
-// first served.
+// slots bounds the running requests and queues the others in order of arrival.
 type slots struct {
 	limit      int
 	queueLimit int
-	// changed is called, without the lock, when load has changed.
-	changed func()
+	// onChange is called without the lock after a change of load.
+	onChange func()
 
 	mu      sync.Mutex
 	running int
-	waiting []chan struct{} // closed when the slot is handed over
+	waiting []chan struct{} // a channel is closed to hand its waiter the slot
 }
 
 func newSlots(limit, queueLimit int, changed func()) *slots {
-	return &slots{limit: limit, queueLimit: queueLimit, changed: changed}
+	return &slots{limit: limit, queueLimit: queueLimit, onChange: changed}
 }
 
-// slotResult says how a wait for a slot ended.
+// slotResult is the result of waiting for a slot.
 type slotResult uint8
 
 const (
-	slotTaken slotResult = iota
-	// slotFull: the queue was full.
-	slotFull
-	// slotLate: the bounded wait ended.
-	slotLate
-	// slotCancelled: the caller gave up.
+	slotAcquired slotResult = iota
+	// slotQueueFull means that the queue was full.
+	slotQueueFull
+	// slotTimedOut means that the wait exceeded its limit.
+	slotTimedOut
+	// slotCancelled means that the caller disconnected.
 	slotCancelled
 )
 
-// take waits for a slot for at most d. queued tells whether none was free. A
-// free slot is taken without a look at ctx.
-func (s *slots) take(ctx context.Context, d time.Duration) (result slotResult, queued bool) {
-	defer s.changed()
+// acquire waits for a slot for at most d; queued reports whether none was free. A free
+// slot is taken even if ctx is already cancelled.
+func (s *slots) acquire(ctx context.Context, d time.Duration) (result slotResult, queued bool) {
+	defer s.onChange()
 	s.mu.Lock()
 	if s.running < s.limit {
 		s.running++
 		s.mu.Unlock()
-		return slotTaken, false
+		return slotAcquired, false
 	}
 	if len(s.waiting) >= s.queueLimit {
 		s.mu.Unlock()
-		return slotFull, true
+		return slotQueueFull, true
 	}
 	turn := make(chan struct{})
 	s.waiting = append(s.waiting, turn)
 	s.mu.Unlock()
-	s.changed()
+	s.onChange()
 	return s.wait(ctx, d, turn), true
 }
 
 func (s *slots) wait(ctx context.Context, d time.Duration, turn chan struct{}) slotResult {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
-	result := slotTaken
+	result := slotAcquired
 	select {
 	case <-turn:
-		return slotTaken
+		return slotAcquired
 	case <-timer.C:
-		result = slotLate
+		result = slotTimedOut
 	case <-ctx.Done():
 		result = slotCancelled
 	}
-	if !s.leave(turn) {
-		return slotTaken // the slot was handed over meanwhile
+	if !s.dequeue(turn) {
+		return slotAcquired // the slot was handed over concurrently
 	}
 	return result
 }
 
-// leave takes turn out of the queue; false means that it is no longer there.
-func (s *slots) leave(turn chan struct{}) bool {
+// dequeue removes turn from the queue; it returns false if turn is no longer queued.
+func (s *slots) dequeue(turn chan struct{}) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, t := range s.waiting {
@@ -88,9 +87,9 @@
 	return false
 }
 
-// release hands the slot to the first that waits, or frees it.
+// release hands the slot to the first waiting request, or frees it.
 func (s *slots) release() {
-	defer s.changed()
+	defer s.onChange()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.waiting) == 0 {
--- a/internal/fake/worker/worker.go
+++ b/internal/fake/worker/worker.go
@@ -1,7 +1,7 @@
-// Package worker is a stand-in for an upstream's worker: an HTTP server with a
-// bounded number of slots, service times drawn from distributions, answers that
-// a caller can check (package answer), settable faults, and a ledger that counts
-// every run by request id. For tests and demonstrations.
+// Package worker simulates an upstream's worker for tests and demonstrations: an HTTP
+// server with a bounded number of slots, service times drawn from distributions, answers
+// that a caller can verify (package answer), injectable faults, and a ledger that counts
+// every run by request id.
 package worker
 
 import (
@@ -18,72 +18,74 @@
 	"gypsumstand/internal/finding"
 )
 
-// Defaults of absent settings.
+// Defaults of unset settings.
 const (
 	DefaultSlots      = 20
 	defaultQueueMs    = 1000
 	defaultQueueLimit = 64
-	// MaxCallDepth bounds a path of calls.
+	// MaxCallDepth bounds the length of a chain of nested calls.
 	MaxCallDepth = 10
 )
 
-// Paths that measure the worker; all others are work.
+// Paths of the health and load probes; every other path is work.
 const (
 	HealthPath = "/health"
 	LoadPath   = "/load"
 )
 
-// Config is a worker's fixed setting.
+// Config holds the settings that stay fixed for a worker's lifetime.
 type Config struct {
-	// Slots is the number of requests that run at once; zero means DefaultSlots.
+	// Slots is the number of requests that run concurrently; zero means DefaultSlots.
 	Slots int
-	// QueueLimit and QueueMs bound the requests over Slots in number and in
-	// milliseconds of waiting; over a bound they are shed. Zero means the
-	// default, a negative QueueLimit that all are shed at once.
+	// QueueLimit and QueueMs bound the requests that wait for a slot, by number and by
+	// waiting time in milliseconds; a request over either bound is shed. Zero means the
+	// default; a negative QueueLimit sheds every request that finds no free slot.
 	QueueLimit int
 	QueueMs    int64
-	// Profiles say how requests are served, by path prefix; the longest prefix
-	// wins. Requests that none fits get the zero profile: at once, small answer.
+	// Profiles define how requests are served, by path prefix; the longest prefix wins. A
+	// request that matches none gets the zero profile: no service time and a minimal
+	// answer.
 	Profiles []Profile
-	// Seed makes service times and drawn faults repeatable.
+	// Seed makes service times and randomly drawn faults reproducible.
 	Seed uint64
-	// Ledger counts runs; nil means a ledger of its own. Workers may share one.
+	// Ledger counts runs; nil creates a private one. Several workers may share one.
 	Ledger *Ledger
-	// Node is the "ip:port" of the node that calls to other services go to;
-	// empty means that this worker makes none.
+	// Node is the "ip:port" of the node that receives the calls to other services; empty
+	// disables such calls.
 	Node string
-	// Transport makes the calls to Node; nil means one for plain TCP.
+	// Transport carries the calls to Node; nil means plain TCP.
 	Transport http.RoundTripper
-	// Deadly, when not nil, picks requests that end the worker's process some time after
-	// it began to run one: its port closes with all connections, until it is back. The
-	// worker needs the server of NewServer for it.
+	// CrashOn, when not nil, selects requests that crash the worker's process CrashDelay
+	// after their run starts: the port and all connections close until the worker
+	// restarts. It requires the server of NewServer.
 	CrashOn func(answer.Request) bool
-	// CrashDelay is the time from a deadly run's start to the end, RestartDelay the time from
-	// then until the worker is back.
+	// CrashDelay is the time from the start of a crashing run to the crash, RestartDelay
+	// the time from the crash until the worker accepts connections again.
 	CrashDelay, RestartDelay time.Duration
 }
 
-// Worker is the stand-in. Its methods are safe for concurrent use.
+// Worker simulates one worker process. Its methods are safe for concurrent use.
 type Worker struct {
 	cfg    Config
 	ledger *Ledger
 	client *http.Client
 	slots  *slots
 
-	changing sync.Mutex // held while faults change, before mu
-
-	mu       sync.Mutex
-	rng      *rand.Rand
-	faults   Faults
-	paused   chan struct{} // closed when the pause ends; nil without a pause
-	counters Counters
-	second   secondCount
-	history  history
-	previous previousAnswer
-	listener *listen.Listener
+	faultsMu sync.Mutex // serialises fault changes; acquired before mu
+
+	mu              sync.Mutex
+	rng             *rand.Rand
+	faults          Faults
+	paused          chan struct{} // closed when the pause ends; nil when not paused
+	counters        Counters
+	measuringSecond secondCount
+	history         history
+	previous        previousAnswer
+	listener        *listen.Listener
 }
 
-// New returns a worker without faults, or a finding.List with every fault of cfg.
+// New returns a worker without faults. An invalid cfg yields a finding.List with every
+// invalid field.
 func New(cfg Config) (*Worker, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -95,8 +97,8 @@
 		client: newClient(cfg.Transport),
 		rng:    rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
 	}
-	w.slots = newSlots(cfg.Slots, cfg.QueueLimit, w.record)
-	w.record()
+	w.slots = newSlots(cfg.Slots, cfg.QueueLimit, w.recordReport)
+	w.recordReport()
 	return w, nil
 }
 
@@ -135,7 +137,7 @@
 // Ledger returns the ledger that counts this worker's runs.
 func (w *Worker) Ledger() *Ledger { return w.ledger }
 
-// Handler returns the worker's handler. Close faults on reused connections need
+// Handler returns the worker's HTTP handler. Faults that close reused connections require
 // the server of NewServer.
 func (w *Worker) Handler() http.Handler {
 	r := mux.NewRouter().SkipClean(true)
@@ -145,15 +147,15 @@
 	return r
 }
 
-// Bounds of the server.
+// Timeouts of the worker's server.
 const (
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 2 * time.Minute
 )
 
-// NewServer returns a server with bounds set. l may be nil; otherwise the
-// worker's cold start refuses connections on it. The caller runs
-// Serve with that listener and shuts the server down.
+// NewServer returns a server with timeouts set. With a nil l, a cold worker aborts
+// requests instead of refusing connections on l. The caller runs Serve with that listener
+// and shuts the server down.
 func (w *Worker) NewServer(l *listen.Listener) *http.Server {
 	w.mu.Lock()
 	w.listener = l
