--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -10,23 +10,24 @@
 	"gypsumstand/platform/standin"
 )
 
-// Times of deadly requests.
+// Timing and limits of deadly requests, which crash the workers that run them.
 const (
-	// deadlyEvery is the time between two sendings of one deadly request.
-	deadlyEvery = 400 * time.Millisecond
-	// endsAfter is the time from a deadly run's start to the worker's end, backAfter the
-	// time from then until the worker is back.
-	endsAfter = 30 * time.Millisecond
-	backAfter = 1500 * time.Millisecond
-	// lateEndsAfter is that of a late one: its caller's time is over by then.
-	lateEndsAfter = routeTimeout + 500*time.Millisecond
-	// deadlyEnds is the number of ends after which nodes must know, and deadlyMore how
-	// often the request may still reach a worker once they do.
-	deadlyEnds, deadlyMore = 3, 3
+	// deadlyInterval is the time between two submissions of one deadly request.
+	deadlyInterval = 400 * time.Millisecond
+	// crashDelay is the time from the start of a deadly run to the worker's crash,
+	// restartDelay the time from the crash until the worker accepts connections again.
+	crashDelay   = 30 * time.Millisecond
+	restartDelay = 1500 * time.Millisecond
+	// lateCrashDelay is the crash delay of a late deadly request; its caller has timed
+	// out by then.
+	lateCrashDelay = routeTimeout + 500*time.Millisecond
+	// deadlyCrashes is the number of crashes after which nodes must quarantine a request,
+	// maxDeadlyRuns the number of times that it may still reach a worker afterwards.
+	deadlyCrashes, maxDeadlyRuns = 3, 3
 )
 
-// deadlyClass begins the class of a deadly request, and the part of its path that names it;
-// lateClass those of a late one.
+// deadlyClass is the prefix of a deadly request's class, which is also an element of its
+// path; lateClass is that of a late one.
 const (
 	deadlyClass = "deadly-"
 	lateClass   = deadlyClass + "late-"
@@ -34,16 +35,17 @@
 
 func (r *request) deadly() bool { return strings.HasPrefix(r.class, deadlyClass) }
 
-// endOf returns the time from the start of a deadly run to its worker's end.
-func endOf(class string) time.Duration {
+// crashDelayOf returns the time from the start of a deadly run to its worker's crash.
+func crashDelayOf(class string) time.Duration {
 	if strings.HasPrefix(class, lateClass) {
-		return lateEndsAfter
+		return lateCrashDelay
 	}
-	return endsAfter
+	return crashDelay
 }
 
-// classOf returns the class of a deadly request by its path, empty for others.
-func classOf(path string) string {
+// deadlyClassOf returns the class of a deadly request from its path, or "" for other
+// requests.
+func deadlyClassOf(path string) string {
 	_, after, found := strings.Cut(path, "/"+deadlyClass)
 	if !found {
 		return ""
@@ -52,84 +54,84 @@
 	return deadlyClass + name
 }
 
-// startPair lets callers send two deadly requests to one service from one moment on.
-func (f *fleet) startPair(ctx context.Context, t trouble) {
-	f.startDeadly(ctx, t, deadlyClass+"one-")
-	f.startDeadly(ctx, t, deadlyClass+"other-")
+// startDeadlyPair starts callers of two deadly requests to one service at the same time.
+func (f *fleet) startDeadlyPair(ctx context.Context, flt fault) {
+	f.startDeadly(ctx, flt, deadlyClass+"one-")
+	f.startDeadly(ctx, flt, deadlyClass+"other-")
 }
 
-// startDeadly lets a caller send one deadly request of a class again and again until ctx
-// ends, at all machines in turn.
-func (f *fleet) startDeadly(ctx context.Context, t trouble, class string) {
-	name := fmt.Sprintf("%s%d-%d", class, t.at.Milliseconds(), t.machine)
+// startDeadly starts a caller that submits one deadly request of a class to all machines
+// in turn, repeatedly, until ctx ends.
+func (f *fleet) startDeadly(ctx context.Context, flt fault, class string) {
+	name := fmt.Sprintf("%s%d-%d", class, flt.at.Milliseconds(), flt.machine)
 	route, service := "browse", serviceCatalogue
-	if t.machine%2 == 0 {
+	if flt.machine%2 == 0 {
 		route, service = "order", serviceOrders
 	}
-	// The run hangs until the worker's end.
+	// The run hangs until the worker crashes.
 	uri := fmt.Sprintf("/%s/%s/hang", route, name)
-	f.deadly.Add(1)
+	f.deadlyCallers.Add(1)
 	go func() {
-		defer f.deadly.Done()
+		defer f.deadlyCallers.Done()
 		c := newClient(f, 0, 0)
 		defer c.http.CloseIdleConnections()
-		for i := t.machine; ctx.Err() == nil; i++ {
+		for i := flt.machine; ctx.Err() == nil; i++ {
 			c.machine = f.machines[i%len(f.machines)]
 			r := &request{id: fmt.Sprintf("%s-%d", name, i), class: name, service: service, machine: c.machine.index}
-			c.exchange(ctx, r, uri, name)
-			sleep(ctx, deadlyEvery)
+			c.send(ctx, r, uri, name)
+			sleep(ctx, deadlyInterval)
 		}
 	}()
 }
 
-// ran takes a run of the worker, which ends under a deadly one.
-func (m *machine) ran(run standin.Run) {
-	m.fleet.ledger.ran(run)
-	if class := classOf(run.Request.URL.Path); class != "" {
-		time.AfterFunc(endOf(class), m.endWorker)
+// onRun records a run of the worker and schedules its crash if the request is deadly.
+func (m *machine) onRun(run standin.Run) {
+	m.fleet.ledger.recordRun(run)
+	if class := deadlyClassOf(run.Request.URL.Path); class != "" {
+		time.AfterFunc(crashDelayOf(class), m.crashWorker)
 	}
 }
 
-// endWorker ends the worker's process: its port closes with all connections, until another
-// life begins.
-func (m *machine) endWorker() {
+// crashWorker simulates a crash of the worker's process: its port and all connections
+// close until the worker recovers as a new incarnation.
+func (m *machine) crashWorker() {
 	m.mu.Lock()
-	down := m.ended
-	m.ended = true
+	down := m.workerDown
+	m.workerDown = true
 	m.mu.Unlock()
 	if down {
 		return
 	}
-	m.workerWire.shut()
-	time.AfterFunc(backAfter, m.reviveWorker)
+	m.workerProxy.closePort()
+	time.AfterFunc(restartDelay, m.recoverWorker)
 }
 
-func (m *machine) reviveWorker() {
-	m.nextLife()
-	if err := m.workerWire.open(); err != nil {
-		m.fleet.ledger.violate("soak", "open the port of worker %d: %v", m.index, err)
+func (m *machine) recoverWorker() {
+	m.replaceWorker()
+	if err := m.workerProxy.openPort(); err != nil {
+		m.fleet.ledger.recordViolation("soak", "open the port of worker %d: %v", m.index, err)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ended = false
+	m.workerDown = false
 }
 
-// started and stopped note a process's life.
-func (l *ledger) started(machine int) {
+// recordNodeStart and recordNodeExit record the time in which a node's process runs.
+func (l *ledger) recordNodeStart(machine int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lives[machine] = append(l.lives[machine], span{from: time.Now()})
+	l.processSpans[machine] = append(l.processSpans[machine], span{from: time.Now()})
 }
 
-func (l *ledger) stopped(machine int) {
+func (l *ledger) recordNodeExit(machine int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	lives := l.lives[machine]
-	lives[len(lives)-1].to = time.Now()
+	spans := l.processSpans[machine]
+	spans[len(spans)-1].to = time.Now()
 }
 
-// checkDeadly holds machines in touch to keep a deadly request from workers, from touchTime
-// after its third run on.
+// checkDeadly checks that undisturbed machines keep a deadly request away from workers,
+// from undisturbedTime after its third crash on.
 func (l *ledger) checkDeadly() {
 	runs := map[string][]time.Time{}
 	for _, r := range l.order {
@@ -141,49 +143,51 @@
 	}
 	late := map[string]int{}
 	for _, r := range l.order {
-		at := runs[r.class]
-		if !r.deadly() || len(at) <= deadlyEnds {
+		starts := runs[r.class]
+		if !r.deadly() || len(starts) <= deadlyCrashes {
 			continue
 		}
-		sort.Slice(at, func(i, j int) bool { return at[i].Before(at[j]) })
+		sort.Slice(starts, func(i, j int) bool { return starts[i].Before(starts[j]) })
 		for _, run := range r.runs {
-			if l.lateDeadly(at[deadlyEnds-1].Add(endOf(r.class)), r, run) {
+			if l.isLateDeadlyRun(starts[deadlyCrashes-1].Add(crashDelayOf(r.class)), r, run) {
 				late[r.class]++
 			}
 		}
 	}
 	for class, n := range late {
-		if n > deadlyMore {
-			l.note("deadly", "%s reached workers %d times, %d of them later than %s after it had ended three", class, len(runs[class]), n, touchTime)
+		if n > maxDeadlyRuns {
+			l.addViolation("deadly", "%s reached workers %d times, %d of them more than %s after it had crashed three workers", class, len(runs[class]), n, undisturbedTime)
 		}
 	}
 }
 
-// lateDeadly tells whether a run of a deadly request came although the machines that sent it
-// had been in touch since its third end.
-func (l *ledger) lateDeadly(third time.Time, r *request, run standin.Run) bool {
+// isLateDeadlyRun reports whether a run of a deadly request came too long after its third
+// crash, although the sending and the running machine were undisturbed and some node
+// could have retained the evidence.
+func (l *ledger) isLateDeadlyRun(thirdCrash time.Time, r *request, run standin.Run) bool {
 	at := run.StartedAt
-	if at.Sub(third) <= touchTime || !l.remembered(third, at) {
+	if at.Sub(thirdCrash) <= undisturbedTime || !l.evidenceRetained(thirdCrash, at) {
 		return false
 	}
-	return l.inTouch(r.machine, at, at) && l.inTouch(workerMachine(run.Worker), at, at)
+	return l.undisturbed(r.machine, at, at) && l.undisturbed(workerMachine(run.Worker), at, at)
 }
 
-// remembered tells whether at each moment between two some node had run for touchTime: when
-// all begin anew nobody can know.
-func (l *ledger) remembered(from, to time.Time) bool {
+// evidenceRetained reports whether at each moment of a period some node had been running
+// for undisturbedTime. If all nodes restart, the evidence about a request is lost with
+// them.
+func (l *ledger) evidenceRetained(from, to time.Time) bool {
 	for at := from; at.Before(to); at = at.Add(100 * time.Millisecond) {
-		if !l.anyRan(at) {
+		if !l.anyNodeUp(at) {
 			return false
 		}
 	}
 	return true
 }
 
-func (l *ledger) anyRan(at time.Time) bool {
-	for _, lives := range l.lives {
-		for _, s := range lives {
-			if at.Sub(s.from) >= touchTime && (s.to.IsZero() || s.to.After(at)) {
+func (l *ledger) anyNodeUp(at time.Time) bool {
+	for _, spans := range l.processSpans {
+		for _, s := range spans {
+			if at.Sub(s.from) >= undisturbedTime && (s.to.IsZero() || s.to.After(at)) {
 				return true
 			}
 		}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -20,116 +20,119 @@
 	"gypsumstand/platform/standin"
 )
 
-// The services: orders run at most once, the catalogue may run again. No route leads to
-// the archive.
+// The services: the fleet runs an order at most once and may repeat catalogue requests.
+// No route leads to the archive.
 const (
 	serviceOrders    = "orders"
 	serviceCatalogue = "catalogue"
 	serviceArchive   = "archive"
 )
 
-// Bounds that nodes are given, and that the checks hold them to.
+// Limits in the nodes' settings, which the checks enforce.
 const (
-	retryRatio   = 0.2
-	retryExtra   = 40
-	routeTimeout = 1500 * time.Millisecond
-	stopTimeout  = 6 * time.Second
-	leaveGrace   = 1200 * time.Millisecond
-	workerSlots  = 18
+	retryRatio       = 0.2
+	retryExtra       = 40
+	routeTimeout     = 1500 * time.Millisecond
+	stopTimeout      = 6 * time.Second
+	leaveGracePeriod = 1200 * time.Millisecond
+	workerSlots      = 18
 )
 
-// fleet is a deployment: a store in this process, and on each machine a worker in this
-// process and a node in one of its own. Each machine has IP numbers of its own on the
-// loopback network; what crosses between machines, to the store and to the worker
-// passes a proxy.
+// fleet is a deployment: a store in this process and, on each machine, a worker in this
+// process and a node in a process of its own. Each machine has its own IP addresses on
+// the loopback network; traffic between machines, to the store and to the worker passes a
+// proxy.
 type fleet struct {
-	dir      string
-	program  string
-	peerPort string
-	ledger   *ledger
-	store    *standin.Store
-	storeAt  net.Listener
-	machines []*machine
-
-	// deadly counts the callers of deadly requests, watching the watches of versions.
-	deadly, watching sync.WaitGroup
-	// silent are the addresses of listed workers whose nodes never answer.
-	silent []net.Listener
-	// coldWorkers: workers are cold after their start.
+	dir           string
+	program       string
+	peerPort      string
+	ledger        *ledger
+	store         *standin.Store
+	storeListener net.Listener
+	machines      []*machine
+
+	// deadlyCallers counts the running callers of deadly requests, watchers the running
+	// watches of versions.
+	deadlyCallers, watchers sync.WaitGroup
+	// unresponsive are the listeners of listed workers whose nodes never respond.
+	unresponsive []net.Listener
+	// coldWorkers makes workers cold after their start.
 	coldWorkers bool
 
 	mu sync.Mutex
-	// evacuations counts those under way, by zone.
+	// evacuations counts the overlapping evacuations in progress, by zone.
 	evacuations map[string]int
-	// version is that of the newest configuration.
+	// version is the version of the newest configuration.
 	version int
 }
 
-// machine is one node with its worker and wires.
+// machine is a simulated host with one node, its worker and the proxies around them.
 type machine struct {
 	fleet   *fleet
 	index   int
 	service string
 	worker  *standin.Worker
-	// peerWire leads peers to the node, storeWire the node to the store and
-	// workerWire the node to its worker.
-	peerWire, storeWire, workerWire *proxy
-	caller, operator                string
-	settings                        string
+	// peerProxy connects peers to the node, storeProxy the node to the store, and
+	// workerProxy the node to its worker.
+	peerProxy, storeProxy, workerProxy *proxy
+	caller, operator                   string
+	settings                           string
 
 	mu sync.Mutex
 	// process is nil while the node is down.
-	process *process
-	lives   int
-	// born tells the worker's lives under one id apart.
-	born int
-	// ended: the worker's process is down.
-	ended bool
-	// spoil is how the worker spoils a part of its answers; empty for not.
-	spoil string
-	count int
+	process            *process
+	workerReplacements int
+	// workerRestarts tells apart the worker's incarnations under one id.
+	workerRestarts int
+	// workerDown is set from a crash of the worker's process until its restart.
+	workerDown bool
+	// responseFault is the fault injected into part of the worker's responses; empty for
+	// none.
+	responseFault string
+	responses     int
 }
 
-// process is one life of a node.
+// process is one process of a node.
 type process struct {
 	cmd *exec.Cmd
-	// expected: its end was asked for.
-	expected bool
-	ended    chan struct{}
+	// exitExpected is set once the process was asked to exit.
+	exitExpected bool
+	exited       chan struct{}
 }
 
-// ip returns a machine's IP number; soaks that run beside each other have others.
+// ip returns a machine's IP address; concurrent soaks use different ones.
 func ip(network, machine int) string {
 	return fmt.Sprintf("127.%d.%d.%d", network, os.Getpid()%250, machine+1)
 }
 
-// Networks of the machines' IP numbers.
+// Second octets of the machines' IP addresses, by purpose.
 const (
 	networkNode = iota + 70
 	networkPeer
 	networkStore
 	networkWorker
-	networkSilent
+	networkUnresponsive
 )
 
-// pageItems is how many items the store puts on a page, so that a whole list has several.
+// pageItems is the store's page size, small enough that a full list spans several pages.
 const pageItems = 4
 
-// newFleet starts a deployment of n machines; its nodes write their logs to dir.
+// newFleet starts a deployment of cfg.Machines machines; its nodes write their logs to
+// cfg.Dir.
 func newFleet(ctx context.Context, cfg Config, l *ledger) (*fleet, error) {
 	f := &fleet{
 		dir: cfg.Dir, program: cfg.Program, ledger: l, store: standin.NewStore(),
 		coldWorkers: cfg.Plan.hasColdWorkers(), evacuations: map[string]int{},
 	}
 	f.store.PageItems = pageItems
-	at, err := net.Listen("tcp", "127.0.0.1:0")
+	storeListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	f.storeAt = at
+	f.storeListener = storeListener
 	go func() {
-		// It ends when the listener is closed.
-		_ = http.Serve(at, f.store)
+		// Serve returns when the listener is closed.
+		_ = http.Serve(storeListener, f.store)
 	}()
 	if f.peerPort, err = freePort(ip(networkNode, 0)); err != nil {
 		return nil, err
@@ -141,15 +144,15 @@
 	}
 	f.configure(ctx)
 	for _, m := range f.machines {
-		if err := m.start(); err != nil {
+		if err := m.startNode(); err != nil {
 			return nil, errors.Join(err, f.close())
 		}
 	}
 	return f, nil
 }
 
-// Ports of nodes lie below those that the system gives to outgoing connections: one of
-// these may take a port that is free now before its node listens.
+// Ports of nodes lie below the ephemeral range, from which the operating system might
+// give a port that is free now to an outgoing connection before its node listens.
 const (
 	firstPort = 10_000
 	portCount = 20_000
@@ -157,16 +160,16 @@
 )
 
 func freePort(host string) (string, error) {
-	var failed error
+	var lastErr error
 	for range portTries {
 		port := strconv.Itoa(firstPort + rand.IntN(portCount))
 		l, err := net.Listen("tcp", net.JoinHostPort(host, port))
 		if err == nil {
 			return port, l.Close()
 		}
-		failed = err
+		lastErr = err
 	}
-	return "", failed
+	return "", lastErr
 }
 
 func (f *fleet) addMachine(i int) error {
@@ -178,27 +181,27 @@
 	if err != nil {
 		return err
 	}
-	m.worker = standin.NewWorker(standin.WorkerConfig{Service: m.service, OnRun: m.ran, Fault: m.fault}, m.lifeID(), l)
+	m.worker = standin.NewWorker(standin.WorkerConfig{Service: m.service, OnRun: m.onRun, Fault: m.nextResponseFault}, m.workerID(), l)
 	var errs [5]error
-	m.peerWire, errs[0] = newProxy(net.JoinHostPort(ip(networkPeer, i), f.peerPort), net.JoinHostPort(ip(networkNode, i), f.peerPort))
-	m.storeWire, errs[1] = newProxy(ip(networkStore, i)+":0", f.storeAt.Addr().String())
-	m.workerWire, errs[2] = newProxy(ip(networkWorker, i)+":0", m.worker.Address())
+	m.peerProxy, errs[0] = newProxy(net.JoinHostPort(ip(networkPeer, i), f.peerPort), net.JoinHostPort(ip(networkNode, i), f.peerPort))
+	m.storeProxy, errs[1] = newProxy(ip(networkStore, i)+":0", f.storeListener.Addr().String())
+	m.workerProxy, errs[2] = newProxy(ip(networkWorker, i)+":0", m.worker.Address())
 	m.caller, errs[3] = freeAddress(ip(networkNode, i), f.peerPort)
 	m.operator, errs[4] = freeAddress(ip(networkNode, i), f.peerPort, portOf(m.caller))
 	if err := errors.Join(errs[:]...); err != nil {
 		return err
 	}
 	f.machines = append(f.machines, m)
-	m.list(names.StateReady)
+	m.listWorker(names.StateReady)
 	return m.writeSettings()
 }
 
-// freeAddress returns an address whose port is none of those that are taken but not yet
-// listened on.
-func freeAddress(host string, taken ...string) (string, error) {
+// freeAddress returns an address with a free port other than the reserved ones, which are
+// assigned but not yet listened on.
+func freeAddress(host string, reserved ...string) (string, error) {
 	for {
 		port, err := freePort(host)
-		if err != nil || !slices.Contains(taken, port) {
+		if err != nil || !slices.Contains(reserved, port) {
 			return net.JoinHostPort(host, port), err
 		}
 	}
@@ -227,150 +230,153 @@
 retry_ratio = %g
 retry_extra = %d
 %s`, ip(networkPeer, m.index), m.service, m.index%3, m.caller, net.JoinHostPort(ip(networkNode, m.index), m.fleet.peerPort),
-		m.operator, m.workerWire.address(), stopTimeout.Milliseconds(), leaveGrace.Milliseconds(), m.storeWire.address(), retryRatio, retryExtra, warmingSettings)
+		m.operator, m.workerProxy.address(), stopTimeout.Milliseconds(), leaveGracePeriod.Milliseconds(), m.storeProxy.address(), retryRatio, retryExtra, warmingSettings)
 	return os.WriteFile(m.settings, []byte(text), 0o600)
 }
 
-func (m *machine) lifeID() string { return fmt.Sprintf("w%d-%d", m.index, m.lives) }
+func (m *machine) workerID() string { return fmt.Sprintf("w%d-%d", m.index, m.workerReplacements) }
 
-// list writes the worker's entry.
-func (m *machine) list(state string) { m.fleet.store.PutWorker(m.entry(state)) }
+// listWorker writes the worker's entry to the store.
+func (m *machine) listWorker(state string) { m.fleet.store.PutWorker(m.workerEntry(state)) }
 
-func (m *machine) entry(state string) standin.WorkerEntry {
+func (m *machine) workerEntry(state string) standin.WorkerEntry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return standin.WorkerEntry{
 		ID: m.worker.ID(), Service: m.service, Zone: zoneOf(m.index),
-		Address: net.JoinHostPort(ip(networkPeer, m.index), "80"), State: state, Started: int64(m.born), Slots: workerSlots,
+		Address: net.JoinHostPort(ip(networkPeer, m.index), "80"), State: state, Started: int64(m.workerRestarts), Slots: workerSlots,
 		ColdLeftMs: m.worker.ColdRemaining().Milliseconds(),
 	}
 }
 
-// start starts the node.
-func (m *machine) start() error {
+// startNode starts the node's process.
+func (m *machine) startNode() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	log, err := os.OpenFile(filepath.Join(m.fleet.dir, fmt.Sprintf("node-%d.log", m.index)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(filepath.Join(m.fleet.dir, fmt.Sprintf("node-%d.log", m.index)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	cmd := exec.Command(m.fleet.program, "-settings", m.settings)
-	cmd.Stdout, cmd.Stderr = log, log
+	cmd.Stdout, cmd.Stderr = logFile, logFile
 	err = cmd.Start()
-	log.Close()
+	logFile.Close()
 	if err != nil {
 		return err
 	}
-	p := &process{cmd: cmd, ended: make(chan struct{})}
+	p := &process{cmd: cmd, exited: make(chan struct{})}
 	m.process = p
-	m.fleet.ledger.started(m.index)
-	go m.await(p)
+	m.fleet.ledger.recordNodeStart(m.index)
+	go m.awaitExit(p)
 	return nil
 }
 
-// await notes the end of a process.
-func (m *machine) await(p *process) {
+// awaitExit waits for a process to exit and records it; an unexpected exit is a
+// violation.
+func (m *machine) awaitExit(p *process) {
 	err := p.cmd.Wait()
 	m.mu.Lock()
-	if !p.expected {
-		m.fleet.ledger.violate("process", "node %d ended by itself: %v", m.index, err)
+	if !p.exitExpected {
+		m.fleet.ledger.recordViolation("process", "node %d exited unexpectedly: %v", m.index, err)
 	}
 	if m.process == p {
 		m.process = nil
-		m.fleet.ledger.stopped(m.index)
+		m.fleet.ledger.recordNodeExit(m.index)
 	}
 	m.mu.Unlock()
-	close(p.ended)
+	close(p.exited)
 }
 
-// signal sends a signal to the node, if it runs; ending says that it should end.
-func (m *machine) signal(s syscall.Signal, ending bool) *process {
+// signalNode sends a signal to the node if it runs, and returns its process; expectExit
+// marks the exit as requested.
+func (m *machine) signalNode(s syscall.Signal, expectExit bool) *process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p := m.process
 	if p == nil {
 		return nil
 	}
-	p.expected = p.expected || ending
+	p.exitExpected = p.exitExpected || expectExit
 	if err := p.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		m.fleet.ledger.violate("soak", "signal %v to node %d: %v", s, m.index, err)
+		m.fleet.ledger.recordViolation("soak", "signal %v to node %d: %v", s, m.index, err)
 	}
 	return p
 }
 
-// startAgain starts the node unless it runs.
-func (m *machine) startAgain() {
+// startNodeIfDown starts the node unless it runs.
+func (m *machine) startNodeIfDown() {
 	m.mu.Lock()
 	down := m.process == nil
 	m.mu.Unlock()
 	if !down {
 		return
 	}
-	if err := m.start(); err != nil {
-		m.fleet.ledger.violate("soak", "start node %d: %v", m.index, err)
+	if err := m.startNode(); err != nil {
+		m.fleet.ledger.recordViolation("soak", "start node %d: %v", m.index, err)
 	}
 }
 
-// killTime is how long after SIGTERM a node is killed.
-const killTime = stopTimeout + 2*time.Second
+// killTimeout is the time after SIGTERM at which a node is killed.
+const killTimeout = stopTimeout + 2*time.Second
 
-// stopGracefully ends the node by SIGTERM and waits for its end.
-func (m *machine) stopGracefully() {
-	p := m.signal(syscall.SIGTERM, true)
+// stopNode stops the node with SIGTERM and waits for its exit.
+func (m *machine) stopNode() {
+	p := m.signalNode(syscall.SIGTERM, true)
 	if p == nil {
 		return
 	}
-	timer := time.NewTimer(killTime)
+	timer := time.NewTimer(killTimeout)
 	defer timer.Stop()
 	select {
-	case <-p.ended:
+	case <-p.exited:
 	case <-timer.C:
-		m.fleet.ledger.violate("stop", "node %d did not stop in %s", m.index, killTime)
-		m.signal(syscall.SIGKILL, true)
-		<-p.ended
+		m.fleet.ledger.recordViolation("stop", "node %d did not stop within %s of SIGTERM", m.index, killTimeout)
+		m.signalNode(syscall.SIGKILL, true)
+		<-p.exited
 	}
 }
 
-// spoilEvery is how many answers pass for each that is spoilt.
-const spoilEvery = 4
+// responseFaultEvery is the number of responses of which one is faulty.
+const responseFaultEvery = 4
 
-// fault implements standin.WorkerConfig.Fault.
-func (m *machine) fault() string {
+// nextResponseFault implements standin.WorkerConfig.Fault.
+func (m *machine) nextResponseFault() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.count++
-	if m.spoil == "" || m.count%spoilEvery != 0 {
+	m.responses++
+	if m.responseFault == "" || m.responses%responseFaultEvery != 0 {
 		return ""
 	}
-	return m.spoil
+	return m.responseFault
 }
 
-func (m *machine) setSpoil(how string) {
+func (m *machine) setResponseFault(how string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.spoil = how
+	m.responseFault = how
 }
 
-// nextLife ends the worker's life, whose entry goes, and begins another.
-func (m *machine) nextLife() {
+// replaceWorker ends the worker's incarnation, removes its entry, and starts another one
+// under a new id.
+func (m *machine) replaceWorker() {
 	m.fleet.store.Remove(names.WorkerKeyPrefix + m.worker.ID())
 	m.mu.Lock()
-	m.lives++
-	id := m.lifeID()
+	m.workerReplacements++
+	id := m.workerID()
 	m.mu.Unlock()
 	m.worker.Restart(id)
-	m.chill(coldAfterStart)
-	m.list(names.StateReady)
+	m.setCold(coldDuration)
+	m.listWorker(names.StateReady)
 }
 
-// crash ends the worker's life; it starts again under the same id.
-func (m *machine) crash() {
+// restartWorker ends the worker's incarnation and starts another one under the same id.
+func (m *machine) restartWorker() {
 	m.mu.Lock()
-	m.born++
+	m.workerRestarts++
 	m.mu.Unlock()
 	m.worker.Restart(m.worker.ID())
-	m.chill(coldAfterStart)
-	m.list(names.StateReady)
+	m.setCold(coldDuration)
+	m.listWorker(names.StateReady)
 }
 
 // configure writes the next configuration.
@@ -379,7 +385,7 @@
 	defer f.mu.Unlock()
 	f.version++
 	f.store.Put(names.ConfigKey, configuration(f.version, f.coldWorkers))
-	f.ledger.configured(f.version)
+	f.ledger.recordConfig(f.version)
 	if ctx.Err() == nil {
 		f.watchVersion(ctx, f.version)
 	}
@@ -391,19 +397,19 @@
 	return f.version
 }
 
-// close ends everything that the fleet started, by the processes it started.
+// close stops everything that the fleet started, by the processes it started.
 func (f *fleet) close() error {
-	for _, l := range f.silent {
+	for _, l := range f.unresponsive {
 		l.Close()
 	}
 	for _, m := range f.machines {
-		if p := m.signal(syscall.SIGKILL, true); p != nil {
-			<-p.ended
+		if p := m.signalNode(syscall.SIGKILL, true); p != nil {
+			<-p.exited
 		}
 		m.worker.Close()
-		for _, w := range []*proxy{m.peerWire, m.storeWire, m.workerWire} {
+		for _, w := range []*proxy{m.peerProxy, m.storeProxy, m.workerProxy} {
 			w.close()
 		}
 	}
-	return f.storeAt.Close()
+	return f.storeListener.Close()
 }
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -14,98 +14,107 @@
 	"gypsumstand/platform/standin"
 )
 
-// Slack of the checks beside what nodes are held to.
+// Tolerances of the checks, beyond the nodes' own limits.
 const (
-	// touchTime is how long a machine and the store must have been without trouble for
-	// a rule with a time bound to hold there.
-	touchTime = 4 * time.Second
-	// drainTime bounds new work at a worker that drains (2 s), with a second for this
-	// machine, which runs everything.
-	drainTime = 3 * time.Second
+	// undisturbedTime is how long a machine and the store must have been free of faults
+	// before a check with a time limit applies.
+	undisturbedTime = 4 * time.Second
+	// maxDrainTime bounds new work at a draining worker: 2 s, plus a second because this
+	// host runs everything.
+	maxDrainTime = 3 * time.Second
 	// budgetWindow is the window of the retry budget.
 	budgetWindow = 10 * time.Second
-	// servedAtEnd is the share of requests that must be served once trouble is over.
-	servedAtEnd = 0.9
-	// recoveryTime is how long after the last trouble service may take to be back.
-	recoveryTime = 4 * time.Second
-	// maxViolations bounds those that are listed.
+	// minServedShare is the share of requests that must be served once all faults are
+	// over.
+	minServedShare = 0.9
+	// maxRecoveryTime is the time that service may take to recover after the last fault.
+	maxRecoveryTime = 4 * time.Second
+	// maxViolations bounds the violations that are listed.
 	maxViolations = 20
 )
 
-// request is one sending of a client.
+// request is one submission of a client.
 type request struct {
 	id    string
 	class string
-	// service is the one that runs it; empty where that depends on the configuration.
-	service string
-	machine int
-	sent    time.Time
-	ended   time.Time
-	// status is zero when there was no whole answer.
+	// service is the one that must run the request; empty where that depends on the
+	// configuration.
+	service   string
+	machine   int
+	sent      time.Time
+	completed time.Time
+	// status is zero if no complete response arrived.
 	status int
 	runs   []standin.Run
 }
 
-// ledger holds what clients and workers saw, and what was promised when.
+// ledger records what clients and workers observed and what the nodes had to guarantee
+// when.
 type ledger struct {
 	mu       sync.Mutex
 	requests map[string]*request
-	// order lists the requests as they were sent.
+	// order lists the requests in the order of submission.
 	order []*request
-	// machineTrouble and storeTrouble hold the spans of trouble; planned ones apart.
-	machineTrouble map[int][]span
-	planned        map[int][]span
-	storeTrouble   []span
-	// drained is when a worker's life was listed as draining, or no longer as a worker.
+	// machineFaults, by machine, and storeFaults hold the spans of faults; plannedFaults
+	// holds those of planned operations.
+	machineFaults map[int][]span
+	plannedFaults map[int][]span
+	storeFaults   []span
+	// drained is when a worker was listed as draining, or its entry was replaced, by
+	// worker id.
 	drained map[string]time.Time
 	// versions is when each configuration was written.
-	versions   map[int]time.Time
-	violations []string
-	lastEnd    time.Time
-	// lives are the spans in which nodes' processes ran, by machine.
-	lives map[int][]span
-	// inForce is when machines had versions in force, seen what processes showed of it.
-	inForce []inForce
-	seen    map[life][]seen
-	// stalls are the spans in which machines stood still for want of a processor.
+	versions     map[int]time.Time
+	violations   []string
+	lastFaultEnd time.Time
+	// processSpans are the spans in which nodes' processes ran, by machine.
+	processSpans map[int][]span
+	// activations is when machines had versions active; observations is which versions
+	// processes showed to be active.
+	activations  []activation
+	observations map[nodeProcess][]observation
+	// stalls are the spans in which machines made no progress because the host was
+	// overloaded.
 	stalls map[int][]span
-	// delays are those of the versions that machines in touch took, in order.
-	delays []time.Duration
-	// evacuations is when those in force were acknowledged, by zone.
+	// applyDelays are the delays with which undisturbed machines activated versions,
+	// sorted.
+	applyDelays []time.Duration
+	// evacuations is when the current evacuations were acknowledged, by zone.
 	evacuations map[string]time.Time
-	// bunches are the spans in which workers may get requests in bunches, by machine.
-	bunches map[int][]span
-	// over is the end of the watches.
-	over time.Time
+	// burstSpans are the spans in which workers may receive requests in bursts, by
+	// machine.
+	burstSpans map[int][]span
+	// watchEnd is when the watches ended, zero before.
+	watchEnd time.Time
 }
 
-// span is a time of trouble; an open one has no end yet.
+// span is a period of time; its end is zero while it lasts.
 type span struct{ from, to time.Time }
 
 func newLedger() *ledger {
 	return &ledger{
-		requests: map[string]*request{}, machineTrouble: map[int][]span{}, planned: map[int][]span{},
-		drained: map[string]time.Time{}, versions: map[int]time.Time{}, lives: map[int][]span{}, seen: map[life][]seen{}, stalls: map[int][]span{},
-		evacuations: map[string]time.Time{}, bunches: map[int][]span{},
+		requests: map[string]*request{}, machineFaults: map[int][]span{}, plannedFaults: map[int][]span{},
+		drained: map[string]time.Time{}, versions: map[int]time.Time{}, processSpans: map[int][]span{}, observations: map[nodeProcess][]observation{}, stalls: map[int][]span{},
+		evacuations: map[string]time.Time{}, burstSpans: map[int][]span{},
 	}
 }
 
-// violate notes a broken promise.
-func (l *ledger) violate(rule, format string, args ...any) {
+// recordViolation records a broken guarantee under the name of its rule.
+func (l *ledger) recordViolation(rule, format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.note(rule, format, args...)
+	l.addViolation(rule, format, args...)
 }
 
-// note is violate with mu held.
-func (l *ledger) note(rule, format string, args ...any) {
+// addViolation is recordViolation with l.mu held.
+func (l *ledger) addViolation(rule, format string, args ...any) {
 	if len(l.violations) < maxViolations {
 		l.violations = append(l.violations, rule+": "+fmt.Sprintf(format, args...))
 	}
 }
 
-// send notes a request before it is sent.
-func (l *ledger) send(r *request) {
+// recordSend records a request before it is submitted.
+func (l *ledger) recordSend(r *request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r.sent = time.Now()
@@ -113,40 +122,40 @@
 	l.order = append(l.order, r)
 }
 
-// ran notes a run at a worker.
-func (l *ledger) ran(run standin.Run) {
+// recordRun records a run at a worker and checks it.
+func (l *ledger) recordRun(run standin.Run) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.requests[run.ID]
 	if r == nil {
-		l.note("unasked", "worker %s runs %q, which no client sent", run.Worker, run.ID)
+		l.addViolation("unasked", "worker %s ran %q, which no client sent", run.Worker, run.ID)
 		return
 	}
 	r.runs = append(r.runs, run)
 	if r.service != "" && run.Service != r.service {
-		l.note("route", "%s (%s) is run by %s", r.id, r.class, run.Service)
+		l.addViolation("route", "%s (%s) was run by service %s", r.id, r.class, run.Service)
 	}
-	l.checkEvacuated(r, run)
-	if at, ok := l.drained[run.Worker]; ok && run.StartedAt.Sub(at) > drainTime && l.inTouch(workerMachine(run.Worker), at, run.StartedAt) {
-		l.note("drain", "%s reaches %s %s after it was listed as draining", r.id, run.Worker, run.StartedAt.Sub(at))
+	l.checkEvacuation(r, run)
+	if at, ok := l.drained[run.Worker]; ok && run.StartedAt.Sub(at) > maxDrainTime && l.undisturbed(workerMachine(run.Worker), at, run.StartedAt) {
+		l.addViolation("drain", "%s reached %s %s after it was listed as draining", r.id, run.Worker, run.StartedAt.Sub(at))
 	}
 }
 
-// workerMachine returns the machine of a worker's life.
-func workerMachine(life string) int {
+// workerMachine returns the machine of a worker id, or -1.
+func workerMachine(worker string) int {
 	var machine, n int
-	if _, err := fmt.Sscanf(life, "w%d-%d", &machine, &n); err != nil {
+	if _, err := fmt.Sscanf(worker, "w%d-%d", &machine, &n); err != nil {
 		return -1
 	}
 	return machine
 }
 
-// answered notes an answer; body is nil when it was not whole. want returns the one that
-// a service gives.
-func (l *ledger) answered(r *request, resp *http.Response, body []byte, want func(service string) string) {
+// recordResponse records a response and checks its body; body is nil if the response was
+// incomplete. wantBody returns the body with which a service responds.
+func (l *ledger) recordResponse(r *request, resp *http.Response, body []byte, wantBody func(service string) string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r.ended = time.Now()
+	r.completed = time.Now()
 	if resp == nil || body == nil {
 		return
 	}
@@ -154,66 +163,67 @@
 	if r.status < 200 || r.status >= 300 {
 		return
 	}
-	ownAnswer := slices.ContainsFunc(r.runs, func(run standin.Run) bool { return string(body) == want(run.Service) })
-	if !ownAnswer || resp.Header.Get(names.Signature) != standin.Signature {
-		l.note("mixed", "%s got %d with %.60q, not the answer of a worker that ran it", r.id, r.status, body)
+	matchesRun := slices.ContainsFunc(r.runs, func(run standin.Run) bool { return string(body) == wantBody(run.Service) })
+	if !matchesRun || resp.Header.Get(names.Signature) != standin.Signature {
+		l.addViolation("mixed", "%s got status %d with body %.60q, not the response of a worker that ran it", r.id, r.status, body)
 	}
 }
 
-func (l *ledger) configured(version int) {
+func (l *ledger) recordConfig(version int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.versions[version] = time.Now()
 }
 
-func (l *ledger) draining(life string) {
+func (l *ledger) recordDraining(worker string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.drained[life] = time.Now()
+	l.drained[worker] = time.Now()
 }
 
-// listed takes that a life which was not to be used any more is listed again.
-func (l *ledger) listed(life string) {
+// recordListed records that a worker listed as unusable is listed as usable again.
+func (l *ledger) recordListed(worker string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.drained, life)
+	delete(l.drained, worker)
 }
 
-// begin opens a span of trouble and returns its end. machine is -1 for the store.
-func (l *ledger) begin(machine int, isPlanned bool) (end func()) {
+// beginFault opens a span of faults and returns the function that closes it. machine is
+// -1 for the store.
+func (l *ledger) beginFault(machine int, planned bool) (end func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	list := &l.storeTrouble
-	var at int
+	storeSpans := &l.storeFaults
+	var index int
 	switch {
 	case machine < 0:
-		at = len(*list)
-		*list = append(*list, span{from: time.Now()})
+		index = len(*storeSpans)
+		*storeSpans = append(*storeSpans, span{from: time.Now()})
 		return func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			l.storeTrouble[at].to = time.Now()
+			l.storeFaults[index].to = time.Now()
 		}
-	case isPlanned:
-		at = len(l.planned[machine])
-		l.planned[machine] = append(l.planned[machine], span{from: time.Now()})
+	case planned:
+		index = len(l.plannedFaults[machine])
+		l.plannedFaults[machine] = append(l.plannedFaults[machine], span{from: time.Now()})
 		return func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			l.planned[machine][at].to = time.Now()
+			l.plannedFaults[machine][index].to = time.Now()
 		}
 	}
-	at = len(l.machineTrouble[machine])
-	l.machineTrouble[machine] = append(l.machineTrouble[machine], span{from: time.Now()})
+	index = len(l.machineFaults[machine])
+	l.machineFaults[machine] = append(l.machineFaults[machine], span{from: time.Now()})
 	return func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.machineTrouble[machine][at].to = time.Now()
+		l.machineFaults[machine][index].to = time.Now()
 	}
 }
 
-// calm tells whether no span of list touches the time between two moments.
-func calm(list []span, from, to time.Time) bool {
+// faultFree reports whether no span of list overlaps the time between from and to.
+func faultFree(list []span, from, to time.Time) bool {
 	for _, s := range list {
 		if s.from.Before(to) && (s.to.IsZero() || s.to.After(from)) {
 			return false
@@ -222,27 +232,27 @@
 	return true
 }
 
-// inTouch tells whether a machine and the store were without any trouble, planned or
-// not, from touchTime before a moment to another.
-func (l *ledger) inTouch(machine int, from, to time.Time) bool {
-	from = from.Add(-touchTime)
-	return calm(l.machineTrouble[machine], from, to) && calm(l.planned[machine], from, to) && calm(l.storeTrouble, from, to)
+// undisturbed reports whether a machine and the store were free of faults and planned
+// operations from undisturbedTime before from until to.
+func (l *ledger) undisturbed(machine int, from, to time.Time) bool {
+	from = from.Add(-undisturbedTime)
+	return faultFree(l.machineFaults[machine], from, to) && faultFree(l.plannedFaults[machine], from, to) && faultFree(l.storeFaults, from, to)
 }
 
-// check tells every promise that was broken, after the end.
+// check runs the checks that need the complete record and returns all violations.
 func (l *ledger) check() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range l.order {
 		l.checkRequest(r)
 	}
-	l.delays = l.checkInForce()
-	l.checkVersions()
-	l.checkAdded()
+	l.applyDelays = l.checkActivations()
+	l.checkServedVersions()
+	l.checkAddedRoutes()
 	for _, service := range []string{serviceOrders, serviceCatalogue} {
-		l.checkBudget(service)
+		l.checkRetryBudget(service)
 	}
-	l.checkCold()
+	l.checkColdWorkers()
 	l.checkDeadly()
 	l.checkRecovery()
 	return l.violations
@@ -250,25 +260,26 @@
 
 func (l *ledger) checkRequest(r *request) {
 	if r.class == "order" && len(r.runs) > 1 {
-		l.note("twice", "%s ran %d times, at %s", r.id, len(r.runs), places(r.runs))
+		l.addViolation("twice", "%s ran %d times, at workers %s", r.id, len(r.runs), workersOf(r.runs))
 	}
 	switch r.status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		if len(r.runs) > 0 {
-			l.note("refused", "%s was told %d and ran at %s", r.id, r.status, places(r.runs))
+			l.addViolation("refused", "%s was refused with status %d and ran at workers %s", r.id, r.status, workersOf(r.runs))
 		}
 	case 0:
-		// A request that crosses a planned close and is not passed on does not count.
-		if len(r.runs) > 0 && calm(l.machineTrouble[r.machine], r.sent.Add(-touchTime), r.ended) {
-			l.note("lost", "%s at machine %d ran and got no answer within %s", r.id, r.machine, r.ended.Sub(r.sent))
+		// A request that a planned stop closes before it is forwarded has no run and does
+		// not count.
+		if len(r.runs) > 0 && faultFree(l.machineFaults[r.machine], r.sent.Add(-undisturbedTime), r.completed) {
+			l.addViolation("lost", "%s at machine %d ran and got no response within %s", r.id, r.machine, r.completed.Sub(r.sent))
 		}
 	}
-	if late := r.ended.Sub(r.sent); late > routeTimeout+time.Second && l.inTouch(r.machine, r.sent, r.ended) {
-		l.note("timeout", "%s at machine %d was held for %s", r.id, r.machine, late)
+	if took := r.completed.Sub(r.sent); took > routeTimeout+time.Second && l.undisturbed(r.machine, r.sent, r.completed) {
+		l.addViolation("timeout", "%s at machine %d took %s", r.id, r.machine, took)
 	}
 }
 
-func places(runs []standin.Run) string {
+func workersOf(runs []standin.Run) string {
 	var out []string
 	for _, r := range runs {
 		out = append(out, r.Worker)
@@ -276,53 +287,53 @@
 	return strings.Join(out, ", ")
 }
 
-// checkBudget compares extra arrivals with requests in sliding windows.
-func (l *ledger) checkBudget(service string) {
-	var first, extra []time.Time
+// checkRetryBudget compares repeated runs with submissions in sliding windows.
+func (l *ledger) checkRetryBudget(service string) {
+	var sends, extraRuns []time.Time
 	for _, r := range l.order {
 		if r.service != service {
 			continue
 		}
-		first = append(first, r.sent)
+		sends = append(sends, r.sent)
 		for i, run := range r.runs {
 			if i > 0 {
-				extra = append(extra, run.StartedAt)
+				extraRuns = append(extraRuns, run.StartedAt)
 			}
 		}
 	}
-	sort.Slice(extra, func(i, j int) bool { return extra[i].Before(extra[j]) })
-	for i, from := range extra {
+	sort.Slice(extraRuns, func(i, j int) bool { return extraRuns[i].Before(extraRuns[j]) })
+	for i, from := range extraRuns {
 		n := 0
-		for ; i+n < len(extra) && extra[i+n].Sub(from) < budgetWindow; n++ {
+		for ; i+n < len(extraRuns) && extraRuns[i+n].Sub(from) < budgetWindow; n++ {
 		}
-		most := retryRatio*float64(between(first, from.Add(-budgetWindow), from.Add(budgetWindow))) + retryExtra
-		if float64(n) > math.Ceil(most) {
-			l.note("budget", "%s: %d extra arrivals in %s, at most %.0f are allowed", service, n, budgetWindow, most)
+		allowed := retryRatio*float64(countBetween(sends, from.Add(-budgetWindow), from.Add(budgetWindow))) + retryExtra
+		if float64(n) > math.Ceil(allowed) {
+			l.addViolation("budget", "%s: %d repeated runs within %s, limit %.0f", service, n, budgetWindow, allowed)
 			return
 		}
 	}
 }
 
-// between counts the times from a moment to another; times are sorted.
-func between(times []time.Time, from, to time.Time) int {
+// countBetween counts the sorted times from from until before to.
+func countBetween(times []time.Time, from, to time.Time) int {
 	lo := sort.Search(len(times), func(i int) bool { return !times[i].Before(from) })
 	hi := sort.Search(len(times), func(i int) bool { return !times[i].Before(to) })
 	return hi - lo
 }
 
 func (l *ledger) checkRecovery() {
-	from := l.lastEnd.Add(recoveryTime)
-	asked, served := 0, 0
+	recoveredAt := l.lastFaultEnd.Add(maxRecoveryTime)
+	requests, served := 0, 0
 	for _, r := range l.order {
-		if r.sent.Before(from) || strings.HasPrefix(r.class, "gen-") || r.deadly() {
+		if r.sent.Before(recoveredAt) || strings.HasPrefix(r.class, "gen-") || r.deadly() {
 			continue
 		}
-		asked++
+		requests++
 		if r.status == http.StatusOK {
 			served++
 		}
 	}
-	if asked == 0 || float64(served) < servedAtEnd*float64(asked) {
-		l.note("recover", "%d of %d requests were served after %s without trouble", served, asked, recoveryTime)
+	if requests == 0 || float64(served) < minServedShare*float64(requests) {
+		l.addViolation("recover", "%d of %d requests were served once %s had passed without faults", served, requests, maxRecoveryTime)
 	}
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -7,64 +7,65 @@
 	"time"
 )
 
-// wire is how a proxy treats the bytes of its connections.
-type wire struct {
-	// delay is added before each piece of bytes, in both directions.
+// linkFaults are the faults that a proxy injects into its connections.
+type linkFaults struct {
+	// delay is added before each chunk of bytes, in both directions.
 	delay time.Duration
-	// cutTo and cutFrom hold back what goes to the far side, and what comes from it.
-	// Both together are silence.
-	cutTo, cutFrom bool
+	// blockToFar and blockFromFar hold back the bytes to and from the far side. Both
+	// together act as a partition.
+	blockToFar, blockFromFar bool
 }
 
-// proxy passes TCP connections on to a far address and harms them on demand.
+// proxy forwards TCP connections to a far address and injects faults into them.
 type proxy struct {
-	// near is the address that it listens at.
-	near, far string
+	// listenAddress is the address of the near side, to which clients connect.
+	listenAddress, farAddress string
 
 	mu sync.Mutex
 	// listener is nil while the port is closed.
 	listener net.Listener
-	wire     wire
-	calm     *sync.Cond
+	faults   linkFaults
+	changed  *sync.Cond
 	conns    map[net.Conn]bool
-	// joined counts the connections so far. Those up to muted pass nothing on any more.
-	joined, muted int
-	over          bool
+	// accepted counts the connections so far. Those up to lastMuted no longer forward
+	// anything.
+	accepted, lastMuted int
+	closed              bool
 }
 
-// newProxy listens at address and passes on to far.
+// newProxy listens at address and forwards to far.
 func newProxy(address, far string) (*proxy, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{near: l.Addr().String(), listener: l, far: far, conns: map[net.Conn]bool{}}
-	p.calm = sync.NewCond(&p.mu)
+	p := &proxy{listenAddress: l.Addr().String(), listener: l, farAddress: far, conns: map[net.Conn]bool{}}
+	p.changed = sync.NewCond(&p.mu)
 	go p.accept(l)
 	return p, nil
 }
 
-func (p *proxy) address() string { return p.near }
+func (p *proxy) address() string { return p.listenAddress }
 
-// shut closes the port with all connections, as when the process behind it ends.
-func (p *proxy) shut() {
+// closePort closes the port and all connections, as when the process behind it exits.
+func (p *proxy) closePort() {
 	p.mu.Lock()
 	if p.listener != nil {
 		p.listener.Close()
 		p.listener = nil
 	}
 	p.mu.Unlock()
-	p.reset()
+	p.resetAll()
 }
 
-// open opens the port after shut.
-func (p *proxy) open() error {
+// openPort opens the port after closePort.
+func (p *proxy) openPort() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.over || p.listener != nil {
+	if p.closed || p.listener != nil {
 		return nil
 	}
-	l, err := net.Listen("tcp", p.near)
+	l, err := net.Listen("tcp", p.listenAddress)
 	if err != nil {
 		return err
 	}
@@ -73,41 +74,41 @@
 	return nil
 }
 
-// set changes how bytes are treated from now on; bytes that a cut held back go on once
-// it ends.
-func (p *proxy) set(w wire) {
+// setFaults replaces the injected faults; blocked bytes are forwarded once the block is
+// lifted.
+func (p *proxy) setFaults(faults linkFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wire = w
-	p.calm.Broadcast()
+	p.faults = faults
+	p.changed.Broadcast()
 }
 
-// reset ends all open connections with a reset.
-func (p *proxy) reset() {
+// resetAll closes all open connections with a TCP reset.
+func (p *proxy) resetAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for conn := range p.conns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			// With no time to linger, closing resets.
+			// Closing with a linger time of zero sends a reset.
 			_ = tcp.SetLinger(0)
 		}
 		conn.Close()
 	}
 }
 
-// mute makes all open connections silent for good; new ones work.
-func (p *proxy) mute() {
+// muteOpen stops forwarding on all open connections for good; new ones work.
+func (p *proxy) muteOpen() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.muted = p.joined
+	p.lastMuted = p.accepted
 }
 
 func (p *proxy) close() {
 	p.mu.Lock()
-	p.over = true
-	p.calm.Broadcast()
+	p.closed = true
+	p.changed.Broadcast()
 	p.mu.Unlock()
-	p.shut()
+	p.closePort()
 }
 
 func (p *proxy) accept(l net.Listener) {
@@ -116,53 +117,53 @@
 		if err != nil {
 			return
 		}
-		go p.join(near)
+		go p.relay(near)
 	}
 }
 
-// join connects a near side with the far one.
-func (p *proxy) join(near net.Conn) {
-	far, err := net.DialTimeout("tcp", p.far, time.Second)
+// relay connects a near side with the far one and forwards until both directions end.
+func (p *proxy) relay(near net.Conn) {
+	far, err := net.DialTimeout("tcp", p.farAddress, time.Second)
 	if err != nil {
-		// As if the port were closed.
+		// Resets the connection, as if the port were closed.
 		if tcp, ok := near.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
 		near.Close()
 		return
 	}
-	serial := p.keep(near, far)
+	serial := p.register(near, far)
 	if serial == 0 {
 		return
 	}
 	var wg sync.WaitGroup
 	wg.Add(2)
-	go p.copy(&wg, far, near, func() bool { return p.wire.cutTo || serial <= p.muted })
-	go p.copy(&wg, near, far, func() bool { return p.wire.cutFrom || serial <= p.muted })
+	go p.copyDirection(&wg, far, near, func() bool { return p.faults.blockToFar || serial <= p.lastMuted })
+	go p.copyDirection(&wg, near, far, func() bool { return p.faults.blockFromFar || serial <= p.lastMuted })
 	wg.Wait()
-	p.drop(near, far)
+	p.unregister(near, far)
 }
 
-// keep notes a connection by its two sides and returns its number, zero when the proxy
-// is over.
-func (p *proxy) keep(sides ...net.Conn) int {
+// register adds a connection by its two sides and returns its number, or zero if the
+// proxy is closed.
+func (p *proxy) register(sides ...net.Conn) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range sides {
-		if p.over {
+		if p.closed {
 			c.Close()
 			continue
 		}
 		p.conns[c] = true
 	}
-	if p.over {
+	if p.closed {
 		return 0
 	}
-	p.joined++
-	return p.joined
+	p.accepted++
+	return p.accepted
 }
 
-func (p *proxy) drop(conns ...net.Conn) {
+func (p *proxy) unregister(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
@@ -171,16 +172,16 @@
 	}
 }
 
-// pieceBytes is the size of the pieces that are delayed and held back.
-const pieceBytes = 16 << 10
+// chunkBytes is the largest number of bytes that are delayed or blocked together.
+const chunkBytes = 16 << 10
 
-func (p *proxy) copy(wg *sync.WaitGroup, to, from net.Conn, held func() bool) {
+func (p *proxy) copyDirection(wg *sync.WaitGroup, to, from net.Conn, blocked func() bool) {
 	defer wg.Done()
-	buf := make([]byte, pieceBytes)
+	buf := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			p.hold(held)
+			p.waitWhileBlocked(blocked)
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				from.Close()
 				return
@@ -189,14 +190,14 @@
 		if err == nil {
 			continue
 		}
-		passEnd(to, err)
+		propagateClose(to, err)
 		return
 	}
 }
 
-// passEnd ends a direction as it ended on the other side: in order, so that the other
-// direction may go on, or by a reset.
-func passEnd(to net.Conn, err error) {
+// propagateClose closes a direction in the way in which the other side closed it:
+// half-closed, so that the other direction may go on, or by a reset.
+func propagateClose(to net.Conn, err error) {
 	tcp, ok := to.(*net.TCPConn)
 	if !ok {
 		to.Close()
@@ -210,13 +211,14 @@
 	tcp.Close()
 }
 
-// hold waits as long as the wire asks for; held is called with mu held.
-func (p *proxy) hold(held func() bool) {
+// waitWhileBlocked waits until the bytes may be forwarded; blocked is called with p.mu
+// held.
+func (p *proxy) waitWhileBlocked(blocked func() bool) {
 	p.mu.Lock()
-	for held() && !p.over {
-		p.calm.Wait()
+	for blocked() && !p.closed {
+		p.changed.Wait()
 	}
-	delay := p.wire.delay
+	delay := p.faults.delay
 	p.mu.Unlock()
 	if delay > 0 {
 		time.Sleep(delay)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak runs the real node programs as separate processes against stand-ins of
-// the store and the workers, harms them from outside by a plan that a seed repeats,
-// and checks the promises by what clients and workers see.
+// Package soak runs the real node programs as separate processes against stand-ins of the
+// store and the workers, injects faults from outside by a plan that a seed reproduces,
+// and checks the nodes' guarantees by what clients and workers observe.
 package soak
 
 import (
@@ -20,48 +20,50 @@
 	"gypsumstand/platform/standin"
 )
 
-// Config is one soak.
+// Config holds the settings of one soak.
 type Config struct {
-	// Program is the node's program file.
+	// Program is the file of the node's program.
 	Program string
-	// Dir takes settings and logs.
+	// Dir is the directory for settings and logs.
 	Dir  string
 	Seed uint64
-	// Machines is the number of nodes, Length how long clients send.
+	// Machines is the number of nodes, Length the time for which clients send requests.
 	Machines int
 	Length   time.Duration
-	// Plan is the list of kinds that the plan is drawn from.
+	// Plan names the list of kinds that the plan is drawn from.
 	Plan PlanVersion
 }
 
-// Report is what a soak found.
+// Report holds the results of a soak.
 type Report struct {
 	Plan       string
 	Violations []string
 	Requests   int
 	Served     int
-	// ApplyDelays are the times that versions took to be in force at machines in touch, in
-	// order.
+	// ApplyDelays are the delays, sorted, from the writing of a version until an
+	// undisturbed machine had it active.
 	ApplyDelays []time.Duration
-	// StoreCalls counts the calls to the store, Took is how long the soak took.
+	// StoreCalls counts the calls to the store, Elapsed is the duration of the soak.
 	StoreCalls int
 	Elapsed    time.Duration
 }
 
-// ApplySummary words how long configurations took to be in force.
+// ApplySummary describes the delays with which configurations became active.
 func (r Report) ApplySummary() string {
 	n := len(r.ApplyDelays)
 	if n == 0 {
-		return "no configuration at a machine in touch"
+		return "no configuration at an undisturbed machine"
 	}
-	return fmt.Sprintf("configurations at machines in touch: %d, median %s, longest %s; %.1f calls to the store a second",
+	return fmt.Sprintf("configurations at undisturbed machines: %d, median delay %s, longest %s; %.1f calls to the store a second",
 		n, r.ApplyDelays[n/2].Round(time.Millisecond), r.ApplyDelays[n-1].Round(time.Millisecond), float64(r.StoreCalls)/r.Elapsed.Seconds())
 }
 
-// clientsPerMachine send one request after the other.
+// clientsPerMachine is the number of clients of a machine, each with one request in
+// flight.
 const clientsPerMachine = 3
 
-// Run plays one soak. The error tells why it could not be played.
+// Run runs one soak. The error reports why it could not run; violations are in the
+// report.
 func Run(ctx context.Context, cfg Config) (Report, error) {
 	l := newLedger()
 	f, err := newFleet(ctx, cfg, l)
@@ -71,7 +73,7 @@
 	if err := f.awaitReady(ctx); err != nil {
 		return Report{}, fmt.Errorf("%w; %v", err, f.close())
 	}
-	began := time.Now()
+	start := time.Now()
 	p := makePlan(cfg.Seed, cfg.Machines, cfg.Length, cfg.Plan)
 	clientsCtx, stopClients := context.WithCancel(ctx)
 	go l.watchStalls(clientsCtx)
@@ -83,15 +85,15 @@
 			newClient(f, i, cfg.Seed).run(clientsCtx)
 		}()
 	}
-	f.play(clientsCtx, p)
-	defer f.deadly.Wait()
-	l.lastEnd = time.Now()
-	sleep(ctx, calmEnd)
+	f.playPlan(clientsCtx, p)
+	defer f.deadlyCallers.Wait()
+	l.lastFaultEnd = time.Now()
+	sleep(ctx, faultFreeEnd)
 	l.endWatches()
 	stopClients()
 	clients.Wait()
-	f.watching.Wait()
-	report := Report{Plan: p.String(), Violations: l.check(), Requests: len(l.order), ApplyDelays: l.delays, StoreCalls: f.store.Calls(), Elapsed: time.Since(began)}
+	f.watchers.Wait()
+	report := Report{Plan: p.String(), Violations: l.check(), Requests: len(l.order), ApplyDelays: l.applyDelays, StoreCalls: f.store.Calls(), Elapsed: time.Since(start)}
 	for _, r := range l.order {
 		if r.status == http.StatusOK {
 			report.Served++
@@ -100,17 +102,17 @@
 	return report, f.close()
 }
 
-// startTime bounds the start of the whole fleet.
-const startTime = 20 * time.Second
+// startTimeout bounds the start of the whole fleet.
+const startTimeout = 20 * time.Second
 
 // awaitReady waits until every node is ready.
 func (f *fleet) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startTime)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for _, m := range f.machines {
 		for !m.ready(ctx) {
 			if ctx.Err() != nil {
-				return fmt.Errorf("node %d is not ready after %s", m.index, startTime)
+				return fmt.Errorf("node %d is not ready after %s", m.index, startTimeout)
 			}
 			sleep(ctx, 50*time.Millisecond)
 		}
@@ -140,229 +142,229 @@
 	}
 }
 
-// play makes the troubles of a plan and waits for the end of all of them.
-func (f *fleet) play(ctx context.Context, p plan) {
-	began := time.Now()
+// playPlan injects the faults of a plan and waits until all of them are over.
+func (f *fleet) playPlan(ctx context.Context, p plan) {
+	start := time.Now()
 	var wg sync.WaitGroup
-	for _, t := range p {
-		sleep(ctx, time.Until(began.Add(t.at)))
+	for _, flt := range p {
+		sleep(ctx, time.Until(start.Add(flt.at)))
 		if ctx.Err() != nil {
 			break
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			f.make(ctx, t)
+			f.injectFault(ctx, flt)
 		}()
 	}
 	wg.Wait()
-	// What overlapped may have left a node down.
+	// Overlapping faults may have left a node down.
 	for _, m := range f.machines {
-		m.startAgain()
+		m.startNodeIfDown()
 	}
 }
 
-// make makes one trouble and ends it.
-func (f *fleet) make(ctx context.Context, t trouble) {
-	m := f.machines[t.machine]
-	switch t.kind {
+// injectFault injects one fault and ends it after its duration.
+func (f *fleet) injectFault(ctx context.Context, flt fault) {
+	m := f.machines[flt.machine]
+	switch flt.kind {
 	case kindConfig:
 		f.configure(ctx)
 		return
 	case kindDeadly:
-		f.startDeadly(ctx, t, deadlyClass)
+		f.startDeadly(ctx, flt, deadlyClass)
 		return
-	case kindLate:
-		f.startDeadly(ctx, t, lateClass)
+	case kindDeadlyLate:
+		f.startDeadly(ctx, flt, lateClass)
 		return
-	case kindPair:
-		f.startPair(ctx, t)
+	case kindDeadlyPair:
+		f.startDeadlyPair(ctx, flt)
 		return
-	case kindForget:
+	case kindCompact:
 		f.store.Compact()
 		return
 	case kindEvacuate:
-		f.evacuate(ctx, t)
+		f.evacuate(ctx, flt)
 		return
-	case kindChill:
-		m.chill(t.lasts)
+	case kindWorkerCold:
+		m.setCold(flt.duration)
 		return
-	case kindAlone:
-		f.leaveAlone(ctx, t)
+	case kindIsolate:
+		f.isolate(ctx, flt)
 		return
-	case kindListed:
-		if err := f.listSilent(ctx, t); err != nil {
-			f.ledger.violate("soak", "silent nodes: %v", err)
+	case kindUnresponsivePeers:
+		if err := f.listUnresponsive(ctx, flt); err != nil {
+			f.ledger.recordViolation("soak", "open unresponsive nodes: %v", err)
 		}
 		return
-	case kindChanges:
-		f.changeAgainAndAgain(ctx, t)
+	case kindConfigSeries:
+		f.configureRepeatedly(ctx, flt)
 		return
 	case kindStoreDown, kindStoreSlow:
-		defer f.ledger.begin(-1, false)()
+		defer f.ledger.beginFault(-1, false)()
 		faults := standin.StoreFaults{Status: http.StatusServiceUnavailable}
-		if t.machine%2 == 0 {
+		if flt.machine%2 == 0 {
 			faults = standin.StoreFaults{Hang: true}
 		}
-		if t.kind == kindStoreSlow {
+		if flt.kind == kindStoreSlow {
 			faults = standin.StoreFaults{Delay: 400 * time.Millisecond}
 		}
 		f.store.SetFaults(faults)
-		sleep(ctx, t.lasts)
+		sleep(ctx, flt.duration)
 		f.store.SetFaults(standin.StoreFaults{})
 		return
 	case kindTerm, kindHangUp:
-		defer f.ledger.begin(t.machine, true)()
-		m.planned(t.kind)
+		defer f.ledger.beginFault(flt.machine, true)()
+		m.stopOrReload(flt.kind)
 		return
-	case kindDrain:
-		defer f.ledger.begin(t.machine, true)()
-		m.drain(ctx)
+	case kindWorkerDrain:
+		defer f.ledger.beginFault(flt.machine, true)()
+		m.drainWorker(ctx)
 		return
 	case kindKillMany:
-		f.killMany(ctx, t)
+		f.killMany(ctx, flt)
 		return
-	case kindForeign:
-		defer f.ledger.begin(t.machine, true)()
-		m.replaceEntry(ctx, t)
+	case kindForeignWriter:
+		defer f.ledger.beginFault(flt.machine, true)()
+		m.replaceEntry(ctx, flt)
 		return
-	case kindCutConfig:
-		// It begins when the machine is in reach again.
+	case kindPartitionConfig:
+		// The configuration is written once the machine is reachable again.
 		defer f.configure(ctx)
 	}
-	defer f.ledger.begin(t.machine, false)()
-	if t.kind.bunches() {
-		defer f.ledger.bunched(t.machine)()
+	defer f.ledger.beginFault(flt.machine, false)()
+	if flt.kind.causesBursts() {
+		defer f.ledger.beginBursts(flt.machine)()
 	}
-	m.harm(ctx, t)
-	sleep(ctx, t.lasts)
-	m.mend(t)
+	m.applyFault(ctx, flt)
+	sleep(ctx, flt.duration)
+	m.endFault(flt)
 }
 
-func (m *machine) planned(k kind) {
+func (m *machine) stopOrReload(k kind) {
 	if k == kindHangUp {
-		m.signal(syscall.SIGHUP, false)
+		m.signalNode(syscall.SIGHUP, false)
 		return
 	}
-	m.stopGracefully()
-	m.startAgain()
+	m.stopNode()
+	m.startNodeIfDown()
 }
 
-// drainLife is how long a worker that drains goes on.
-const drainLife = 3500 * time.Millisecond
+// drainDuration is how long a worker drains before it is replaced.
+const drainDuration = 3500 * time.Millisecond
 
-func (m *machine) drain(ctx context.Context) {
-	life := m.worker.ID()
-	m.list(names.StateDraining)
-	m.fleet.ledger.draining(life)
-	sleep(ctx, drainLife)
-	if m.worker.ID() == life {
-		m.nextLife()
+func (m *machine) drainWorker(ctx context.Context) {
+	id := m.worker.ID()
+	m.listWorker(names.StateDraining)
+	m.fleet.ledger.recordDraining(id)
+	sleep(ctx, drainDuration)
+	if m.worker.ID() == id {
+		m.replaceWorker()
 	}
 }
 
-// replaceEntry lets another writer replace the worker's entry for a while, and put one of
-// an unknown service beside it.
-func (m *machine) replaceEntry(ctx context.Context, t trouble) {
+// replaceEntry simulates another writer that replaces the worker's entry for a while and
+// adds an entry of an unknown service.
+func (m *machine) replaceEntry(ctx context.Context, flt fault) {
 	id := m.worker.ID()
-	m.fleet.store.Put(names.WorkerKeyPrefix+id, standin.InvalidWorkerValues[int(t.lasts)%len(standin.InvalidWorkerValues)])
-	m.fleet.ledger.draining(id)
-	beside := m.entry(names.StateReady)
-	beside.ID, beside.Service = "beside-"+id, "nobody"
-	m.fleet.store.PutWorker(beside)
-	sleep(ctx, t.lasts)
-	m.fleet.store.Remove(names.WorkerKeyPrefix + beside.ID)
+	m.fleet.store.Put(names.WorkerKeyPrefix+id, standin.InvalidWorkerValues[int(flt.duration)%len(standin.InvalidWorkerValues)])
+	m.fleet.ledger.recordDraining(id)
+	extra := m.workerEntry(names.StateReady)
+	extra.ID, extra.Service = "beside-"+id, "nobody"
+	m.fleet.store.PutWorker(extra)
+	sleep(ctx, flt.duration)
+	m.fleet.store.Remove(names.WorkerKeyPrefix + extra.ID)
 	if m.worker.ID() == id {
-		m.fleet.ledger.listed(id)
-		m.list(names.StateReady)
+		m.fleet.ledger.recordListed(id)
+		m.listWorker(names.StateReady)
 	}
 }
 
 // killMany kills every other node at once.
-func (f *fleet) killMany(ctx context.Context, t trouble) {
+func (f *fleet) killMany(ctx context.Context, flt fault) {
 	for i, m := range f.machines {
-		if i%2 != t.machine%2 {
+		if i%2 != flt.machine%2 {
 			continue
 		}
-		defer f.ledger.begin(i, false)()
-		m.signal(syscall.SIGKILL, true)
+		defer f.ledger.beginFault(i, false)()
+		m.signalNode(syscall.SIGKILL, true)
 	}
-	sleep(ctx, t.lasts)
+	sleep(ctx, flt.duration)
 	for _, m := range f.machines {
-		m.startAgain()
+		m.startNodeIfDown()
 	}
 }
 
-// harm begins a trouble of one machine.
-func (m *machine) harm(ctx context.Context, t trouble) {
-	wires := []*proxy{m.peerWire, m.storeWire, m.workerWire}
-	each := func(w wire) {
-		for _, p := range wires {
-			p.set(w)
+// applyFault begins a fault of one machine.
+func (m *machine) applyFault(ctx context.Context, flt fault) {
+	proxies := []*proxy{m.peerProxy, m.storeProxy, m.workerProxy}
+	setAll := func(faults linkFaults) {
+		for _, p := range proxies {
+			p.setFaults(faults)
 		}
 	}
-	switch t.kind {
+	switch flt.kind {
 	case kindKill:
-		m.signal(syscall.SIGKILL, true)
+		m.signalNode(syscall.SIGKILL, true)
 	case kindPause:
-		m.signal(syscall.SIGSTOP, false)
+		m.signalNode(syscall.SIGSTOP, false)
 	case kindDelay:
-		each(wire{delay: 30 * time.Millisecond})
+		setAll(linkFaults{delay: 30 * time.Millisecond})
 	case kindReset:
-		for _, p := range wires {
-			p.reset()
+		for _, p := range proxies {
+			p.resetAll()
 		}
 	case kindMute:
-		for _, p := range wires {
-			p.mute()
+		for _, p := range proxies {
+			p.muteOpen()
 		}
-	case kindStalls:
-		m.stall(ctx, t.lasts)
-	case kindReborn:
-		m.crash()
+	case kindStallSeries:
+		m.stallRepeatedly(ctx, flt.duration)
+	case kindWorkerRestart:
+		m.restartWorker()
 	case kindCutOneWay:
-		each(wire{cutFrom: true})
-	case kindSilence, kindCutConfig:
-		each(wire{cutTo: true, cutFrom: true})
+		setAll(linkFaults{blockFromFar: true})
+	case kindPartition, kindPartitionConfig:
+		setAll(linkFaults{blockToFar: true, blockFromFar: true})
 	case kindStoreCut:
-		m.storeWire.set(wire{cutTo: true, cutFrom: true})
-	case kindAnswers:
-		m.setSpoil(standin.ResponseFaults[int(t.lasts)%len(standin.ResponseFaults)])
-	case kindShed:
+		m.storeProxy.setFaults(linkFaults{blockToFar: true, blockFromFar: true})
+	case kindBadResponses:
+		m.setResponseFault(standin.ResponseFaults[int(flt.duration)%len(standin.ResponseFaults)])
+	case kindWorkerShed:
 		m.worker.SetShedding(true)
-	case kindPace:
+	case kindWorkerSlow:
 		m.worker.SetSlowdown(400)
 	}
 }
 
-// mend ends a trouble of one machine.
-func (m *machine) mend(t trouble) {
-	switch t.kind {
+// endFault ends a fault of one machine.
+func (m *machine) endFault(flt fault) {
+	switch flt.kind {
 	case kindKill:
-		m.startAgain()
+		m.startNodeIfDown()
 	case kindPause:
-		m.signal(syscall.SIGCONT, false)
-	case kindAnswers:
-		m.setSpoil("")
-	case kindShed:
+		m.signalNode(syscall.SIGCONT, false)
+	case kindBadResponses:
+		m.setResponseFault("")
+	case kindWorkerShed:
 		m.worker.SetShedding(false)
-	case kindPace:
+	case kindWorkerSlow:
 		m.worker.SetSlowdown(100)
 	default:
-		for _, p := range []*proxy{m.peerWire, m.storeWire, m.workerWire} {
-			p.set(wire{})
+		for _, p := range []*proxy{m.peerProxy, m.storeProxy, m.workerProxy} {
+			p.setFaults(linkFaults{})
 		}
 	}
 }
 
-// client sends requests to the node of its machine, over connections that it keeps.
+// client sends requests to the node of its machine over persistent connections.
 type client struct {
-	fleet   *fleet
-	machine *machine
-	name    string
-	rng     *rand.Rand
-	http    *http.Client
-	sent    int
+	fleet     *fleet
+	machine   *machine
+	name      string
+	rng       *rand.Rand
+	http      *http.Client
+	sentCount int
 }
 
 func newClient(f *fleet, i int, seed uint64) *client {
@@ -376,14 +378,14 @@
 func (c *client) run(ctx context.Context) {
 	defer c.http.CloseIdleConnections()
 	for ctx.Err() == nil {
-		c.ask(ctx)
+		c.sendNext(ctx)
 		sleep(ctx, time.Duration(5+c.rng.IntN(40))*time.Millisecond)
 	}
 }
 
-// draw chooses what is asked for: class and service.
-func (c *client) draw() (class, service string) {
-	newest := c.fleet.newest()
+// drawRequest draws the class and the service of the next request.
+func (c *client) drawRequest() (class, service string) {
+	version := c.fleet.newest()
 	switch n := c.rng.IntN(20); {
 	case n < 7:
 		return "order", serviceOrders
@@ -394,27 +396,27 @@
 	case n < 17:
 		return classSplit, ""
 	case n < 18:
-		return generation(max(1, newest-c.rng.IntN(2*keptVersions))), serviceCatalogue
+		return generationClass(max(1, version-c.rng.IntN(2*generationVersions))), serviceCatalogue
 	}
-	return generation(newest), serviceCatalogue
+	return generationClass(version), serviceCatalogue
 }
 
-// ask sends one request and notes its end. Requests under way when the clients stop
-// are waited for.
-func (c *client) ask(ctx context.Context) {
-	c.sent++
-	class, service := c.draw()
-	r := &request{id: fmt.Sprintf("%s-%d", c.name, c.sent), class: class, service: service, machine: c.machine.index}
-	c.exchange(ctx, r, fmt.Sprintf("/%s/%d?ms=%d", class, c.sent, 2+c.rng.IntN(40)), r.id)
+// sendNext sends one request and records its result. Requests in flight are completed
+// after the clients stop.
+func (c *client) sendNext(ctx context.Context) {
+	c.sentCount++
+	class, service := c.drawRequest()
+	r := &request{id: fmt.Sprintf("%s-%d", c.name, c.sentCount), class: class, service: service, machine: c.machine.index}
+	c.send(ctx, r, fmt.Sprintf("/%s/%d?ms=%d", class, c.sentCount, 2+c.rng.IntN(40)), r.id)
 }
 
-// exchange sends a request with a body and notes its end.
-func (c *client) exchange(ctx context.Context, r *request, uri, text string) {
+// send sends a request with a body and records its result.
+func (c *client) send(ctx context.Context, r *request, uri, text string) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 2*routeTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.machine.caller+uri, io.NopCloser(strings.NewReader(text)))
 	if err != nil {
-		c.fleet.ledger.violate("soak", "%v", err)
+		c.fleet.ledger.recordViolation("soak", "%v", err)
 		return
 	}
 	req.ContentLength = int64(len(text))
@@ -422,10 +424,10 @@
 	req.Header.Set(names.RequestID, r.id)
 	req.Header.Set(names.Deadline, fmt.Sprint(2*routeTimeout.Milliseconds()))
 	upstream.PreventReplay(req)
-	c.fleet.ledger.send(r)
+	c.fleet.ledger.recordSend(r)
 	resp, err := c.http.Do(req)
 	if err != nil {
-		c.fleet.ledger.answered(r, nil, nil, nil)
+		c.fleet.ledger.recordResponse(r, nil, nil, nil)
 		return
 	}
 	defer resp.Body.Close()
@@ -435,5 +437,5 @@
 	} else if body == nil {
 		body = []byte{}
 	}
-	c.fleet.ledger.answered(r, resp, body, func(service string) string { return standin.ResponseBody(service, http.MethodPost, uri, text) })
+	c.fleet.ledger.recordResponse(r, resp, body, func(service string) string { return standin.ResponseBody(service, http.MethodPost, uri, text) })
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// A short soak with fixed seeds: what ever failed is kept here with its cause.
+// Seeds of short soaks that failed once, each with the cause.
 //
-//	101: a hang-up during a planned stop ended the process
+//	101: a SIGHUP during a planned stop ended the process
 var regressionSeeds = []uint64{101}
 
-// buildNode builds the node's program.
+// buildNode builds the node's program and returns its file.
 func buildNode(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "gypsumside")
@@ -23,8 +23,8 @@
 	return program
 }
 
-// play plays a soak and fails the test for each promise that it finds broken.
-func play(t *testing.T, cfg Config) Report {
+// playSoak runs a soak and fails the test for each violation.
+func playSoak(t *testing.T, cfg Config) Report {
 	t.Helper()
 	cfg.Dir = t.TempDir()
 	report, err := Run(t.Context(), cfg)
@@ -38,44 +38,46 @@
 	return report
 }
 
-func TestSeedsThatOnceFailedHold(t *testing.T) {
+func TestRegressionSeeds(t *testing.T) {
 	program := buildNode(t)
 	for _, seed := range regressionSeeds {
-		play(t, Config{Program: program, Seed: seed, Machines: 6, Length: 24 * time.Second, Plan: PlanFirst})
+		playSoak(t, Config{Program: program, Seed: seed, Machines: 6, Length: 24 * time.Second, Plan: PlanFirst})
 	}
 }
 
-// With all others stopped a node waited for them to read, and a part of weight 0 got requests.
-func TestAMachineThatIsLeftAloneTakesChangesInTime(t *testing.T) {
-	report := play(t, Config{Program: buildNode(t), Seed: 1, Machines: 10, Length: 30 * time.Second, Plan: PlanSpared})
-	if !strings.Contains(report.Plan, string(kindAlone)) || len(report.ApplyDelays) == 0 {
-		t.Errorf("nobody was left alone, or nothing was measured:\n%s", report.Plan)
+// With all other nodes stopped, a node once waited for them to read its messages, and a
+// destination of weight 0 got requests.
+func TestIsolatedMachineAppliesConfigurationsInTime(t *testing.T) {
+	report := playSoak(t, Config{Program: buildNode(t), Seed: 1, Machines: 10, Length: 30 * time.Second, Plan: PlanSpared})
+	if !strings.Contains(report.Plan, string(kindIsolate)) || len(report.ApplyDelays) == 0 {
+		t.Errorf("no machine was isolated, or no delay was measured:\n%s", report.Plan)
 	}
 }
 
-// A soak in which callers send requests that end workers, among other troubles. The seed
-// was chosen for its plan, which begins with one.
-func TestADeadlyRequestAmongOtherTroublesIsKeptFromWorkers(t *testing.T) {
-	report := play(t, Config{Program: buildNode(t), Seed: 11, Machines: 6, Length: 24 * time.Second, Plan: PlanThird})
+// Callers send requests that crash workers, among other faults. The seed's plan begins
+// with one.
+func TestDeadlyRequestAmongOtherFaultsIsQuarantined(t *testing.T) {
+	report := playSoak(t, Config{Program: buildNode(t), Seed: 11, Machines: 6, Length: 24 * time.Second, Plan: PlanThird})
 	if !strings.Contains(report.Plan, string(kindDeadly)) {
 		t.Errorf("the plan has no deadly request:\n%s", report.Plan)
 	}
 }
 
-// Two such requests from one moment on, and one whose callers have left when its worker ends.
-func TestSeveralDeadlyRequestsAmongOtherTroublesAreKeptFromWorkers(t *testing.T) {
-	report := play(t, Config{Program: buildNode(t), Seed: 5, Machines: 6, Length: 24 * time.Second, Plan: PlanFifth})
-	for _, k := range []kind{kindPair, kindLate} {
+// Two deadly requests start at the same time, and one crashes its workers after its
+// callers have timed out.
+func TestSeveralDeadlyRequestsAmongOtherFaultsAreQuarantined(t *testing.T) {
+	report := playSoak(t, Config{Program: buildNode(t), Seed: 5, Machines: 6, Length: 24 * time.Second, Plan: PlanFifth})
+	for _, k := range []kind{kindDeadlyPair, kindDeadlyLate} {
 		if !strings.Contains(report.Plan, string(k)) {
 			t.Errorf("the plan has no %s:\n%s", k, report.Plan)
 		}
 	}
 }
 
-// Evacuations and cold workers beside each other, restarts and kills.
-func TestEvacuatedZonesAndColdWorkersGetNoMoreThanTheyMay(t *testing.T) {
-	report := play(t, Config{Program: buildNode(t), Seed: 2, Machines: 6, Length: 24 * time.Second, Plan: PlanZones})
-	for _, k := range []kind{kindEvacuate, kindChill} {
+// Evacuations and cold workers coincide with restarts and kills.
+func TestEvacuatedZonesAndColdWorkersStayWithinLimits(t *testing.T) {
+	report := playSoak(t, Config{Program: buildNode(t), Seed: 2, Machines: 6, Length: 24 * time.Second, Plan: PlanZones})
+	for _, k := range []kind{kindEvacuate, kindWorkerCold} {
 		if !strings.Contains(report.Plan, string(k)) {
 			t.Errorf("the plan has no %s:\n%s", k, report.Plan)
 		}
--- a/internal/soak/versions.go
+++ b/internal/soak/versions.go
@@ -12,59 +12,63 @@
 	"gypsumstand/platform/standin"
 )
 
-// Checks of configurations.
+// Limits of the checks on configurations.
 const (
-	// applyTime is the longest from a configuration's writing until it is in force on
-	// machines in touch; what these stood still for want of a processor comes on top.
-	applyTime = 2 * time.Second
-	// watchTime is how long a machine is watched for a version, and watchEvery how often.
-	watchTime  = 6 * time.Second
-	watchEvery = 20 * time.Millisecond
-	// regressSlack is how long after a run under a version requests may still be
-	// handled as an older one has it.
+	// maxApplyTime bounds the time from the writing of a configuration until it is active
+	// on undisturbed machines; the time for which these stalled on an overloaded host is
+	// added.
+	maxApplyTime = 2 * time.Second
+	// watchTimeout is how long a machine is watched for a version, watchInterval the time
+	// between two queries.
+	watchTimeout  = 6 * time.Second
+	watchInterval = 20 * time.Millisecond
+	// regressSlack is how long after a run under a version requests may still be handled
+	// under an older one.
 	regressSlack = 250 * time.Millisecond
-	// addedLeast requests of added routes must have been asked before their share
-	// served counts, and addedShare is the least part of what other routes are served.
-	addedLeast, addedShare = 20, 0.25
-	// stallLeast is the lateness from which a machine is held to have stood still.
-	stallEvery, stallLeast = 10 * time.Millisecond, 100 * time.Millisecond
+	// minAddedRequests is the number of requests on added routes, and on the others, from
+	// which their shares served are compared; minAddedShare is the least ratio of the two
+	// shares.
+	minAddedRequests, minAddedShare = 20, 0.25
+	// minStall is the lateness from which a machine counts as stalled, stallCheckInterval
+	// the expected time between two checks of the host.
+	stallCheckInterval, minStall = 10 * time.Millisecond, 100 * time.Millisecond
 )
 
-// inForce is when a machine had a version, or a later one, in force.
-type inForce struct {
+// activation is when a machine had a version, or a later one, active.
+type activation struct {
 	machine, version int
-	// at is zero when it had not within watchTime.
+	// at is zero if the version was not active within watchTimeout.
 	at time.Time
 }
 
-// watchVersion notes when each machine has a version in force.
+// watchVersion records when each machine has a version active.
 func (f *fleet) watchVersion(ctx context.Context, version int) {
 	for _, m := range f.machines {
-		f.watching.Add(1)
+		f.watchers.Add(1)
 		go func() {
-			defer f.watching.Done()
-			f.ledger.tookForce(inForce{machine: m.index, version: version, at: m.awaitVersion(ctx, version)})
+			defer f.watchers.Done()
+			f.ledger.recordActivation(activation{machine: m.index, version: version, at: m.awaitVersion(ctx, version)})
 		}()
 	}
 }
 
-// awaitVersion returns when the node had a version in force.
+// awaitVersion returns when the node had a version active, or zero after watchTimeout.
 func (m *machine) awaitVersion(ctx context.Context, version int) time.Time {
-	ctx, cancel := context.WithTimeout(ctx, watchTime)
+	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		asked := time.Now()
+		queried := time.Now()
 		got := m.version(ctx)
-		m.fleet.ledger.noteStall(m.index, asked)
+		m.fleet.ledger.recordStall(m.index, queried)
 		if got >= version {
 			return time.Now()
 		}
-		sleep(ctx, watchEvery)
+		sleep(ctx, watchInterval)
 	}
 	return time.Time{}
 }
 
-// version returns the version that the node says is in force, zero when it says none.
+// version returns the version that the node reports as active, or zero.
 func (m *machine) version(ctx context.Context) int {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.operator+status.NodePath, nil)
 	if err != nil {
@@ -82,23 +86,24 @@
 	return int(n.Bundles[0].Version)
 }
 
-// everywhere stands for the machine that runs the soak, and so all nodes.
-const everywhere = -1
+// soakHost stands for the host that runs the soak, and so for all nodes.
+const soakHost = -1
 
-// watchStalls notes when the machine that runs the soak stood still, until ctx ends.
+// watchStalls records the stalls of the host that runs the soak, until ctx ends.
 func (l *ledger) watchStalls(ctx context.Context) {
 	for ctx.Err() == nil {
 		last := time.Now()
-		sleep(ctx, stallEvery)
-		l.noteStall(everywhere, last)
+		sleep(ctx, stallCheckInterval)
+		l.recordStall(soakHost, last)
 	}
 }
 
-// noteStall notes that a node, or everything, stood still from a moment until now, if it was
-// for long enough: whoever answers a plain question that late has had no processor.
-func (l *ledger) noteStall(machine int, from time.Time) {
+// recordStall records that a node, or the host, stalled from a moment until now if that
+// took at least minStall: a response to a trivial query that is so late means that the
+// node had no processor.
+func (l *ledger) recordStall(machine int, from time.Time) {
 	now := time.Now()
-	if now.Sub(from) < stallLeast {
+	if now.Sub(from) < minStall {
 		return
 	}
 	l.mu.Lock()
@@ -106,100 +111,102 @@
 	l.stalls[machine] = append(l.stalls[machine], span{from: from, to: now})
 }
 
-// stalled is how long a machine stood still between two moments.
-func (l *ledger) stalled(machine int, from, to time.Time) time.Duration {
-	return max(overlap(l.stalls[machine], from, to), overlap(l.stalls[everywhere], from, to))
+// stalledFor returns how long a machine stalled between two moments.
+func (l *ledger) stalledFor(machine int, from, to time.Time) time.Duration {
+	return max(overlap(l.stalls[machine], from, to), overlap(l.stalls[soakHost], from, to))
 }
 
 func overlap(spans []span, from, to time.Time) time.Duration {
-	var sum time.Duration
+	var total time.Duration
 	for _, s := range spans {
 		if s.from.Before(to) && s.to.After(from) {
-			sum += s.to.Sub(s.from)
+			total += s.to.Sub(s.from)
 		}
 	}
-	return sum
+	return total
 }
 
-// endWatches notes that nothing is watched from now on.
+// endWatches records that versions are no longer watched from now on.
 func (l *ledger) endWatches() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.over = time.Now()
+	l.watchEnd = time.Now()
 }
 
-func (l *ledger) tookForce(e inForce) {
+func (l *ledger) recordActivation(a activation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.inForce = append(l.inForce, e)
+	l.activations = append(l.activations, a)
 }
 
-// checkInForce holds machines in touch to the bound, and returns their delays in order.
-func (l *ledger) checkInForce() []time.Duration {
+// checkActivations checks the delays of undisturbed machines and returns them, sorted.
+func (l *ledger) checkActivations() []time.Duration {
 	var delays []time.Duration
-	for _, e := range l.inForce {
-		written := l.versions[e.version]
-		until := e.at
+	for _, a := range l.activations {
+		written := l.versions[a.version]
+		until := a.at
 		if until.IsZero() {
-			until = written.Add(watchTime)
+			until = written.Add(watchTimeout)
 		}
-		if l.overSince(until) || !l.inTouch(e.machine, written, until) {
+		if l.afterWatchEnd(until) || !l.undisturbed(a.machine, written, until) {
 			continue
 		}
 		delay := until.Sub(written)
 		delays = append(delays, delay)
-		if delay > applyTime+l.stalled(e.machine, written, until) {
-			l.note("config", "machine %d has version %d in force %s after it was written", e.machine, e.version, delay.Round(time.Millisecond))
+		if delay > maxApplyTime+l.stalledFor(a.machine, written, until) {
+			l.addViolation("config", "machine %d has version %d active only %s after it was written", a.machine, a.version, delay.Round(time.Millisecond))
 		}
 	}
 	slices.Sort(delays)
 	return delays
 }
 
-// overSince tells whether a moment is after the soak's end, when nothing is watched.
-func (l *ledger) overSince(at time.Time) bool { return !l.over.IsZero() && at.After(l.over) }
+// afterWatchEnd reports whether a moment is after the end of the watches.
+func (l *ledger) afterWatchEnd(at time.Time) bool {
+	return !l.watchEnd.IsZero() && at.After(l.watchEnd)
+}
 
-// checkVersions holds each request to the versions that may be in force, and each
-// process to never going back.
-func (l *ledger) checkVersions() {
-	for _, r := range l.byEnd() {
-		if !r.tells() {
+// checkServedVersions checks that each request was handled under a version that may be
+// active, and that no process returned to an older version.
+func (l *ledger) checkServedVersions() {
+	for _, r := range l.byCompletion() {
+		if !r.showsVersion() {
 			continue
 		}
-		last := l.newestAt(r.ended)
-		least := l.leastOf(r, 1, last)
-		at := l.lifeAt(r)
+		newest := l.newestAt(r.completed)
+		lowest := l.lowestAllowing(r, 1, newest)
+		process := l.processAt(r)
 		switch {
-		case least == 0:
-			l.note("config", "%s (%s): handled with %d at machine %d as no version allows", r.id, r.class, r.status, r.machine)
-		case l.leastOf(r, l.dueAt(r), last) == 0:
-			l.note("config", "%s (%s): handled with %d at machine %d as only versions before %d allow", r.id, r.class, r.status, r.machine, l.dueAt(r))
-		case l.leastOf(r, max(1, l.seenBefore(at, r)), last) == 0:
-			l.note("config", "%s (%s): machine %d went back", r.id, r.class, r.machine)
+		case lowest == 0:
+			l.addViolation("config", "%s (%s): status %d at machine %d, which no version allows", r.id, r.class, r.status, r.machine)
+		case l.lowestAllowing(r, l.requiredVersion(r), newest) == 0:
+			l.addViolation("config", "%s (%s): status %d at machine %d, which only versions before %d allow", r.id, r.class, r.status, r.machine, l.requiredVersion(r))
+		case l.lowestAllowing(r, max(1, l.observedBefore(process, r)), newest) == 0:
+			l.addViolation("config", "%s (%s): machine %d returned to an older version", r.id, r.class, r.machine)
 		}
-		l.noteSeen(at, r, least)
+		l.recordObservation(process, r, lowest)
 	}
 }
 
-// life is one process of a machine.
-type life struct{ machine, number int }
+// nodeProcess identifies one process of a machine's node; the first has number 1.
+type nodeProcess struct{ machine, number int }
 
-// tells tells whether an end shows which version was in force.
-func (r *request) tells() bool {
+// showsVersion reports whether the result of a request reveals which version was active.
+func (r *request) showsVersion() bool {
 	return !r.deadly() && (r.status == http.StatusNotFound || r.status == http.StatusOK && len(r.runs) > 0)
 }
 
-// allowedBy tells whether a version allows how a request was handled.
+// allowedBy reports whether a version allows how a request was handled.
 func (r *request) allowedBy(version int) bool {
 	if r.status == http.StatusNotFound {
-		return len(partsOf(version, r.class)) == 0
+		return len(destinationsOf(version, r.class)) == 0
 	}
-	return !slices.ContainsFunc(r.runs, func(run standin.Run) bool { return !allows(version, r.class, run.Service) })
+	return !slices.ContainsFunc(r.runs, func(run standin.Run) bool { return !allowsRun(version, r.class, run.Service) })
 }
 
-// leastOf returns the least version from one to another that allows how a request was
-// handled, zero when none does.
-func (l *ledger) leastOf(r *request, from, to int) int {
+// lowestAllowing returns the lowest version from from to to that allows how a request was
+// handled, or zero.
+func (l *ledger) lowestAllowing(r *request, from, to int) int {
 	for v := from; v <= to; v++ {
 		if r.allowedBy(v) {
 			return v
@@ -208,7 +215,7 @@
 	return 0
 }
 
-// newestAt returns the newest version written before a moment.
+// newestAt returns the newest version written by a moment.
 func (l *ledger) newestAt(at time.Time) int {
 	newest := 0
 	for v, written := range l.versions {
@@ -219,55 +226,57 @@
 	return newest
 }
 
-// dueAt returns the version that had to be in force when a request was sent.
-func (l *ledger) dueAt(r *request) int {
-	due := 1
+// requiredVersion returns the version that had to be active when a request was sent.
+func (l *ledger) requiredVersion(r *request) int {
+	required := 1
 	for v, written := range l.versions {
-		bound := applyTime + l.stalled(r.machine, written, r.ended)
-		if r.sent.Sub(written) > bound && l.inTouch(r.machine, written, r.ended) {
-			due = max(due, v)
+		bound := maxApplyTime + l.stalledFor(r.machine, written, r.completed)
+		if r.sent.Sub(written) > bound && l.undisturbed(r.machine, written, r.completed) {
+			required = max(required, v)
 		}
 	}
-	return due
+	return required
 }
 
-// byEnd returns the requests in the order of their ends.
-func (l *ledger) byEnd() []*request {
+// byCompletion returns the requests in the order of their completion.
+func (l *ledger) byCompletion() []*request {
 	out := slices.Clone(l.order)
-	slices.SortStableFunc(out, func(a, b *request) int { return a.ended.Compare(b.ended) })
+	slices.SortStableFunc(out, func(a, b *request) int { return a.completed.Compare(b.completed) })
 	return out
 }
 
-// lifeAt returns the process that took a request; number is zero when it ended meanwhile.
-func (l *ledger) lifeAt(r *request) life {
-	for i, s := range l.lives[r.machine] {
-		if !s.from.After(r.sent) && (s.to.IsZero() || s.to.After(r.ended)) {
-			return life{r.machine, i + 1}
+// processAt returns the process that handled a request; number is zero if it started or
+// exited meanwhile.
+func (l *ledger) processAt(r *request) nodeProcess {
+	for i, s := range l.processSpans[r.machine] {
+		if !s.from.After(r.sent) && (s.to.IsZero() || s.to.After(r.completed)) {
+			return nodeProcess{r.machine, i + 1}
 		}
 	}
-	return life{r.machine, 0}
+	return nodeProcess{r.machine, 0}
 }
 
-// seen is that a process had at least a version in force at a moment.
-type seen struct {
+// observation is that a process had at least a version active at a moment.
+type observation struct {
 	at      time.Time
 	version int
 }
 
-// noteSeen takes that a worker saw a process handle a request by at least a version.
-func (l *ledger) noteSeen(at life, r *request, version int) {
-	if len(r.runs) == 0 || version == 0 || at.number == 0 {
+// recordObservation records that a worker saw a process handle a request under at least a
+// version.
+func (l *ledger) recordObservation(process nodeProcess, r *request, version int) {
+	if len(r.runs) == 0 || version == 0 || process.number == 0 {
 		return
 	}
 	first := slices.MinFunc(r.runs, func(a, b standin.Run) int { return a.StartedAt.Compare(b.StartedAt) })
-	l.seen[at] = append(l.seen[at], seen{first.StartedAt, version})
+	l.observations[process] = append(l.observations[process], observation{first.StartedAt, version})
 }
 
-// seenBefore returns the newest version that a process had shown in force when a request
-// was sent.
-func (l *ledger) seenBefore(at life, r *request) int {
+// observedBefore returns the newest version that a process had shown to be active by
+// regressSlack before a request was sent.
+func (l *ledger) observedBefore(process nodeProcess, r *request) int {
 	newest := 0
-	for _, s := range l.seen[at] {
+	for _, s := range l.observations[process] {
 		if r.sent.Sub(s.at) > regressSlack {
 			newest = max(newest, s.version)
 		}
@@ -275,36 +284,37 @@
 	return newest
 }
 
-// checkAdded compares how often routes that were added later are served with the others.
-func (l *ledger) checkAdded() {
-	var added, other shareServed
+// checkAddedRoutes compares how often routes that were added later are served with how
+// often the others are.
+func (l *ledger) checkAddedRoutes() {
+	var added, other servedCount
 	for _, r := range l.order {
-		if !l.inTouch(r.machine, r.sent, r.ended) || r.deadly() {
+		if !l.undisturbed(r.machine, r.sent, r.completed) || r.deadly() {
 			continue
 		}
 		if r.class == "browse" {
-			other.take(r)
+			other.add(r)
 		}
 		if !strings.HasPrefix(r.class, "gen-") {
 			continue
 		}
-		if due := l.dueAt(r); due >= l.newestAt(r.ended) && len(partsOf(due, r.class)) > 0 {
-			added.take(r)
+		if required := l.requiredVersion(r); required >= l.newestAt(r.completed) && len(destinationsOf(required, r.class)) > 0 {
+			added.add(r)
 		}
 	}
-	if added.asked >= addedLeast && other.asked >= addedLeast && added.share() < addedShare*other.share() {
-		l.note("config", "of %d requests on added routes %d were served, of %d others %d", added.asked, added.served, other.asked, other.served)
+	if added.requests >= minAddedRequests && other.requests >= minAddedRequests && added.share() < minAddedShare*other.share() {
+		l.addViolation("config", "of %d requests on added routes %d were served, of %d on other routes %d", added.requests, added.served, other.requests, other.served)
 	}
 }
 
-// shareServed counts requests and those that were served.
-type shareServed struct{ asked, served int }
+// servedCount counts requests and those of them that were served.
+type servedCount struct{ requests, served int }
 
-func (s *shareServed) take(r *request) {
-	s.asked++
+func (s *servedCount) add(r *request) {
+	s.requests++
 	if r.status == http.StatusOK {
 		s.served++
 	}
 }
 
-func (s *shareServed) share() float64 { return float64(s.served) / float64(s.asked) }
+func (s *servedCount) share() float64 { return float64(s.served) / float64(s.requests) }
--- a/internal/soak/zones.go
+++ b/internal/soak/zones.go
@@ -9,55 +9,58 @@
 	"gypsumstand/platform/standin"
 )
 
-// Bounds of evacuations and of cold workers.
+// Limits of evacuations and of cold workers.
 const (
-	// evacuateTime bounds how long work may go to a zone after its evacuation.
-	evacuateTime = 5 * time.Second
-	// evacuationLasts is the shortest evacuation: the bound, and some time to see it broken.
-	evacuationLasts = evacuateTime + 2*time.Second
-	// coldPerS is what a cold worker bears in a second, coldMost the most that it may get.
-	coldPerS = 13
-	coldMost = 27
-	// coldAfterStart is how long a worker is cold after the start of a life.
-	coldAfterStart = 1500 * time.Millisecond
-	// warmingSettings are the bounds as the nodes' settings give them.
+	// maxEvacuationTime bounds how long work may go to a zone after its evacuation.
+	maxEvacuationTime = 5 * time.Second
+	// minEvacuation is the shortest evacuation: the limit, plus time in which a violation
+	// would show.
+	minEvacuation = maxEvacuationTime + 2*time.Second
+	// coldRequestsPerS is the request rate that a cold worker can take,
+	// maxColdRequestsPerS the most requests that it may receive within a second.
+	coldRequestsPerS    = 13
+	maxColdRequestsPerS = 27
+	// coldDuration is how long a worker is cold after its start.
+	coldDuration = 1500 * time.Millisecond
+	// warmingSettings are the nodes' settings that bound the requests to cold workers.
 	warmingSettings = "warming_ratio = 1.5\nwarming_extra = 8\n"
 )
 
-const zones = 3
+const zoneCount = 3
 
-func zoneOf(machine int) string { return fmt.Sprintf("dc-%d", machine%zones) }
+func zoneOf(machine int) string { return fmt.Sprintf("dc-%d", machine%zoneCount) }
 
-// evacuate empties the zone of a trouble's machine and takes it back. Of two that overlap the
-// last one to end takes it back.
-func (f *fleet) evacuate(ctx context.Context, t trouble) {
-	zone := zoneOf(t.machine)
+// evacuate evacuates the zone of a fault's machine and ends the evacuation. Of
+// overlapping ones, the last to end ends the evacuation.
+func (f *fleet) evacuate(ctx context.Context, flt fault) {
+	zone := zoneOf(flt.machine)
 	f.mu.Lock()
 	f.evacuations[zone]++
 	if f.evacuations[zone] == 1 {
 		f.store.Evacuate(zone, true)
-		f.ledger.evacuated(zone, true)
+		f.ledger.recordEvacuation(zone, true)
 	}
 	f.mu.Unlock()
-	sleep(ctx, evacuationLasts+t.lasts)
+	sleep(ctx, minEvacuation+flt.duration)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.evacuations[zone]--
 	if f.evacuations[zone] == 0 {
-		f.ledger.evacuated(zone, false)
+		f.ledger.recordEvacuation(zone, false)
 		f.store.Evacuate(zone, false)
 	}
 }
 
-// chill makes a worker cold, where the plan has cold workers.
-func (m *machine) chill(d time.Duration) {
+// setCold makes a worker cold if the plan has cold workers.
+func (m *machine) setCold(d time.Duration) {
 	if m.fleet.coldWorkers {
 		m.worker.SetCold(d)
 	}
 }
 
-// evacuated notes that a zone's evacuation was acknowledged, or is about to be taken back.
-func (l *ledger) evacuated(zone string, on bool) {
+// recordEvacuation records that a zone's evacuation was acknowledged, or that it is about
+// to end.
+func (l *ledger) recordEvacuation(zone string, on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if on {
@@ -67,43 +70,45 @@
 	delete(l.evacuations, zone)
 }
 
-// checkEvacuated holds a run against the evacuation of its worker's zone. mu is held.
-func (l *ledger) checkEvacuated(r *request, run standin.Run) {
+// checkEvacuation checks a run against an evacuation of its worker's zone; l.mu is held.
+func (l *ledger) checkEvacuation(r *request, run standin.Run) {
 	machine := workerMachine(run.Worker)
 	at, on := l.evacuations[zoneOf(machine)]
-	if !on || run.StartedAt.Sub(at) <= evacuateTime {
+	if !on || run.StartedAt.Sub(at) <= maxEvacuationTime {
 		return
 	}
-	if l.inTouch(r.machine, run.StartedAt, run.StartedAt) && l.inTouch(machine, run.StartedAt, run.StartedAt) {
-		l.note("evacuated", "%s reaches %s %s after the evacuation of %s", r.id, run.Worker, run.StartedAt.Sub(at), zoneOf(machine))
+	if l.undisturbed(r.machine, run.StartedAt, run.StartedAt) && l.undisturbed(machine, run.StartedAt, run.StartedAt) {
+		l.addViolation("evacuated", "%s reached %s %s after the evacuation of %s", r.id, run.Worker, run.StartedAt.Sub(at), zoneOf(machine))
 	}
 }
 
-// bunches tells whether what a machine sends its worker may come in bunches during a trouble.
-func (k kind) bunches() bool {
+// causesBursts reports whether a machine's worker may receive requests in bursts during a
+// fault of this kind.
+func (k kind) causesBursts() bool {
 	switch k {
-	case kindPause, kindStalls, kindDelay, kindReset, kindCutOneWay, kindSilence, kindCutConfig, kindMute:
+	case kindPause, kindStallSeries, kindDelay, kindReset, kindCutOneWay, kindPartition, kindPartitionConfig, kindMute:
 		return true
 	}
 	return false
 }
 
-// bunched opens a span in which a machine's worker may get bunches, and returns its end.
-func (l *ledger) bunched(machine int) (end func()) {
+// beginBursts opens a span in which a machine's worker may receive bursts, and returns
+// the function that closes it.
+func (l *ledger) beginBursts(machine int) (end func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := len(l.bunches[machine])
-	l.bunches[machine] = append(l.bunches[machine], span{from: time.Now()})
+	index := len(l.burstSpans[machine])
+	l.burstSpans[machine] = append(l.burstSpans[machine], span{from: time.Now()})
 	return func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.bunches[machine][at].to = time.Now()
+		l.burstSpans[machine][index].to = time.Now()
 	}
 }
 
-// checkCold holds the runs of cold workers against what they may get in any second, whoever
-// is in touch. mu is held.
-func (l *ledger) checkCold() {
+// checkColdWorkers checks how many requests cold workers received in any second, also
+// during most faults: only bursts and stalls are excused. l.mu is held.
+func (l *ledger) checkColdWorkers() {
 	runs := map[string][]time.Time{}
 	for _, r := range l.order {
 		for _, run := range r.runs {
@@ -125,12 +130,12 @@
 		for at.Sub(times[from]) >= time.Second {
 			from++
 		}
-		if i-from+1 <= coldMost {
+		if i-from+1 <= maxColdRequestsPerS {
 			continue
 		}
 		since := times[from].Add(-time.Second)
-		if calm(l.bunches[machine], since, at) && calm(l.stalls[machine], since, at) {
-			l.note("cold", "%s got %d requests within a second while it was cold, at most %d are allowed", worker, i-from+1, coldMost)
+		if faultFree(l.burstSpans[machine], since, at) && faultFree(l.stalls[machine], since, at) {
+			l.addViolation("cold", "%s got %d requests within a second while it was cold, limit %d", worker, i-from+1, maxColdRequestsPerS)
 			return
 		}
 	}
