--- a/cmd/gypsumbench/main.go
+++ b/cmd/gypsumbench/main.go
@@ -128,24 +128,24 @@
 const benchMeanMs = 60
 
 func bench(ctx context.Context, s *settings) error {
-	inyange, err := deploy.Load(s.examples, "inyange", deploy.InyangeWorkers)
+	inyange, err := deploy.LoadExample(s.examples, "inyange", deploy.InyangeWorkers)
 	if err != nil {
 		return err
 	}
-	brethyn, err := deploy.Load(s.examples, "brethyn", deploy.BrethynWorkers)
+	brethyn, err := deploy.LoadExample(s.examples, "brethyn", deploy.BrethynWorkers)
 	if err != nil {
 		return err
 	}
-	inyange.MeanMs, brethyn.MeanMs = benchMeanMs, benchMeanMs
+	inyange.MeanServiceMs, brethyn.MeanServiceMs = benchMeanMs, benchMeanMs
 	var m experiment.Measurements
-	m.Added, err = experiment.MeasureAdded(ctx, s.rate, s.repeats, s.duration)
+	m.AddedLatency, err = experiment.MeasureAddedLatency(ctx, s.rate, s.repeats, s.duration)
 	if err != nil {
 		return fmt.Errorf("added time: %w", err)
 	}
 	m.Runs, err = experiment.Compare(ctx, experiment.Options{
 		Deployments: []*deploy.Deployment{inyange, brethyn},
 		Contenders:  experiment.Contenders(),
-		Shares:      []float64{0.6, 0.85, 1.1},
+		LoadShares:  []float64{0.6, 0.85, 1.1},
 		Repeats:     s.repeats,
 		Duration:    s.duration,
 		Progress:    os.Stdout,
--- a/cmd/gypsumcap/main.go
+++ b/cmd/gypsumcap/main.go
@@ -88,7 +88,7 @@
 	var m capacity.Measurements
 	var err error
 	// One node alone comes first: the fleets leave a large heap behind.
-	m.Single, err = capacity.MeasureSingle()
+	m.SingleNode, err = capacity.MeasureSingleNode()
 	if err != nil {
 		return err
 	}
--- a/cmd/gypsumfake/worker.go
+++ b/cmd/gypsumfake/worker.go
@@ -115,7 +115,7 @@
 	for i := range file.Profiles {
 		key := fmt.Sprintf("profile[%d].", i)
 		file.Profiles[i].Check(func(field, message string) {
-			if !doc.Refused(key + field) {
+			if !doc.Rejected(key + field) {
 				doc.Add(key+field, "%s", message)
 			}
 		})
--- a/cmd/gypsumload/main.go
+++ b/cmd/gypsumload/main.go
@@ -99,9 +99,9 @@
 // exitCode tells a broken promise before a failure of the measurement.
 func exitCode(r *load.Result, err error) int {
 	switch {
-	case r != nil && !r.PromisesKept():
+	case r != nil && !r.GuaranteesHeld():
 		return exitBroken
-	case err != nil || !r.StepsDone():
+	case err != nil || !r.StepsSucceeded():
 		return exitFailed
 	}
 	return exitOK
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -37,7 +37,7 @@
 
 func openBundle(t *testing.T, deployment string) *bundle.Bundle {
 	t.Helper()
-	b, err := bundle.Open(deployment, readFile(t, deployment, "bundle.signed"), loadNode(t, deployment).Trusted())
+	b, err := bundle.Open(deployment, readFile(t, deployment, "bundle.signed"), loadNode(t, deployment).TrustedSigners())
 	if err != nil {
 		t.Fatalf("signed bundle:\n%v", err)
 	}
--- a/internal/bundle/check.go
+++ b/internal/bundle/check.go
@@ -39,7 +39,7 @@
 
 // check notes every contradiction of b in doc.
 func check(b *Bundle, doc *tomlfile.Document) {
-	doc.Name("name", string(b.Name))
+	doc.CheckName("name", string(b.Name))
 	if b.Version == 0 {
 		doc.Add("version", "must be at least 1")
 	}
@@ -52,22 +52,22 @@
 }
 
 func checkMeasuring(m *Measuring, doc *tomlfile.Document) {
-	doc.FloatAbove("measuring.per_upstream_per_second", m.PerUpstreamPerSecond, 0, maxMeasuringPerSecond)
-	doc.FloatRange("measuring.poll_share", m.PollShare, minPollShare, 1)
+	doc.CheckFloatAbove("measuring.per_upstream_per_second", m.PerUpstreamPerSecond, 0, maxMeasuringPerSecond)
+	doc.CheckFloatRange("measuring.poll_share", m.PollShare, minPollShare, 1)
 }
 
 func checkRetry(r *Retry, doc *tomlfile.Document) {
-	doc.IntRange("retry.per_path", int64(r.PerPath), 0, maxRetryPerPath)
-	doc.FloatRange("retry.ratio", r.Ratio, 0, 1)
-	doc.FloatRange("retry.hedge_after_quantile", r.HedgeAfterQuantile, 0, maxHedgeQuantile)
-	doc.IntRange("retry.moves", int64(r.Moves), 0, maxMoves)
-	doc.FloatRange("retry.fleet_extra", r.FleetExtra, 0, maxFleetExtra)
+	doc.CheckIntRange("retry.per_path", int64(r.PerPath), 0, maxRetryPerPath)
+	doc.CheckFloatRange("retry.ratio", r.Ratio, 0, 1)
+	doc.CheckFloatRange("retry.hedge_after_quantile", r.HedgeAfterQuantile, 0, maxHedgeQuantile)
+	doc.CheckIntRange("retry.moves", int64(r.Moves), 0, maxMoves)
+	doc.CheckFloatRange("retry.fleet_extra", r.FleetExtra, 0, maxFleetExtra)
 }
 
 func checkCallers(c *Callers, doc *tomlfile.Document) {
-	doc.IntRange("callers.idle_timeout_ms", c.IdleTimeoutMs, minCallerMs, maxCallerMs)
-	doc.IntRange("callers.header_timeout_ms", c.HeaderTimeoutMs, minCallerMs, maxCallerMs)
-	doc.IntRange("callers.max_header_bytes", int64(c.MaxHeaderBytes), 0, maxHeaderBytes)
+	doc.CheckIntRange("callers.idle_timeout_ms", c.IdleTimeoutMs, minCallerMs, maxCallerMs)
+	doc.CheckIntRange("callers.header_timeout_ms", c.HeaderTimeoutMs, minCallerMs, maxCallerMs)
+	doc.CheckIntRange("callers.max_header_bytes", int64(c.MaxHeaderBytes), 0, maxHeaderBytes)
 }
 
 func checkClasses(b *Bundle, doc *tomlfile.Document) {
@@ -76,11 +76,11 @@
 	for i := range b.Classes {
 		c, key := &b.Classes[i], classKey(i)
 		names.add(key+".name", string(c.Name))
-		doc.FloatRange(key+".worth", c.Worth, 0, maxWorth)
-		doc.FloatRange(key+".share", c.Share, 0, 1)
-		doc.IntRange(key+".priority", int64(c.Priority), 0, maxPriority)
-		doc.IntRange(key+".objective_ms", c.ObjectiveMs, 0, maxDeadlineMs)
-		doc.IntRange(key+".max_attempts", int64(c.MaxAttempts), 0, maxAttempts)
+		doc.CheckFloatRange(key+".worth", c.Worth, 0, maxWorth)
+		doc.CheckFloatRange(key+".share", c.Share, 0, 1)
+		doc.CheckIntRange(key+".priority", int64(c.Priority), 0, maxPriority)
+		doc.CheckIntRange(key+".objective_ms", c.ObjectiveMs, 0, maxDeadlineMs)
+		doc.CheckIntRange(key+".max_attempts", int64(c.MaxAttempts), 0, maxAttempts)
 		checkDeadlines(c, key, doc)
 		sum += c.Share
 		if sum > 1+shareSlack && sum-c.Share <= 1+shareSlack {
@@ -90,13 +90,13 @@
 }
 
 func checkDeadlines(c *Class, key string, doc *tomlfile.Document) {
-	if doc.Required(key + ".deadline_ms") {
-		doc.IntRange(key+".deadline_ms", c.DeadlineMs, 1, maxDeadlineMs)
+	if doc.Require(key + ".deadline_ms") {
+		doc.CheckIntRange(key+".deadline_ms", c.DeadlineMs, 1, maxDeadlineMs)
 	}
 	if !doc.Has(key + ".max_deadline_ms") {
 		return
 	}
-	doc.IntRange(key+".max_deadline_ms", c.MaxDeadlineMs, 1, maxDeadlineMs)
+	doc.CheckIntRange(key+".max_deadline_ms", c.MaxDeadlineMs, 1, maxDeadlineMs)
 	if c.MaxDeadlineMs < c.DeadlineMs {
 		doc.Add(key+".max_deadline_ms", "%d is under deadline_ms of %d", c.MaxDeadlineMs, c.DeadlineMs)
 	}
@@ -110,8 +110,8 @@
 		if t.Name == model.OtherTenant {
 			doc.Add(key+".name", "%q is kept for tenants that no bundle names", t.Name)
 		}
-		doc.FloatRange(key+".rate_per_second", t.RatePerSecond, 0, maxRatePerSecond)
-		doc.FloatAbove(key+".max_share", t.MaxShare, 0, 1)
+		doc.CheckFloatRange(key+".rate_per_second", t.RatePerSecond, 0, maxRatePerSecond)
+		doc.CheckFloatAbove(key+".max_share", t.MaxShare, 0, 1)
 		checkRegions(t.Regions, key+".regions", doc)
 		checkBurst(t, key, doc)
 	}
@@ -119,11 +119,11 @@
 
 func checkBurst(t *Tenant, key string, doc *tomlfile.Document) {
 	switch {
-	case !doc.Has(key + ".burst"), doc.Refused(key + ".rate_per_second"):
+	case !doc.Has(key + ".burst"), doc.Rejected(key + ".rate_per_second"):
 	case t.RatePerSecond == 0:
 		doc.Add(key+".burst", "has no meaning without rate_per_second")
 	default:
-		doc.FloatRange(key+".burst", t.Burst, minBurst, maxRatePerSecond)
+		doc.CheckFloatRange(key+".burst", t.Burst, minBurst, maxRatePerSecond)
 	}
 }
 
@@ -133,7 +133,7 @@
 		doc.Add(key, "must name 1 to %d regions", maxRegions)
 	}
 	for _, region := range regions {
-		doc.Name(key, string(region))
+		doc.CheckName(key, string(region))
 	}
 }
 
@@ -148,7 +148,7 @@
 }
 
 func (n *names) add(key, name string) {
-	n.doc.Name(key, name)
+	n.doc.CheckName(key, name)
 	if name == "" {
 		return
 	}
--- a/internal/bundle/check_service.go
+++ b/internal/bundle/check_service.go
@@ -34,16 +34,16 @@
 }
 
 func checkCounts(s *Service, key string, doc *tomlfile.Document) {
-	if doc.Required(key + ".slots") {
-		doc.IntRange(key+".slots", int64(s.Slots), 1, maxUpstreamCount)
+	if doc.Require(key + ".slots") {
+		doc.CheckIntRange(key+".slots", int64(s.Slots), 1, maxUpstreamCount)
 	}
-	if doc.Required(key + ".connections") {
-		doc.IntRange(key+".connections", int64(s.Connections), 1, maxUpstreamCount)
+	if doc.Require(key + ".connections") {
+		doc.CheckIntRange(key+".connections", int64(s.Connections), 1, maxUpstreamCount)
 		checkEnough(key+".connections", s.Connections, s.Slots, doc)
 	}
-	doc.FloatRange(key+".slot_share", s.SlotShare, minSlotShare, 1)
-	doc.IntRange(key+".queue_limit", int64(s.QueueLimit), 0, maxUpstreamCount)
-	doc.IntRange(key+".body_limit_bytes", s.BodyLimitBytes, 1, maxBodyLimitBytes)
+	doc.CheckFloatRange(key+".slot_share", s.SlotShare, minSlotShare, 1)
+	doc.CheckIntRange(key+".queue_limit", int64(s.QueueLimit), 0, maxUpstreamCount)
+	doc.CheckIntRange(key+".body_limit_bytes", s.BodyLimitBytes, 1, maxBodyLimitBytes)
 }
 
 // checkEnough notes connections that cannot fill the slots. Counts that are
@@ -55,20 +55,20 @@
 }
 
 func checkTimes(s *Service, key string, doc *tomlfile.Document) {
-	doc.IntRange(key+".warmup_ms", s.WarmupMs, 1, maxWarmupMs)
-	doc.IntRange(key+".warming_ms", s.WarmingMs, 1, maxWarmupMs)
+	doc.CheckIntRange(key+".warmup_ms", s.WarmupMs, 1, maxWarmupMs)
+	doc.CheckIntRange(key+".warming_ms", s.WarmingMs, 1, maxWarmupMs)
 	checkWarming(s, key, doc)
-	doc.IntRange(key+".key_memory_ms", s.KeyMemoryMs, 1, maxKeyMemoryMs)
+	doc.CheckIntRange(key+".key_memory_ms", s.KeyMemoryMs, 1, maxKeyMemoryMs)
 }
 
 func checkWarming(s *Service, key string, doc *tomlfile.Document) {
-	doc.FloatRange(key+".warming_per_second", s.WarmingPerSecond, 0, maxRatePerSecond)
+	doc.CheckFloatRange(key+".warming_per_second", s.WarmingPerSecond, 0, maxRatePerSecond)
 	switch {
-	case !doc.Has(key + ".warming_most"), doc.Refused(key + ".warming_per_second"):
+	case !doc.Has(key + ".warming_most"), doc.Rejected(key + ".warming_per_second"):
 	case s.WarmingPerSecond == 0:
 		doc.Add(key+".warming_most", "has no meaning without warming_per_second")
 	default:
-		doc.IntRange(key+".warming_most", int64(s.WarmingMost), 1, maxWarmingMost)
+		doc.CheckIntRange(key+".warming_most", int64(s.WarmingMost), 1, maxWarmingMost)
 	}
 }
 
@@ -86,13 +86,13 @@
 	for i := range s.Upstreams {
 		u, key := &s.Upstreams[i], fmt.Sprintf("%s.upstream[%d]", serviceKey, i)
 		names.add(key+".instance", string(u.Instance))
-		doc.IntRange(key+".slots", int64(u.Slots), 0, maxUpstreamCount)
-		doc.IntRange(key+".connections", int64(u.Connections), 0, maxUpstreamCount)
-		if u.Slots == 0 && u.Connections == 0 && !doc.RefusedBelow(key) {
+		doc.CheckIntRange(key+".slots", int64(u.Slots), 0, maxUpstreamCount)
+		doc.CheckIntRange(key+".connections", int64(u.Connections), 0, maxUpstreamCount)
+		if u.Slots == 0 && u.Connections == 0 && !doc.RejectedWithin(key) {
 			doc.Add(key, "overrides neither slots nor connections")
 			continue
 		}
-		slots, connections := s.Limits(u.Instance)
+		slots, connections := s.UpstreamLimits(u.Instance)
 		if u.Connections > 0 {
 			checkEnough(key+".connections", connections, slots, doc)
 		} else {
@@ -101,9 +101,9 @@
 	}
 }
 
-// Limits returns the slots and connections of one upstream of the service: the
+// UpstreamLimits returns the slots and connections of one upstream of the service: the
 // service's, or what an override says.
-func (s *Service) Limits(id model.InstanceID) (slots, connections int) {
+func (s *Service) UpstreamLimits(id model.InstanceID) (slots, connections int) {
 	slots, connections = s.Slots, s.Connections
 	for i := range s.Upstreams {
 		u := &s.Upstreams[i]
@@ -154,22 +154,22 @@
 func newRouteChecker(b *Bundle, doc *tomlfile.Document) *routeChecker {
 	known := true
 	for i := range b.Classes {
-		known = known && !doc.Refused(classKey(i)+".name")
+		known = known && !doc.Rejected(classKey(i)+".name")
 	}
-	known = known && !doc.Refused("class")
+	known = known && !doc.Rejected("class")
 	return &routeChecker{bundle: b, doc: doc, taken: map[routeID]takenRoute{}, classesKnown: known}
 }
 
 func (c *routeChecker) check(s *Service, r *Route, key string) {
-	if c.doc.Required(key + ".path") {
+	if c.doc.Require(key + ".path") {
 		c.checkPath(key+".path", r.Path)
 	}
 	c.checkClass(key+".class", r.Class)
 	c.checkMethods(r, key+".methods")
 	c.checkHost(key+".host", r.Host)
-	c.doc.IntRange(key+".weight", int64(r.Weight), 0, maxRouteWeight)
+	c.doc.CheckIntRange(key+".weight", int64(r.Weight), 0, maxRouteWeight)
 	checkRegions(r.Regions, key+".regions", c.doc)
-	if !c.doc.RefusedBelow(key) {
+	if !c.doc.RejectedWithin(key) {
 		c.checkTaken(r, key)
 	}
 	c.checkKeyMemory(s, r, key)
--- a/internal/bundle/parse.go
+++ b/internal/bundle/parse.go
@@ -49,7 +49,7 @@
 		Callers:   Callers{IdleTimeoutMs: defaultIdleTimeoutMs, HeaderTimeoutMs: defaultHeaderTimeoutMs},
 	}
 	doc := tomlfile.Decode(file, data, b)
-	if doc.Broken() {
+	if doc.HasSyntaxError() {
 		return nil, doc.Err()
 	}
 	fillDefaults(b, doc)
@@ -60,10 +60,10 @@
 	return b, nil
 }
 
-// Complete fills the defaults of a bundle that was not parsed from TOML but made by
+// FillAdapterDefaults fills the defaults of a bundle that was not parsed from TOML but made by
 // an adapter from a configuration that others have checked: fields that are zero
 // get the default of an absent key.
-func Complete(b *Bundle) {
+func FillAdapterDefaults(b *Bundle) {
 	fill(&b.Measuring.PerUpstreamPerSecond, defaultPacePerSecond)
 	fill(&b.Measuring.PollShare, defaultPaceShare)
 	fill(&b.Retry.PerPath, defaultRetryPerPath)
@@ -133,7 +133,7 @@
 
 // setDefault sets a field whose key is absent or was not taken.
 func setDefault[T any](doc *tomlfile.Document, key string, field *T, value T) {
-	if !doc.Has(key) || doc.Refused(key) {
+	if !doc.Has(key) || doc.Rejected(key) {
 		*field = value
 	}
 }
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -13,14 +13,14 @@
 	Logarithmic
 )
 
-// Line is a least-squares fit of a value against the size of the fleet.
-type Line struct {
+// Fit is a least-squares fit of a value against the size of the fleet.
+type Fit struct {
 	Shape Shape
 	A, B  float64
 }
 
 // fit fits values at the points' sizes.
-func fit(shape Shape, points []Point, value func(*Point) float64) Line {
+func fit(shape Shape, points []Point, value func(*Point) float64) Fit {
 	n := float64(len(points))
 	var sx, sy, sxx, sxy float64
 	for i := range points {
@@ -32,10 +32,10 @@
 	}
 	spread := n*sxx - sx*sx
 	if spread == 0 {
-		return Line{Shape: shape, A: sy / n}
+		return Fit{Shape: shape, A: sy / n}
 	}
 	b := (n*sxy - sx*sy) / spread
-	return Line{Shape: shape, A: (sy - b*sx) / n, B: b}
+	return Fit{Shape: shape, A: (sy - b*sx) / n, B: b}
 }
 
 func (s Shape) scale(n float64) float64 {
@@ -46,4 +46,4 @@
 }
 
 // At returns the fitted value for a fleet of n.
-func (l Line) At(n float64) float64 { return l.A + l.B*l.Shape.scale(n) }
+func (l Fit) At(n float64) float64 { return l.A + l.B*l.Shape.scale(n) }
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -10,8 +10,8 @@
 
 // Measurements are all figures behind docs/CAPACITY.md.
 type Measurements struct {
-	Points []Point `json:"points"`
-	Single Single  `json:"single"`
+	Points     []Point    `json:"points"`
+	SingleNode SingleNode `json:"single"`
 }
 
 // The users' target and the limits of a node's control.
@@ -124,7 +124,7 @@
 }
 
 // String writes the fit as a formula.
-func (l Line) String() string {
+func (l Fit) String() string {
 	if l.Shape == Logarithmic {
 		return fmt.Sprintf("%.3g %+.3g log10 n", l.A, l.B)
 	}
@@ -182,9 +182,9 @@
 	perJoin := 2 * m.at("leaving: sent, B a node")
 	freshKB := targetServices*bundleKB + targetNodes*recordBytes/1024
 	bytes := m.at("control sent at rest, B/s a node") + changes*perChange + joins*perJoin + joins*freshKB*1024/targetNodes
-	micro := m.at("processor time at rest, us/s a node") + changes*(m.at("bundle changed: processor time, us a node")+m.Single.BundleMicro) +
-		(changes+2*joins)*m.Single.UpdateMicro
-	memory := m.at("heap, KB a node")/1024 + targetServices*m.Single.BundleHeapKB/1024
+	micro := m.at("processor time at rest, us/s a node") + changes*(m.at("bundle changed: processor time, us a node")+m.SingleNode.BundleMicro) +
+		(changes+2*joins)*m.SingleNode.UpdateMicro
+	memory := m.at("heap, KB a node")/1024 + targetServices*m.SingleNode.BundleHeapKB/1024
 	reads := m.at("platform calls at rest, /s the fleet") + changes*m.at("bundle changed: platform calls, the fleet")
 	return []row{
 		{"control sent, a node", "bounded links, rumours, digests", bytes, limitBytes, "B/s"},
@@ -202,7 +202,7 @@
 
 // single is the table of what was measured on one node.
 func (m *Measurements) single() string {
-	s := &m.Single
+	s := &m.SingleNode
 	var b strings.Builder
 	b.WriteString("| one node | |\n| --- | ---: |\n")
 	fmt.Fprintf(&b, "| routing table rebuilt at %d instances | %.1f ms |\n", s.UpdateNodes, s.UpdateMicro/1000)
--- a/internal/capacity/single.go
+++ b/internal/capacity/single.go
@@ -15,8 +15,8 @@
 	"gypsumstand/internal/route"
 )
 
-// Single is what was measured on one node alone.
-type Single struct {
+// SingleNode is what was measured on one node alone.
+type SingleNode struct {
 	// UpdateMicro is the time to rebuild the routing table at UpdateNodes
 	// instances, in microseconds.
 	UpdateNodes int     `json:"update_nodes"`
@@ -44,9 +44,9 @@
 	singleRepeats  = 20
 )
 
-// MeasureSingle measures one node at the target's size.
-func MeasureSingle() (Single, error) {
-	s := Single{UpdateNodes: singleNodes, BundleKB: singleBundleKB}
+// MeasureSingleNode measures one node at the target's size.
+func MeasureSingleNode() (SingleNode, error) {
+	s := SingleNode{UpdateNodes: singleNodes, BundleKB: singleBundleKB}
 	fleet := targetFleet()
 	s.UpdateMicro = updateMicro(fleet)
 	if err := s.bundles(); err != nil {
@@ -86,7 +86,7 @@
 }
 
 // bundles measures holding and opening signed bundles.
-func (s *Single) bundles() error {
+func (s *SingleNode) bundles() error {
 	public, private, err := ed25519.GenerateKey(nil)
 	if err != nil {
 		return fmt.Errorf("make key: %w", err)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -94,15 +94,15 @@
 	control.Controller
 	FleetSize() int
 	Links() []member.Link
-	ListConfirmed() time.Time
+	ListConfirmedAt() time.Time
 	ListReads() uint64
 }
 
 // bundles is the controller that knows what is in force.
 type bundles interface {
 	control.Controller
-	Missing() []string
-	Confirmed() time.Time
+	NotReadyReasons() []string
+	ConfirmedAt() time.Time
 	IndexReads() uint64
 	Counters() spread.Counters
 }
@@ -380,9 +380,9 @@
 		return
 	}
 	n.Board.Sources.Put(&blackboard.Sources{
-		ConfigConfirmed: n.spread.Confirmed(),
+		ConfigConfirmed: n.spread.ConfirmedAt(),
 		ConfigReads:     n.spread.IndexReads(),
-		ListConfirmed:   n.member.ListConfirmed(),
+		ListConfirmed:   n.member.ListConfirmedAt(),
 		ListReads:       n.member.ListReads(),
 	})
 	n.Board.Readiness.Put(n.readiness())
@@ -395,7 +395,7 @@
 }
 
 func (n *Node) readiness() *blackboard.Readiness {
-	missing := n.spread.Missing()
+	missing := n.spread.NotReadyReasons()
 	if svc, _ := n.Board.Bundles.Get().Service(n.cfg.Self.Service); svc == nil {
 		missing = append(missing, "a bundle with service "+string(n.cfg.Self.Service))
 	}
--- a/internal/ctl/verify.go
+++ b/internal/ctl/verify.go
@@ -47,7 +47,7 @@
 		if err != nil {
 			return nil, err
 		}
-		trusted = append(trusted, node.Trusted()...)
+		trusted = append(trusted, node.TrustedSigners()...)
 	}
 	for _, path := range keyPaths {
 		key, _, err := keys.Load(path)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -82,7 +82,7 @@
 		refuse(&plain, err)
 		return ExitSettings
 	}
-	logger := logging.New(out, s.Level(), s.RequestLines)
+	logger := logging.New(out, s.Level(), s.RequestLogLines)
 	defer logger.Close()
 	return serve(ctx, path, s, logger, adapt, hangUps)
 }
@@ -178,7 +178,7 @@
 		ConfigAddresses:    []string{s.Platform.ConfigAddress},
 		PlatformTimeout:    s.Platform.Timeout(),
 		Seeds:              s.Peers,
-		Trusted:            s.Trusted(),
+		Trusted:            s.TrustedSigners(),
 		PeerTLS:            secured,
 		StopTimeout:        s.StopTimeout(),
 		LeaveGrace:         s.LeaveGrace(),
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -7,7 +7,7 @@
 	"gypsumstand/internal/load"
 )
 
-// report prints the tables and returns ErrBroken when a promise was broken.
+// report prints the tables and returns ErrViolation when a promise was broken.
 func (r *run) report(result, drained *load.Result) error {
 	r.say("\n")
 	r.table(result)
@@ -21,7 +21,7 @@
 	for _, b := range r.broken {
 		r.say("BROKEN: %s\n", b)
 	}
-	return fmt.Errorf("%w: %d findings", ErrBroken, len(r.broken))
+	return fmt.Errorf("%w: %d findings", ErrViolation, len(r.broken))
 }
 
 func (r *run) table(result *load.Result) {
@@ -61,16 +61,16 @@
 // judge holds the results against the promises.
 func (r *run) judge(result, drained *load.Result) {
 	t := result.Total.Counts
-	if t.Wrong+t.Cut+t.Malformed+t.Broken > 0 {
-		r.breach("%d wrong, %d cut, %d malformed, %d broken answers", t.Wrong, t.Cut, t.Malformed, t.Broken)
+	if t.Wrong+t.Truncated+t.Malformed+t.Broken > 0 {
+		r.breach("%d wrong, %d cut, %d malformed, %d broken answers", t.Wrong, t.Truncated, t.Malformed, t.Broken)
 	}
-	if o := result.Oracle; !o.Kept() {
+	if o := result.Oracle; !o.Consistent() {
 		r.breach("%s", o)
 	}
 	d := drained.Total.Counts
-	if d.Wrong+d.Cut+d.Malformed+d.Broken+d.Unreachable > 0 {
+	if d.Wrong+d.Truncated+d.Malformed+d.Broken+d.Unreachable > 0 {
 		r.breach("callers of the drained node: %d wrong, %d cut, %d malformed, %d broken, %d unreachable",
-			d.Wrong, d.Cut, d.Malformed, d.Broken, d.Unreachable)
+			d.Wrong, d.Truncated, d.Malformed, d.Broken, d.Unreachable)
 	}
 }
 
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -135,7 +135,7 @@
 	case control.PeerDirectoryFailed:
 		c.asks.end(e.From)
 	case control.Paused:
-		c.timer.Paused(now, e.For)
+		c.timer.ProcessPaused(now, e.For)
 	case control.Suspended:
 		c.suspended(now, e.For)
 	case control.Tick:
@@ -301,8 +301,8 @@
 	return listed, true
 }
 
-// Missing names what the node still needs before it can serve.
-func (c *Controller) Missing() []string {
+// NotReadyReasons names what the node still needs before it can serve.
+func (c *Controller) NotReadyReasons() []string {
 	if c.confirmed.IsZero() {
 		return []string{"an answer of the directory"}
 	}
@@ -318,11 +318,11 @@
 // Links returns none: nodes that follow a directory keep no links to each other.
 func (c *Controller) Links() []member.Link { return nil }
 
-// ListConfirmed returns when what is known of the directory was last the newest.
-func (c *Controller) ListConfirmed() time.Time { return c.confirmed }
+// ListConfirmedAt returns when what is known of the directory was last the newest.
+func (c *Controller) ListConfirmedAt() time.Time { return c.confirmed }
 
-// Confirmed returns when what is known of the directory was last the newest.
-func (c *Controller) Confirmed() time.Time { return c.confirmed }
+// ConfirmedAt returns when what is known of the directory was last the newest.
+func (c *Controller) ConfirmedAt() time.Time { return c.confirmed }
 
 // ListReads counts this node's own reads of the directory.
 func (c *Controller) ListReads() uint64 { return c.timer.ReadCount() }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -166,11 +166,11 @@
 func TestANodeNeedsAnAnswerAndAConfiguration(t *testing.T) {
 	r := newRig()
 	var got [][]string
-	got = append(got, r.Missing())
+	got = append(got, r.NotReadyReasons())
 	r.handle(two())
-	got = append(got, r.Missing())
+	got = append(got, r.NotReadyReasons())
 	r.handle(control.DirectoryRead{Bundle: &bundle.Bundle{Name: "operator", Version: 1}})
-	got = append(got, r.Missing())
+	got = append(got, r.NotReadyReasons())
 	want := [][]string{{"an answer of the directory"}, {"a configuration"}, nil}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("missing (-want +got):\n%s", diff)
--- a/internal/directory/peers_test.go
+++ b/internal/directory/peers_test.go
@@ -112,7 +112,7 @@
 	if reads == 0 {
 		t.Error("no read in 2 s although nothing is known to be fresh")
 	}
-	if got := r.Confirmed(); !got.Equal(epoch) {
+	if got := r.ConfirmedAt(); !got.Equal(epoch) {
 		t.Errorf("confirmed %s after the last reading", got.Sub(epoch))
 	}
 }
@@ -124,7 +124,7 @@
 	read := two()
 	read.ReadDuration = 1500 * time.Millisecond
 	r.handle(read)
-	if got := r.now.Sub(r.Confirmed()); got != read.ReadDuration {
+	if got := r.now.Sub(r.ConfirmedAt()); got != read.ReadDuration {
 		t.Errorf("confirmed %s ago, want %s", got, read.ReadDuration)
 	}
 	// It is too old to keep this node from reading.
--- a/internal/directory/suspended.go
+++ b/internal/directory/suspended.go
@@ -9,7 +9,7 @@
 // that is known is older by that.
 func (c *Controller) suspended(now time.Time, d time.Duration) {
 	c.sleptFor, c.sleptUntil = d, now.Add(sleepDoubt)
-	c.timer.Suspended(d)
+	c.timer.HostSuspended(d)
 	c.asks.suspended(d)
 	if c.confirmed.IsZero() {
 		return
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -36,7 +36,7 @@
 type View struct {
 	// Revision is the directory's that is known, Heard the greatest heard of.
 	Revision, NewestSeen uint64
-	// Confirmed is when Revision was last known to be the newest; zero for never.
+	// ConfirmedAt is when Revision was last known to be the newest; zero for never.
 	Confirmed time.Time
 	Status    ViewStatus
 	// Listed is the number of instances that the directory names, this one included.
--- a/internal/directory/view_test.go
+++ b/internal/directory/view_test.go
@@ -154,14 +154,14 @@
 	}
 	// It waited here, and was of 10 ms when it came.
 	r.handle(control.PeerFreshnessReceived{From: "10.0.0.2", Freshness: model.DirectoryFreshness{Revision: 2, AgeMs: 10}})
-	if age := r.now.Sub(r.Confirmed()); age < asleep {
+	if age := r.now.Sub(r.ConfirmedAt()); age < asleep {
 		t.Errorf("confirmed %s ago by a mark that waited", age)
 	}
 	if _, reads := r.ticks(StalenessBound); reads == 0 {
 		t.Error("no reading within the bound after the suspension")
 	}
 	r.handle(control.PeerFreshnessReceived{From: "10.0.0.2", Freshness: model.DirectoryFreshness{Revision: 2, AgeMs: 10}})
-	if age := r.now.Sub(r.Confirmed()); age > 10*time.Millisecond {
+	if age := r.now.Sub(r.ConfirmedAt()); age > 10*time.Millisecond {
 		t.Errorf("confirmed %s ago by a fresh mark", age)
 	}
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -26,9 +26,9 @@
 	// ProbeAge is the age at which an upstream is probed; zero means the
 	// product's.
 	ProbeAge time.Duration
-	// Budget replaces the bundle's measuring budget; zero keeps it. Polling
+	// MeasuringBudget replaces the bundle's measuring budget; zero keeps it. Polling
 	// needs more than a bundle would grant.
-	Budget float64
+	MeasuringBudget float64
 }
 
 // pollBudget is what polling each upstream from every node takes, in messages
@@ -45,7 +45,7 @@
 		{Name: "random", Policy: route.PolicyRandom},
 		{Name: "round robin", Policy: route.PolicyRoundRobin},
 		{Name: "least in flight", Policy: route.PolicyLeastInFlight},
-		{Name: "two choices, polled", Policy: route.PolicyPolledTwoChoices, ProbeAge: pollEvery, Budget: pollBudget},
+		{Name: "two choices, polled", Policy: route.PolicyPolledTwoChoices, ProbeAge: pollEvery, MeasuringBudget: pollBudget},
 	}
 }
 
@@ -53,8 +53,8 @@
 type Options struct {
 	Deployments []*deploy.Deployment
 	Contenders  []Contender
-	// Shares of capacity to offer.
-	Shares []float64
+	// LoadShares of capacity to offer.
+	LoadShares []float64
 	// Repeats of each cell.
 	Repeats int
 	// Duration of the load of one run.
@@ -77,15 +77,15 @@
 	Worth float64 `json:"worth"`
 	// WorthP99Ms is the 99th percentile of the classes that have worth.
 	WorthP99Ms float64 `json:"worth_p99_ms"`
-	// Measuring is the number of measuring messages per answered call.
-	Measuring float64 `json:"measuring_per_answer"`
-	Sent      int64   `json:"sent"`
-	NotRun    int64   `json:"not_run"`
-	Unknown   int64   `json:"unknown"`
-	// Kept tells whether no answer was wrong and no promise broken.
-	Kept bool `json:"kept"`
-	// LateMs is the generator's own lateness at the 99th percentile.
-	LateMs float64 `json:"late_p99_ms"`
+	// MeasuringPerAnswer is the number of measuring messages per answered call.
+	MeasuringPerAnswer float64 `json:"measuring_per_answer"`
+	Sent               int64   `json:"sent"`
+	NotRun             int64   `json:"not_run"`
+	Unknown            int64   `json:"unknown"`
+	// GuaranteesHeld tells whether no answer was wrong and no promise broken.
+	GuaranteesHeld bool `json:"kept"`
+	// LateP99Ms is the generator's own lateness at the 99th percentile.
+	LateP99Ms float64 `json:"late_p99_ms"`
 }
 
 // Bounds of a run.
@@ -115,11 +115,11 @@
 }
 
 func compareOne(ctx context.Context, dep *deploy.Deployment, c Contender, o *Options) ([]Run, error) {
-	cfg := dep.Fleet()
+	cfg := dep.FleetConfig()
 	cfg.Policy = c.Policy
 	cfg.ProbeAge = c.ProbeAge
-	if c.Budget > 0 {
-		cfg.Bundle = withBudget(dep.TOML, c.Budget)
+	if c.MeasuringBudget > 0 {
+		cfg.Bundle = withBudget(dep.TOML, c.MeasuringBudget)
 	}
 	fleet, err := local.Start(cfg)
 	if err != nil {
@@ -127,7 +127,7 @@
 	}
 	defer fleet.Close()
 	var out []Run
-	for _, share := range o.Shares {
+	for _, share := range o.LoadShares {
 		for i := range o.Repeats {
 			// A worker that was cold is given its slow start before the next run.
 			if err := awaitReady(ctx, fleet); err != nil {
@@ -170,7 +170,7 @@
 		return
 	}
 	fmt.Fprintf(out, "%-8s %-20s %3.0f%%  p50 %7.1f  p99 %7.1f  worth %6.2f%%  measuring %.4f  kept %v\n",
-		r.Deployment, r.Contender, 100*r.Share, r.P50Ms, r.P99Ms, 100*r.Worth, r.Measuring, r.Kept)
+		r.Deployment, r.Contender, 100*r.Share, r.P50Ms, r.P99Ms, 100*r.Worth, r.MeasuringPerAnswer, r.GuaranteesHeld)
 }
 
 // measure offers one load with shifting faults: in each third of the run another
@@ -202,7 +202,7 @@
 
 func plan(dep *deploy.Deployment, fleet *local.Fleet, share float64, d time.Duration, seed uint64) (load.Plan, error) {
 	p := load.NewPlan()
-	p.Targets = fleet.Callers()
+	p.Targets = fleet.CallerAddresses()
 	p.Pick = load.PickRandom
 	p.DurationMs = d.Milliseconds()
 	p.MaxInFlight = maxInFlight
@@ -276,22 +276,22 @@
 func summary(dep *deploy.Deployment, share float64, r *load.Result, measuring uint64) Run {
 	t := r.Total
 	run := Run{
-		Deployment: dep.Name,
-		Share:      share,
-		P50Ms:      float64(t.Latency.P50Us) / usPerMs,
-		P99Ms:      float64(t.Latency.P99Us) / usPerMs,
-		P999Ms:     float64(t.Latency.P999Us) / usPerMs,
-		Sent:       t.Counts.Sent,
-		NotRun:     t.Counts.NotRun,
-		Unknown:    t.Counts.Unknown,
-		Kept:       r.PromisesKept(),
-		LateMs:     float64(r.Lateness.P99Us) / usPerMs,
+		Deployment:     dep.Name,
+		Share:          share,
+		P50Ms:          float64(t.Latency.P50Us) / usPerMs,
+		P99Ms:          float64(t.Latency.P99Us) / usPerMs,
+		P999Ms:         float64(t.Latency.P999Us) / usPerMs,
+		Sent:           t.Counts.Sent,
+		NotRun:         t.Counts.NotRun,
+		Unknown:        t.Counts.Unknown,
+		GuaranteesHeld: r.GuaranteesHeld(),
+		LateP99Ms:      float64(r.Lateness.P99Us) / usPerMs,
 	}
 	if t.Counts.WorthSent > 0 {
 		run.Worth = t.Counts.Worth / t.Counts.WorthSent
 	}
 	if t.Counts.Answered > 0 {
-		run.Measuring = float64(measuring) / float64(t.Counts.Answered)
+		run.MeasuringPerAnswer = float64(measuring) / float64(t.Counts.Answered)
 	}
 	for _, c := range r.Classes {
 		if c.Counts.WorthSent > 0 {
--- a/internal/experiment/write.go
+++ b/internal/experiment/write.go
@@ -17,8 +17,8 @@
 
 // Measurements are all figures of one bench.
 type Measurements struct {
-	Runs  []Run   `json:"runs"`
-	Added []Added `json:"added"`
+	Runs         []Run          `json:"runs"`
+	AddedLatency []AddedLatency `json:"added"`
 }
 
 // Files that Write makes.
@@ -153,10 +153,10 @@
 func (m *Measurements) addedTable(b *strings.Builder) {
 	b.WriteString("## Time that two nodes add to a call\n\nThe worker (2 ms a request, constant) called directly, then through an entry and its\nowner, at one rate, measured from the sending of each call.\nLimit: 1.5 ms at the 99th percentile.\n\n")
 	b.WriteString("| calls/s | direct p50 ms | direct p99 ms | through p50 ms | through p99 ms | added p50 ms | added p99 ms | not answered, direct and through |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n")
-	for i := range m.Added {
-		a := &m.Added[i]
+	for i := range m.AddedLatency {
+		a := &m.AddedLatency[i]
 		fmt.Fprintf(b, "| %.0f | %.2f | %.2f | %.2f | %.2f | %.2f | %.2f | %d, %d |\n", a.RatePerSecond,
-			a.DirectP50Ms, a.DirectP99Ms, a.ThroughP50Ms, a.ThroughP99Ms, a.P50Ms(), a.P99Ms(), a.DirectLost, a.ThroughLost)
+			a.DirectP50Ms, a.DirectP99Ms, a.ProxiedP50Ms, a.ProxiedP99Ms, a.P50Ms(), a.P99Ms(), a.DirectUnanswered, a.ProxiedUnanswered)
 	}
 	b.WriteString("\n")
 }
@@ -171,7 +171,7 @@
 		runs := m.runs(c)
 		kept := 0
 		for _, r := range runs {
-			if r.Kept {
+			if r.GuaranteesHeld {
 				kept++
 			}
 		}
@@ -180,7 +180,7 @@
 			spreadOf(runs, func(r *Run) float64 { return r.P99Ms }).format(1),
 			spreadOf(runs, func(r *Run) float64 { return r.WorthP99Ms }).format(1),
 			spreadOf(runs, func(r *Run) float64 { return 100 * r.Worth }).format(2),
-			spreadOf(runs, func(r *Run) float64 { return r.Measuring }).format(4),
+			spreadOf(runs, func(r *Run) float64 { return r.MeasuringPerAnswer }).format(4),
 			kept, len(runs))
 	}
 	b.WriteString("\n")
--- a/internal/failure/deadly_test.go
+++ b/internal/failure/deadly_test.go
@@ -75,14 +75,14 @@
 	t.Helper()
 	cfg := config(workers)
 	s := &cfg.Services[0]
-	s.Deadly = func(r answer.Request) bool {
+	s.CrashOn = func(r answer.Request) bool {
 		if !deadly(r) {
 			return false
 		}
 		d.ran()
 		return true
 	}
-	s.EndsAfter, s.BackAfter = 30*time.Millisecond, backAfter
+	s.CrashDelay, s.RestartDelay = 30*time.Millisecond, backAfter
 	return startFleet(t, cfg)
 }
 
@@ -98,7 +98,7 @@
 			return
 		case <-ticker.C:
 		}
-		address := f.Callers()[i%len(f.Callers())]
+		address := f.CallerAddresses()[i%len(f.CallerAddresses())]
 		r := next()
 		wg.Go(func() { c.send(context.WithoutCancel(ctx), address, r) })
 	}
@@ -151,21 +151,21 @@
 			t.Errorf("%s shows nothing that is put aside", m.ID)
 			continue
 		}
-		if first := aside.Requests[0]; !first.PutAside || len(first.Ends) < 2 || first.NextTrial == nil {
+		if first := aside.Requests[0]; !first.Quarantined || len(first.Crashes) < 2 || first.NextTrial == nil {
 			t.Errorf("%s shows %+v first; want the deadly request", m.ID, first)
 		}
 	}
 }
 
 // asideAt reads what a node shows operators.
-func asideAt(t *testing.T, m *local.Member) status.Aside {
+func asideAt(t *testing.T, m *local.Member) status.Quarantine {
 	t.Helper()
-	resp, err := http.Get("http://" + m.Node.OperatorAddress() + status.AsidePath)
+	resp, err := http.Get("http://" + m.Node.OperatorAddress() + status.QuarantinePath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	var out status.Aside
+	var out status.Quarantine
 	if err := json.NewDecoder(resp.Body).Decode(&out); err != nil {
 		t.Fatal(err)
 	}
@@ -218,7 +218,7 @@
 			awaitMembers(t, f, "all listed", func(m *local.Member) bool { return len(m.Node.Core().Board.Fleet.Get().Instances) == 11 })
 			bad := newCallers(t)
 			for n := range 30 {
-				bad.send(t.Context(), f.Callers()[(first+n)%3], deadlyPayout())
+				bad.send(t.Context(), f.CallerAddresses()[(first+n)%3], deadlyPayout())
 				pause.For(t.Context(), deadlyEvery)
 			}
 			if all, late := d.after(); all > 3 || late != 0 {
--- a/internal/failure/key_test.go
+++ b/internal/failure/key_test.go
@@ -9,7 +9,7 @@
 
 func TestTheSameIDAtTwoNodesAtOnceRunsOnce(t *testing.T) {
 	f := sharedFleet(t)
-	entries := f.Callers()
+	entries := f.CallerAddresses()
 	for range 20 {
 		r := payout("/payouts")
 		c := newCallers(t)
@@ -44,7 +44,7 @@
 		r := payout("/payouts")
 		requests = append(requests, r)
 		sending.Go(func() {
-			got := c.send(t.Context(), f.Callers()[i%len(f.Callers())], r)
+			got := c.send(t.Context(), f.CallerAddresses()[i%len(f.CallerAddresses())], r)
 			if got.err != nil || got.outcome != notRun {
 				t.Errorf("told %d %s %s, %v by workers that shed all", got.status, got.outcome, got.reason, got.err)
 			}
@@ -58,7 +58,7 @@
 	for i, r := range requests {
 		var got told
 		await(t, "answered when sent again", func() bool {
-			got = c.send(t.Context(), f.Callers()[(i+1)%len(f.Callers())], r)
+			got = c.send(t.Context(), f.CallerAddresses()[(i+1)%len(f.CallerAddresses())], r)
 			return got.outcome != notRun
 		})
 		if !got.answered() || f.Ledger.Runs(r.id) != 1 {
--- a/internal/failure/platform_test.go
+++ b/internal/failure/platform_test.go
@@ -20,9 +20,9 @@
 		if err := f.Platform.ChangeFaults(func(f *platform.Faults) { f.ListOutage, f.ConfigOutage = outage, outage }); err != nil {
 			t.Fatal(err)
 		}
-		c.together(t.Context(), f.Callers(), 30, 3, func(i int) request { return mixedLedger(i) })
+		c.together(t.Context(), f.CallerAddresses(), 30, 3, func(i int) request { return mixedLedger(i) })
 		restarted = restart(t, f, cfg, restarted, 0)
-		c.together(t.Context(), f.Callers(), 30, 3, func(i int) request { return mixedLedger(i) })
+		c.together(t.Context(), f.CallerAddresses(), 30, 3, func(i int) request { return mixedLedger(i) })
 	}
 	c.check(t, f.Ledger)
 	for _, s := range c.sendings() {
@@ -78,7 +78,7 @@
 		}
 	}
 	inForce := func(version uint64) func(*local.Member) bool {
-		return local.InForce(model.BundleVersion{Name: bundleName, Version: version})
+		return local.HasVersion(model.BundleVersion{Name: bundleName, Version: version})
 	}
 	publish(2)
 	awaitMembers(t, f, "at version 2", inForce(2))
@@ -86,7 +86,7 @@
 	reads := f.Platform.Counters()
 	restart(t, f, cfg, f.Members()[1], 1)
 	await(t, "the old version read again", func() bool { return f.Platform.Counters() != reads })
-	for _, address := range f.Callers() {
+	for _, address := range f.CallerAddresses() {
 		got := awaitAnswer(t, c, address, "/a")
 		if want := bundleName + "@2"; got.bundle != want {
 			t.Errorf("%s decided under %s, want %s", address, got.bundle, want)
--- a/internal/failure/worker_test.go
+++ b/internal/failure/worker_test.go
@@ -134,7 +134,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			c := newCallers(t)
 			faults(tt.change)
-			c.together(t.Context(), f.Callers(), 240, 24, mixed)
+			c.together(t.Context(), f.CallerAddresses(), 240, 24, mixed)
 			faults(func(f *worker.Faults) { *f = worker.Faults{} })
 			c.check(t, f.Ledger)
 			if c.count(answered) == 0 || c.count(unknown) == 0 {
--- a/internal/keys/file.go
+++ b/internal/keys/file.go
@@ -93,10 +93,10 @@
 func Parse(name string, data []byte) (*Key, error) {
 	var f file
 	doc := tomlfile.Decode(name, data, &f)
-	if doc.Broken() {
+	if doc.HasSyntaxError() {
 		return nil, doc.Err()
 	}
-	doc.Name("name", f.Name)
+	doc.CheckName("name", f.Name)
 	public := decodeKey(doc, "public", f.Public, ed25519.PublicKeySize)
 	k := &Key{Name: f.Name, Public: public}
 	if doc.Has("private") {
@@ -109,7 +109,7 @@
 }
 
 func decodeKey(doc *tomlfile.Document, key, value string, size int) []byte {
-	if !doc.Required(key) {
+	if !doc.Require(key) {
 		return nil
 	}
 	raw, err := decode(value, size)
--- a/internal/load/oracle.go
+++ b/internal/load/oracle.go
@@ -32,23 +32,23 @@
 	Checked int64 `json:"checked"`
 	// Duplicates ran more than once although they are not idempotent.
 	Duplicates int64 `json:"duplicates"`
-	// NotRunThatRan were told not run but ran.
-	NotRunThatRan int64 `json:"not_run_that_ran"`
+	// FalseNotRun were told not run but ran.
+	FalseNotRun int64 `json:"not_run_that_ran"`
 	// AnsweredWithoutRun were answered but ran nowhere.
 	AnsweredWithoutRun int64 `json:"answered_without_run"`
 	// Examples name some of them.
 	Examples []string `json:"examples"`
 }
 
-// Kept tells whether no run contradicts what a caller was told.
-func (r *OracleResult) Kept() bool {
-	return r.Duplicates == 0 && r.NotRunThatRan == 0 && r.AnsweredWithoutRun == 0
+// Consistent tells whether no run contradicts what a caller was told.
+func (r *OracleResult) Consistent() bool {
+	return r.Duplicates == 0 && r.FalseNotRun == 0 && r.AnsweredWithoutRun == 0
 }
 
 // String returns text for people.
 func (r *OracleResult) String() string {
 	lines := []string{fmt.Sprintf("runs checked for %d requests: %d run twice, %d told not run but ran, %d answered without a run",
-		r.Checked, r.Duplicates, r.NotRunThatRan, r.AnsweredWithoutRun)}
+		r.Checked, r.Duplicates, r.FalseNotRun, r.AnsweredWithoutRun)}
 	return strings.Join(append(lines, r.Examples...), "\n  ")
 }
 
@@ -114,7 +114,7 @@
 		r.breach(&r.Duplicates, t, runs, "is not idempotent")
 	}
 	if runs > 0 && t.verdict == verdictNotRun && !t.copied {
-		r.breach(&r.NotRunThatRan, t, runs, "was told not run")
+		r.breach(&r.FalseNotRun, t, runs, "was told not run")
 	}
 	if runs == 0 && t.verdict == verdictAnswered {
 		r.breach(&r.AnsweredWithoutRun, t, runs, "was answered")
--- a/internal/load/parse.go
+++ b/internal/load/parse.go
@@ -18,11 +18,11 @@
 		o(&p)
 	}
 	p.fillDefaults()
-	if doc.Broken() {
+	if doc.HasSyntaxError() {
 		return Plan{}, doc.Err()
 	}
 	p.check(func(key, format string, args ...any) {
-		if !doc.RefusedBelow(key) {
+		if !doc.RejectedWithin(key) {
 			doc.Add(key, format, args...)
 		}
 	})
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -17,13 +17,13 @@
 	"gypsumstand/internal/registry"
 )
 
-// Pick says how the target of a request is picked.
-type Pick string
+// PickPolicy says how the target of a request is picked.
+type PickPolicy string
 
 // The ways of picking.
 const (
-	PickRoundRobin Pick = "round-robin"
-	PickRandom     Pick = "random"
+	PickRoundRobin PickPolicy = "round-robin"
+	PickRandom     PickPolicy = "random"
 )
 
 // Bounds and defaults of a plan.
@@ -54,8 +54,8 @@
 type Plan struct {
 	// Targets are the caller addresses of nodes, each "ip:port".
 	Targets []string `toml:"targets"`
-	// Pick is the way of picking a target; empty means PickRoundRobin.
-	Pick Pick `toml:"pick"`
+	// PickPolicy is the way of picking a target; empty means PickRoundRobin.
+	Pick PickPolicy `toml:"pick"`
 	// Direct says that the targets are workers, so that answers carry no outcome
 	// and a worker's own word "not run" is taken for it.
 	Direct bool `toml:"direct"`
--- a/internal/load/plan_test.go
+++ b/internal/load/plan_test.go
@@ -190,7 +190,7 @@
 
 func TestTheTableNamesWhatWasMeasured(t *testing.T) {
 	r := Result{Seconds: 2, Truncated: true, EndedEarly: true,
-		Streams: []Measured{{Class: "payouts", Tenant: "issuer", Counts: Counts{Sent: 200, Answered: 150, InDeadline: 100, NotRun: 30, Unknown: 20},
+		Streams: []Summary{{Class: "payouts", Tenant: "issuer", Counts: Counts{Sent: 200, Answered: 150, InDeadline: 100, NotRun: 30, Unknown: 20},
 			Latency: Quantiles{P50Us: 1500, P99Us: 20_250, P999Us: 100_000}}},
 		Steps:  []StepResult{{AtMs: 5, Method: "PATCH", URL: "http://h/faults", Error: "status 400"}},
 		Oracle: &OracleResult{Checked: 200, Duplicates: 1, Examples: []string{"x ran 2 times"}},
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -77,7 +77,7 @@
 	// Wrong: an answer that is another request's or altered. A broken promise.
 	Wrong int64 `json:"wrong"`
 	// Cut: an answer that ended as if whole but was not. A broken promise.
-	Cut int64 `json:"cut"`
+	Truncated int64 `json:"cut"`
 	// Malformed: no outcome, or one that contradicts the status.
 	Malformed int64 `json:"malformed"`
 	// Unsent: the time ran out before the bound on requests in flight allowed
@@ -91,10 +91,10 @@
 	WorthSent float64 `json:"worth_sent"`
 	// Resends counts sendings after a not-run.
 	Resends int64 `json:"resends"`
-	// Copies counts sendings of a second caller, CopiesSpoilt those of them whose
+	// Copies counts sendings of a second caller, CopiesCorrupted those of them whose
 	// answer was wrong or cut: a broken promise.
-	Copies       int64 `json:"copies"`
-	CopiesSpoilt int64 `json:"copies_spoilt"`
+	Copies          int64 `json:"copies"`
+	CopiesCorrupted int64 `json:"copies_spoilt"`
 }
 
 // of returns the counter of a verdict.
@@ -107,7 +107,7 @@
 		verdictBroken:      &c.Broken,
 		verdictUnreachable: &c.Unreachable,
 		verdictWrong:       &c.Wrong,
-		verdictCut:         &c.Cut,
+		verdictCut:         &c.Truncated,
 		verdictMalformed:   &c.Malformed,
 		verdictUnsent:      &c.Unsent,
 	}[v]
@@ -123,7 +123,7 @@
 	c.WorthSent += o.WorthSent
 	c.Resends += o.Resends
 	c.Copies += o.Copies
-	c.CopiesSpoilt += o.CopiesSpoilt
+	c.CopiesCorrupted += o.CopiesCorrupted
 }
 
 // recorder holds the measurements of a stream, or of several.
@@ -168,7 +168,7 @@
 	defer r.mu.Unlock()
 	r.counts.Copies++
 	if v == verdictWrong || v == verdictCut {
-		r.counts.CopiesSpoilt++
+		r.counts.CopiesCorrupted++
 	}
 }
 
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -19,9 +19,9 @@
 	EndedEarly bool `json:"ended_early"`
 	Truncated  bool `json:"truncated"`
 	// Streams are in the order of the plan; Classes sum them up by class.
-	Streams []Measured `json:"streams"`
-	Classes []Measured `json:"classes"`
-	Total   Measured   `json:"total"`
+	Streams []Summary `json:"streams"`
+	Classes []Summary `json:"classes"`
+	Total   Summary   `json:"total"`
 	// Lateness is how late after their intended time requests were sent: the
 	// generator's own error, which is part of every latency.
 	Lateness Quantiles    `json:"lateness"`
@@ -30,8 +30,8 @@
 	Oracle *OracleResult `json:"oracle"`
 }
 
-// Measured holds the measurements of one stream or a sum of them.
-type Measured struct {
+// Summary holds the measurements of one stream or a sum of them.
+type Summary struct {
 	Class  model.ClassName  `json:"class"`
 	Tenant model.TenantName `json:"tenant"`
 	Counts Counts           `json:"counts"`
@@ -45,15 +45,15 @@
 	FromSend Quantiles `json:"from_send"`
 }
 
-// PromisesKept tells whether no answer was wrong or cut and, where runs were
+// GuaranteesHeld tells whether no answer was wrong or cut and, where runs were
 // counted, none contradicted what its caller was told.
-func (r *Result) PromisesKept() bool {
+func (r *Result) GuaranteesHeld() bool {
 	c := r.Total.Counts
-	return c.Wrong+c.Cut+c.CopiesSpoilt == 0 && (r.Oracle == nil || r.Oracle.Kept())
+	return c.Wrong+c.Truncated+c.CopiesCorrupted == 0 && (r.Oracle == nil || r.Oracle.Consistent())
 }
 
-// StepsDone tells whether every step of the plan was carried out.
-func (r *Result) StepsDone() bool {
+// StepsSucceeded tells whether every step of the plan was carried out.
+func (r *Result) StepsSucceeded() bool {
 	for _, s := range r.Steps {
 		if s.Error != "" {
 			return false
@@ -91,8 +91,8 @@
 	return r
 }
 
-func (r *recorder) measured(class model.ClassName, tenant model.TenantName) Measured {
-	return Measured{
+func (r *recorder) measured(class model.ClassName, tenant model.TenantName) Summary {
+	return Summary{
 		Class:    class,
 		Tenant:   tenant,
 		Counts:   r.counts,
@@ -118,12 +118,12 @@
 	return r.writeNotes(out)
 }
 
-func writeRow(w io.Writer, m Measured, seconds float64) {
+func writeRow(w io.Writer, m Summary, seconds float64) {
 	c := m.Counts
 	broken := c.Broken + c.Unreachable + c.Malformed + c.Unsent
 	fmt.Fprintf(w, "%s\t%s\t%.1f\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t\n",
 		m.Class, m.Tenant, float64(c.Sent)/max(seconds, 1e-9), percent(float64(c.InDeadline), float64(c.Sent)),
-		c.NotRun, c.Unknown, c.WorkerErrors, broken, c.Wrong, c.Cut,
+		c.NotRun, c.Unknown, c.WorkerErrors, broken, c.Wrong, c.Truncated,
 		msText(m.Latency.P50Us), msText(m.Latency.P99Us), msText(m.Latency.P999Us), percent(c.Worth, c.WorthSent))
 }
 
@@ -132,7 +132,7 @@
 	c := r.Total.Counts
 	lines := []string{
 		fmt.Sprintf("%d requests in %.1f s; sent late by %s ms at p99; %d resends, %d copies (%d spoilt); broken: %d broke off, %d unreachable, %d malformed, %d unsent",
-			c.Sent, r.Seconds, msText(r.Lateness.P99Us), c.Resends, c.Copies, c.CopiesSpoilt, c.Broken, c.Unreachable, c.Malformed, c.Unsent),
+			c.Sent, r.Seconds, msText(r.Lateness.P99Us), c.Resends, c.Copies, c.CopiesCorrupted, c.Broken, c.Unreachable, c.Malformed, c.Unsent),
 	}
 	if r.Truncated {
 		lines = append(lines, "the bound on requests was reached before the planned time")
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -86,7 +86,7 @@
 		if l := r.Streams[0].Latency; l.P50Us < 9_990 || l.P999Us > 10_100 || l.Count != posts.Sent {
 			t.Errorf("latency %+v, want 10 ms", l)
 		}
-		if !r.PromisesKept() || r.Oracle.Checked != posts.Sent {
+		if !r.GuaranteesHeld() || r.Oracle.Checked != posts.Sent {
 			t.Errorf("oracle %+v", r.Oracle)
 		}
 	})
@@ -144,7 +144,7 @@
 	}{
 		{"crossed", func(f *worker.Faults) { f.CrossedBodyShare = 1 }, nil, func(c Counts) int64 { return c.Wrong }, true},
 		{"visibly cut", func(f *worker.Faults) { f.CutShare = 1 }, nil, func(c Counts) int64 { return c.Broken }, false},
-		{"cut as if whole", nil, shorten, func(c Counts) int64 { return c.Cut }, true},
+		{"cut as if whole", nil, shorten, func(c Counts) int64 { return c.Truncated }, true},
 		{"lost", func(f *worker.Faults) { f.CloseShare = 1 }, nil, func(c Counts) int64 { return c.Broken }, false},
 		{"failing", func(f *worker.Faults) { f.FailShare = 1 }, nil, func(c Counts) int64 { return c.WorkerErrors }, false},
 		{"shed", func(f *worker.Faults) { f.ShedShare = 1 }, nil, func(c Counts) int64 { return c.NotRun }, false},
@@ -164,8 +164,8 @@
 				if c.Sent == 0 || test.count(c) != c.Sent || c.InDeadline != 0 {
 					t.Errorf("%+v", c)
 				}
-				if r.PromisesKept() == test.broken {
-					t.Errorf("promises kept: %v", r.PromisesKept())
+				if r.GuaranteesHeld() == test.broken {
+					t.Errorf("promises kept: %v", r.GuaranteesHeld())
 				}
 			})
 		})
@@ -214,7 +214,7 @@
 		if c.NotRun == 0 || c.Answered == 0 || c.NotRun+c.Answered != c.Sent || c.Resends != c.Sent || c.InDeadline != 0 {
 			t.Errorf("%+v", c)
 		}
-		if !r.Oracle.Kept() || r.Oracle.Checked != c.Sent {
+		if !r.Oracle.Consistent() || r.Oracle.Checked != c.Sent {
 			t.Errorf("%+v", r.Oracle)
 		}
 	})
@@ -231,7 +231,7 @@
 		p := directPlan(Stream{RatePerSecond: 20, Method: http.MethodPost, CopyShare: 1})
 		p.MaxRequests = 1
 		r := run(t, p, opts)
-		if c := r.Total.Counts; c.Sent != 1 || c.Copies != c.Sent || r.Oracle.Duplicates != c.Sent || r.PromisesKept() {
+		if c := r.Total.Counts; c.Sent != 1 || c.Copies != c.Sent || r.Oracle.Duplicates != c.Sent || r.GuaranteesHeld() {
 			t.Errorf("%+v %+v", c, r.Oracle)
 		}
 		close(dialled)
@@ -326,7 +326,7 @@
 		if c := r.Total.Counts; c.NotRun < c.Sent*4/10 || c.NotRun > c.Sent*6/10 {
 			t.Errorf("%+v", c)
 		}
-		if len(r.Steps) != 2 || r.Steps[0].Error != "" || !strings.Contains(r.Steps[1].Error, "shed_share") || r.StepsDone() {
+		if len(r.Steps) != 2 || r.Steps[0].Error != "" || !strings.Contains(r.Steps[1].Error, "shed_share") || r.StepsSucceeded() {
 			t.Errorf("%+v", r.Steps)
 		}
 		_ = server.Close()
@@ -358,8 +358,8 @@
 		{"twice, unknown", told{verdict: verdictUnknown}, 2, OracleResult{Duplicates: 1}},
 		{"twice, idempotent", told{verdict: verdictAnswered, idempotent: true}, 2, OracleResult{}},
 		{"unknown", told{verdict: verdictUnknown}, 0, OracleResult{}},
-		{"not run that ran", told{verdict: verdictNotRun}, 1, OracleResult{NotRunThatRan: 1}},
-		{"not run that ran, idempotent", told{verdict: verdictNotRun, idempotent: true}, 1, OracleResult{NotRunThatRan: 1}},
+		{"not run that ran", told{verdict: verdictNotRun}, 1, OracleResult{FalseNotRun: 1}},
+		{"not run that ran, idempotent", told{verdict: verdictNotRun, idempotent: true}, 1, OracleResult{FalseNotRun: 1}},
 		{"not run, the copy ran", told{verdict: verdictNotRun, copied: true}, 1, OracleResult{}},
 		{"copies ran", told{verdict: verdictAnswered, copied: true}, 2, OracleResult{Duplicates: 1}},
 		{"answered without a run", told{verdict: verdictAnswered}, 0, OracleResult{AnsweredWithoutRun: 1}},
@@ -370,11 +370,11 @@
 			test.told.id = "x"
 			got.checkOne(test.told, test.runs)
 			test.want.Checked = 1
-			if got.Duplicates != test.want.Duplicates || got.NotRunThatRan != test.want.NotRunThatRan || got.AnsweredWithoutRun != test.want.AnsweredWithoutRun {
+			if got.Duplicates != test.want.Duplicates || got.FalseNotRun != test.want.FalseNotRun || got.AnsweredWithoutRun != test.want.AnsweredWithoutRun {
 				t.Errorf("%+v, want %+v", got, test.want)
 			}
-			if got.Kept() != (len(got.Examples) == 0) {
-				t.Errorf("kept %v with examples %v", got.Kept(), got.Examples)
+			if got.Consistent() != (len(got.Examples) == 0) {
+				t.Errorf("kept %v with examples %v", got.Consistent(), got.Examples)
 			}
 		})
 	}
--- a/internal/local/fleet.go
+++ b/internal/local/fleet.go
@@ -46,9 +46,9 @@
 	Profiles []worker.Profile
 	// Handler, when not nil, takes the place of the stand-in worker.
 	Handler http.Handler
-	// Deadly, EndsAfter and BackAfter are the stand-in worker's.
-	Deadly               func(answer.Request) bool
-	EndsAfter, BackAfter time.Duration
+	// Deadly, CrashDelay and RestartDelay are the stand-in worker's.
+	CrashOn                  func(answer.Request) bool
+	CrashDelay, RestartDelay time.Duration
 }
 
 // Config describes a fleet.
@@ -97,8 +97,8 @@
 // WorkerAddress returns the address of the member's worker.
 func (m *Member) WorkerAddress() string { return m.workerAddr }
 
-// Over tells whether the member was stopped or killed.
-func (m *Member) Over() bool { return m.over.Load() }
+// Stopped tells whether the member was stopped or killed.
+func (m *Member) Stopped() bool { return m.over.Load() }
 
 // Fleet is a running deployment.
 type Fleet struct {
@@ -230,7 +230,7 @@
 		Ledger:   f.Ledger,
 		Node:     m.Node.CallerAddress(),
 
-		CrashOn: s.Deadly, CrashDelay: s.EndsAfter, RestartDelay: s.BackAfter,
+		CrashOn: s.CrashOn, CrashDelay: s.CrashDelay, RestartDelay: s.RestartDelay,
 	})
 	if err != nil {
 		return err
@@ -302,8 +302,8 @@
 	return append([]*Member(nil), f.members...)
 }
 
-// Callers returns the caller addresses of the running nodes.
-func (f *Fleet) Callers() []string {
+// CallerAddresses returns the caller addresses of the running nodes.
+func (f *Fleet) CallerAddresses() []string {
 	var out []string
 	for _, m := range f.Members() {
 		if !m.over.Load() {
@@ -352,8 +352,8 @@
 	return Ready(m) && int(m.Node.Core().Owner.Report(time.Now()).Limit) >= f.cfg.Slots
 }
 
-// InForce tells whether the member has that version or a newer one in force.
-func InForce(v model.BundleVersion) func(*Member) bool {
+// HasVersion tells whether the member has that version or a newer one in force.
+func HasVersion(v model.BundleVersion) func(*Member) bool {
 	return func(m *Member) bool {
 		held := m.Node.Core().Board.Bundles.Get().Bundle(v.Name)
 		return held != nil && held.Version >= v.Version
@@ -369,9 +369,9 @@
 	return err
 }
 
-// Failed waits until a member's node has ended by itself, and returns why; or until ctx
+// AwaitFailure waits until a member's node has ended by itself, and returns why; or until ctx
 // ends.
-func (f *Fleet) Failed(ctx context.Context) error {
+func (f *Fleet) AwaitFailure(ctx context.Context) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
--- a/internal/member/list_single_test.go
+++ b/internal/member/list_single_test.go
@@ -56,7 +56,7 @@
 	s.run(3 * time.Second)
 	s.c.list.timer.ReadDone(s.now.Add(-time.Minute), true)
 	s.handle(control.Received{From: id(1), Message: wire.ListBeacon{Echo: sent, List: wire.ListAges{Attempt: 1, Confirmed: 1}}})
-	if age := s.now.Sub(s.c.ListConfirmed()); age < 3*time.Second {
+	if age := s.now.Sub(s.c.ListConfirmedAt()); age < 3*time.Second {
 		t.Errorf("confirmed %s ago by a message sent 3 s ago", age)
 	}
 }
--- a/internal/member/list_test.go
+++ b/internal/member/list_test.go
@@ -81,12 +81,12 @@
 	if perMinute := (f.reads - reads) / 59; perMinute > 60 || perMinute < 5 {
 		t.Errorf("%d reads a minute in the outage", perMinute)
 	}
-	if age := f.now.Sub(f.nodes[0].c.ListConfirmed()); age < time.Hour-time.Second {
+	if age := f.now.Sub(f.nodes[0].c.ListConfirmedAt()); age < time.Hour-time.Second {
 		t.Errorf("list confirmed %s ago", age)
 	}
 	f.listDown = false
 	f.run(15 * time.Second)
-	if age := f.now.Sub(f.nodes[0].c.ListConfirmed()); age > 5*time.Second {
+	if age := f.now.Sub(f.nodes[0].c.ListConfirmedAt()); age > 5*time.Second {
 		t.Errorf("list confirmed %s ago after the outage", age)
 	}
 	if e := f.nodes[0].events; e[event.ListFailed] != 1 || e[event.ListRecovered] != 1 {
@@ -132,7 +132,7 @@
 	if k := f.eventCount(event.ListFailed); k > 0 {
 		t.Errorf("failure recorded %d times while the list is available", k)
 	}
-	if age := f.now.Sub(f.nodes[50].c.ListConfirmed()); age > 5*time.Second {
+	if age := f.now.Sub(f.nodes[50].c.ListConfirmedAt()); age > 5*time.Second {
 		t.Errorf("list confirmed %s ago", age)
 	}
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -108,9 +108,9 @@
 	return c.out
 }
 
-// ListConfirmed returns when the platform's list was last confirmed, by a read of this
+// ListConfirmedAt returns when the platform's list was last confirmed, by a read of this
 // node or of a peer; zero if never.
-func (c *Controller) ListConfirmed() time.Time { return c.list.timer.LastSuccess() }
+func (c *Controller) ListConfirmedAt() time.Time { return c.list.timer.LastSuccess() }
 
 // ListReads returns the number of list reads that this node has started.
 func (c *Controller) ListReads() uint64 { return c.list.timer.ReadCount() }
@@ -168,7 +168,7 @@
 // about peers, and this node's view may be outdated.
 func (c *Controller) paused(now time.Time, d time.Duration) {
 	c.unreliableUntil = now.Add(pauseGrace)
-	c.list.timer.Paused(now, d)
+	c.list.timer.ProcessPaused(now, d)
 	c.links.resetSilence(now)
 	c.dropChecks()
 	c.peers.dials = nil
--- a/internal/node/e2e_test.go
+++ b/internal/node/e2e_test.go
@@ -51,7 +51,7 @@
 	}
 	t.Cleanup(func() {
 		for _, m := range f.Members() {
-			if m.Over() {
+			if m.Stopped() {
 				continue
 			}
 			if err := f.Stop(m); err != nil {
@@ -74,7 +74,7 @@
 		_, _ = io.WriteString(w, "for "+r.Header.Get("Idempotency-Key"))
 	}
 	f := newFleet(t, 3, http.HandlerFunc(echo))
-	for i, address := range f.Callers() {
+	for i, address := range f.CallerAddresses() {
 		req, err := http.NewRequest(http.MethodGet, "http://"+address+"/vouchers/7", nil)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/node/fault_test.go
+++ b/internal/node/fault_test.go
@@ -67,7 +67,7 @@
 		replies: make(chan error, 100),
 	}
 	b.Fleet = startLogged(t, fmt.Sprintf(faultBundle, 1), 2, b.work, 30*time.Second, b.log)
-	for i, address := range b.Callers() {
+	for i, address := range b.CallerAddresses() {
 		for k := range callersEach {
 			go func() { b.replies <- b.call(address, fmt.Sprintf("payout-%d-%d", i, k)) }()
 		}
@@ -175,7 +175,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	err := b.Failed(ctx)
+	err := b.AwaitFailure(ctx)
 	if err == nil || !strings.Contains(err.Error(), cause) || errors.Is(err, node.ErrCutOff) {
 		t.Errorf("the node ended with %v, want %q", err, cause)
 	}
--- a/internal/node/http_test.go
+++ b/internal/node/http_test.go
@@ -85,7 +85,7 @@
 
 func do(t *testing.T, f *local.Fleet, method, path, body string, header http.Header) (reply, http.Header, error) {
 	t.Helper()
-	return doAt(t, f.Callers()[0], method, path, body, header)
+	return doAt(t, f.CallerAddresses()[0], method, path, body, header)
 }
 
 func doAt(t *testing.T, address, method, path, body string, header http.Header) (reply, http.Header, error) {
@@ -171,7 +171,7 @@
 
 func chunkedOverBound(t *testing.T, f *local.Fleet, worker *httpWorker) {
 	body := noLength{bytes.NewReader(make([]byte, 1<<20+1))}
-	req, err := http.NewRequest(http.MethodPost, "http://"+f.Callers()[0]+"/length", body)
+	req, err := http.NewRequest(http.MethodPost, "http://"+f.CallerAddresses()[0]+"/length", body)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -192,7 +192,7 @@
 	if err != nil || first.Outcome != "answered" {
 		t.Fatalf("first: %+v, %v", first, err)
 	}
-	for _, address := range f.Callers() {
+	for _, address := range f.CallerAddresses() {
 		second, _, err := doAt(t, address, http.MethodPost, "/payouts", "amount=7", header)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -28,8 +28,8 @@
 				t.Errorf("address %q: %v", a, err)
 			}
 		}
-		if len(s.Trusted()) != len(s.Signers) || len(s.Signers) == 0 {
-			t.Errorf("%d of %d signers are trusted", len(s.Trusted()), len(s.Signers))
+		if len(s.TrustedSigners()) != len(s.Signers) || len(s.Signers) == 0 {
+			t.Errorf("%d of %d signers are trusted", len(s.TrustedSigners()), len(s.Signers))
 		}
 		if s.LeaveGrace() >= s.StopTimeout() || s.LeaveGrace() < 0 || s.Platform.Timeout() <= 0 {
 			t.Errorf("times %v, %v, %v", s.LeaveGrace(), s.StopTimeout(), s.Platform.Timeout())
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -58,7 +58,7 @@
 	}
 	s := defaults()
 	doc := tomlfile.Decode(file, data, s)
-	if doc.Broken() {
+	if doc.HasSyntaxError() {
 		return nil, doc.Err()
 	}
 	check(s, doc)
@@ -71,7 +71,7 @@
 func defaults() *Settings {
 	return &Settings{
 		LogLevel:           defaultLogLevel,
-		RequestLines:       defaultRequestLines,
+		RequestLogLines:    defaultRequestLines,
 		StopTimeoutMs:      defaultStopTimeoutMs,
 		LeaveGraceMs:       defaultLeaveGraceMs,
 		MaxHeaderBytes:     defaultMaxHeaderBytes,
@@ -85,9 +85,9 @@
 
 // check notes every fault of s in doc.
 func check(s *Settings, doc *tomlfile.Document) {
-	doc.Name("instance", string(s.Instance))
-	doc.Name("service", string(s.Service))
-	doc.Name("data_centre", string(s.DataCentre))
+	doc.CheckName("instance", string(s.Instance))
+	doc.CheckName("service", string(s.Service))
+	doc.CheckName("data_centre", string(s.DataCentre))
 	checkAddresses(s, doc)
 	checkPlaces(s, doc)
 	checkPeers(s, doc)
@@ -117,29 +117,29 @@
 	taken := map[string]string{}
 	for i, p := range s.Places {
 		key := fmt.Sprintf("place[%d]", i)
-		doc.Name(key+".data_centre", string(p.DataCentre))
-		doc.Name(key+".region", string(p.Region))
+		doc.CheckName(key+".data_centre", string(p.DataCentre))
+		doc.CheckName(key+".region", string(p.Region))
 		unique(doc, taken, key+".data_centre", string(p.DataCentre))
 	}
 }
 
 func checkDirectory(d *Directory, doc *tomlfile.Document) {
 	if d.Address != "" {
-		doc.Address("directory.address", d.Address)
+		doc.CheckAddress("directory.address", d.Address)
 		reachable(doc, "directory.address", d.Address)
 	}
-	doc.FloatRange("directory.retry_ratio", d.RetryRatio, 0, 1)
-	doc.FloatRange("directory.retry_extra", d.RetryExtra, 0, maxRetryExtra)
-	doc.FloatRange("directory.warming_ratio", d.WarmingRatio, 1, maxWarmingRatio)
-	doc.FloatRange("directory.warming_extra", d.WarmingExtra, 0, maxWarmingExtra)
+	doc.CheckFloatRange("directory.retry_ratio", d.RetryRatio, 0, 1)
+	doc.CheckFloatRange("directory.retry_extra", d.RetryExtra, 0, maxRetryExtra)
+	doc.CheckFloatRange("directory.warming_ratio", d.WarmingRatio, 1, maxWarmingRatio)
+	doc.CheckFloatRange("directory.warming_extra", d.WarmingExtra, 0, maxWarmingExtra)
 }
 
 func checkPlatform(s *Settings, doc *tomlfile.Document) {
-	doc.Address("platform.config_address", s.Platform.ConfigAddress)
+	doc.CheckAddress("platform.config_address", s.Platform.ConfigAddress)
 	reachable(doc, "platform.config_address", s.Platform.ConfigAddress)
-	doc.Address("platform.list_address", s.Platform.ListAddress)
+	doc.CheckAddress("platform.list_address", s.Platform.ListAddress)
 	reachable(doc, "platform.list_address", s.Platform.ListAddress)
-	doc.IntRange("platform.timeout_ms", s.Platform.TimeoutMs, 1, maxPlatformTimeoutMs)
+	doc.CheckIntRange("platform.timeout_ms", s.Platform.TimeoutMs, 1, maxPlatformTimeoutMs)
 }
 
 // ownAddresses notes addresses that cannot be told apart.
@@ -150,7 +150,7 @@
 }
 
 func (o *ownAddresses) add(key, value string) {
-	addr, ok := o.doc.Address(key, value)
+	addr, ok := o.doc.CheckAddress(key, value)
 	if !ok {
 		return
 	}
@@ -184,7 +184,7 @@
 		doc.Add("peers", "%d peers are over the bound of %d", len(s.Peers), maxPeers)
 	}
 	for i, peer := range s.Peers {
-		if _, ok := doc.Address("peers", peer); !ok {
+		if _, ok := doc.CheckAddress("peers", peer); !ok {
 			continue
 		}
 		reachable(doc, "peers", peer)
@@ -201,9 +201,9 @@
 	names, public := map[string]string{}, map[string]string{}
 	for i, signer := range s.Signers {
 		key := fmt.Sprintf("signer[%d]", i)
-		doc.Name(key+".name", signer.Name)
+		doc.CheckName(key+".name", signer.Name)
 		unique(doc, names, key+".name", signer.Name)
-		if !doc.Required(key + ".key") {
+		if !doc.Require(key + ".key") {
 			continue
 		}
 		if _, err := keys.DecodePublic(signer.Key); err != nil {
@@ -256,14 +256,14 @@
 }
 
 func checkNumbers(s *Settings, doc *tomlfile.Document) {
-	doc.IntRange("stop_timeout_ms", s.StopTimeoutMs, minStopTimeoutMs, maxStopTimeoutMs)
-	doc.IntRange("leave_grace_ms", s.LeaveGraceMs, 0, maxStopTimeoutMs)
-	doc.IntRange("stop_margin_ms", s.StopMarginMs, 0, maxStopMarginMs)
+	doc.CheckIntRange("stop_timeout_ms", s.StopTimeoutMs, minStopTimeoutMs, maxStopTimeoutMs)
+	doc.CheckIntRange("leave_grace_ms", s.LeaveGraceMs, 0, maxStopTimeoutMs)
+	doc.CheckIntRange("stop_margin_ms", s.StopMarginMs, 0, maxStopMarginMs)
 	if s.StopMarginMs >= s.StopTimeoutMs && s.StopMarginMs > 0 {
 		doc.Add("stop_margin_ms", "%d must be under stop_timeout_ms of %d", s.StopMarginMs, s.StopTimeoutMs)
 	}
-	doc.IntRange("request_log_lines", int64(s.RequestLines), 0, maxRequestLines)
-	doc.IntRange("memory_limit_mb", s.MemoryLimitMb, 0, maxMemoryLimitMb)
+	doc.CheckIntRange("request_log_lines", int64(s.RequestLogLines), 0, maxRequestLines)
+	doc.CheckIntRange("memory_limit_mb", s.MemoryLimitMb, 0, maxMemoryLimitMb)
 	if s.LeaveGraceMs >= s.StopTimeoutMs {
 		key := "leave_grace_ms"
 		if !doc.Has(key) {
@@ -271,8 +271,8 @@
 		}
 		doc.Add(key, "leave_grace_ms of %d must be under stop_timeout_ms of %d", s.LeaveGraceMs, s.StopTimeoutMs)
 	}
-	doc.IntRange("max_header_bytes", int64(s.MaxHeaderBytes), minHeaderBytes, maxHeaderBytes)
-	doc.IntRange("max_idle_connections", int64(s.MaxIdleConnections), 1, maxIdleConnections)
-	doc.IntRange("local_delay_us", s.LocalDelayUs, 1, maxDelayUs)
-	doc.IntRange("remote_delay_us", s.RemoteDelayUs, 1, maxDelayUs)
+	doc.CheckIntRange("max_header_bytes", int64(s.MaxHeaderBytes), minHeaderBytes, maxHeaderBytes)
+	doc.CheckIntRange("max_idle_connections", int64(s.MaxIdleConnections), 1, maxIdleConnections)
+	doc.CheckIntRange("local_delay_us", s.LocalDelayUs, 1, maxDelayUs)
+	doc.CheckIntRange("remote_delay_us", s.RemoteDelayUs, 1, maxDelayUs)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -51,9 +51,9 @@
 	TLS TLS `toml:"tls"`
 	// LogLevel is debug, info, warn or error. Default info.
 	LogLevel string `toml:"log_level"`
-	// RequestLines bounds the log lines a second about single requests. Default 200,
+	// RequestLogLines bounds the log lines a second about single requests. Default 200,
 	// from 0 to 100000.
-	RequestLines int `toml:"request_log_lines"`
+	RequestLogLines int `toml:"request_log_lines"`
 	// StopTimeoutMs bounds a planned stop, in milliseconds; what is in flight
 	// after it is cut off. Default 30000, from 100 to 3600000.
 	StopTimeoutMs int64 `toml:"stop_timeout_ms"`
@@ -152,8 +152,8 @@
 	return model.Instance{ID: s.Instance, Service: s.Service, DataCentre: s.DataCentre, PeerAddress: s.PeerAddress}
 }
 
-// Trusted returns the signers whose bundles are accepted.
-func (s *Settings) Trusted() []bundle.Signer {
+// TrustedSigners returns the signers whose bundles are accepted.
+func (s *Settings) TrustedSigners() []bundle.Signer {
 	out := make([]bundle.Signer, 0, len(s.Signers))
 	for _, signer := range s.Signers {
 		// Parse has checked the key; one that does not decode trusts nobody.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -48,7 +48,7 @@
 		Platform:  Platform{ConfigAddress: "127.0.0.1:7500", ListAddress: "127.0.0.1:7500", TimeoutMs: 1000},
 		Signers:   []Signer{{Name: "aline", Key: publicKey}},
 		Directory: Directory{RetryRatio: 0.2, RetryExtra: 50, WarmingRatio: 1},
-		LogLevel:  "info", RequestLines: 200, StopTimeoutMs: 30_000, LeaveGraceMs: 2000, MaxHeaderBytes: 32768,
+		LogLevel:  "info", RequestLogLines: 200, StopTimeoutMs: 30_000, LeaveGraceMs: 2000, MaxHeaderBytes: 32768,
 		MaxIdleConnections: 256, LocalDelayUs: 100, RemoteDelayUs: 1000,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -70,7 +70,7 @@
 	if diff := cmp.Diff(self, s.Self()); diff != "" {
 		t.Errorf("Self differs (-want +got):\n%s", diff)
 	}
-	if trusted := s.Trusted(); len(trusted) != 1 || trusted[0].Name != "aline" || len(trusted[0].Key) != 32 {
+	if trusted := s.TrustedSigners(); len(trusted) != 1 || trusted[0].Name != "aline" || len(trusted[0].Key) != 32 {
 		t.Errorf("Trusted = %v", trusted)
 	}
 	if s.Level() != zerolog.InfoLevel || s.TLS.Enabled() {
--- a/internal/simulation/contender.go
+++ b/internal/simulation/contender.go
@@ -11,14 +11,14 @@
 type Contender struct {
 	Name   string
 	Policy route.Policy
-	// Change changes a part of the product's policy; nil changes none.
-	Change func(*route.Tuning)
+	// Adjust changes a part of the product's policy; nil changes none.
+	Adjust func(*route.Tuning)
 }
 
 func (c Contender) tuning() *route.Tuning {
 	t := route.DefaultTuning()
-	if c.Change != nil {
-		c.Change(&t)
+	if c.Adjust != nil {
+		c.Adjust(&t)
 	}
 	return &t
 }
@@ -60,7 +60,7 @@
 	}
 	var out []Contender
 	for _, p := range parts {
-		out = append(out, Contender{Name: p.name, Change: p.change})
+		out = append(out, Contender{Name: p.name, Adjust: p.change})
 	}
 	return out
 }
@@ -76,7 +76,7 @@
 	for seed := range uint64(seeds) {
 		o := Run(seed, sc, c)
 		p50, p99 = append(p50, o.P50), append(p99, o.P99)
-		sum.InTime += o.InTime / seeds
+		sum.WithinDeadline += o.WithinDeadline / seeds
 		sum.Messages += o.Messages / seeds
 	}
 	slices.Sort(p50)
--- a/internal/simulation/entry.go
+++ b/internal/simulation/entry.go
@@ -15,7 +15,7 @@
 }
 
 func (e *entryNode) link(u *upstream) time.Duration {
-	if u.fault == Starved && u.faulty() {
+	if u.fault == SlowLink && u.faulty() {
 		return remoteDelay + starvedDelay
 	}
 	if e.dc == u.dc {
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -14,8 +14,8 @@
 	Cold
 	// Paused stops for 200 ms in each half second.
 	Paused
-	// Starved is behind a link that takes 15 ms more.
-	Starved
+	// SlowLink is behind a link that takes 15 ms more.
+	SlowLink
 )
 
 // capacity is the part of an upstream's capacity that a fault leaves.
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -138,8 +138,8 @@
 	// P50 and P99 are latencies; a call that was not answered counts as its
 	// deadline.
 	P50, P99 time.Duration
-	// InTime is the share of calls answered in deadline.
-	InTime float64
+	// WithinDeadline is the share of calls answered in deadline.
+	WithinDeadline float64
 	// Messages is the number of measuring messages per answered call.
 	Messages float64
 }
@@ -161,9 +161,9 @@
 	sort.Slice(s.latencies, func(i, j int) bool { return s.latencies[i] < s.latencies[j] })
 	n := len(s.latencies)
 	return Outcome{
-		P50:      s.latencies[n/2],
-		P99:      s.latencies[n*99/100],
-		InTime:   float64(s.answered) / float64(n),
-		Messages: float64(s.messages) / float64(max(1, s.answered)),
+		P50:            s.latencies[n/2],
+		P99:            s.latencies[n*99/100],
+		WithinDeadline: float64(s.answered) / float64(n),
+		Messages:       float64(s.messages) / float64(max(1, s.answered)),
 	}
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -12,7 +12,7 @@
 		best := Run(seed, sc, policies[0])
 		for _, c := range policies[1:] {
 			o := Run(seed, sc, c)
-			if best.P99 >= o.P99 || best.InTime < o.InTime {
+			if best.P99 >= o.P99 || best.WithinDeadline < o.WithinDeadline {
 				t.Errorf("%s: product %+v, %s %+v", f, best, c.Name, o)
 			}
 		}
--- a/internal/simulation/write.go
+++ b/internal/simulation/write.go
@@ -16,12 +16,12 @@
 	if err != nil {
 		return err
 	}
-	for f := NoFault; f <= Starved; f++ {
+	for f := NoFault; f <= SlowLink; f++ {
 		for _, load := range []float64{0.6, 0.85, 1.1} {
 			for _, c := range contenders {
 				o := Repeat(Scenario{Upstreams: upstreams, Load: load, Fault: f}, c)
 				_, err := fmt.Fprintf(out, "%-8s %4.0f%%  %-16s %8.2f %8.2f %7.2f%% %9.4f\n",
-					f, 100*load, c.Name, ms(o.P50), ms(o.P99), 100*o.InTime, o.Messages)
+					f, 100*load, c.Name, ms(o.P50), ms(o.P99), 100*o.WithinDeadline, o.Messages)
 				if err != nil {
 					return err
 				}
--- a/internal/spread/accept_test.go
+++ b/internal/spread/accept_test.go
@@ -41,7 +41,7 @@
 	s.indexVersions = []model.BundleVersion{{Name: "a", Version: 5}}
 	s.wait(noPeerWait)
 	if !s.c.Ready() {
-		t.Fatalf("not ready: %v", s.c.Missing())
+		t.Fatalf("not ready: %v", s.c.NotReadyReasons())
 	}
 	for _, id := range peers {
 		s.handle(control.LinkUp{Peer: model.Instance{ID: id}})
@@ -180,7 +180,7 @@
 					reads++
 					out = append(out, s.handle(control.ValueRead{Name: "a", Data: bad.raw})...)
 				}
-				if age := s.now.Sub(s.c.Confirmed()); age > time.Second {
+				if age := s.now.Sub(s.c.ConfirmedAt()); age > time.Second {
 					t.Fatalf("the other bundles were confirmed %s ago", age)
 				}
 				logs += recorded(out, event.BundleRefused) + recorded(out, event.BundleOlder) + recorded(out, event.BundleConflict)
--- a/internal/spread/faults_test.go
+++ b/internal/spread/faults_test.go
@@ -66,7 +66,7 @@
 		t.Errorf("%.2f reads/s in the outage", perSecond)
 	}
 	for _, nd := range f.nodes {
-		if age := f.now.Sub(nd.c.Confirmed()); age < 49*time.Minute || nd.records[event.ConfigUnconfirmed] == 0 {
+		if age := f.now.Sub(nd.c.ConfirmedAt()); age < 49*time.Minute || nd.records[event.ConfigUnconfirmed] == 0 {
 			t.Fatalf("%s was confirmed %s ago, %d alerts", nd.id, age, nd.records[event.ConfigUnconfirmed])
 		}
 		if n := nd.records[event.ConfigUnreachable]; n > 6 {
@@ -78,7 +78,7 @@
 	f.linkSome(fresh, 4, f.nodes)
 	f.run(10 * time.Minute)
 	if !fresh.c.Ready() || fresh.inForce("a") != 1 {
-		t.Errorf("a node that started in the outage is missing %v", fresh.c.Missing())
+		t.Errorf("a node that started in the outage is missing %v", fresh.c.NotReadyReasons())
 	}
 	f.publish("a", 2, 1000)
 	f.platform.down = false
@@ -107,7 +107,7 @@
 		if nd.inForce("a") != 2 {
 			t.Errorf("%s has a@%d in force", nd.id, nd.inForce("a"))
 		}
-		if nd.c.Confirmed().After(turned) {
+		if nd.c.ConfirmedAt().After(turned) {
 			t.Errorf("%s counts a stale response as a confirmation", nd.id)
 		}
 	}
@@ -173,17 +173,17 @@
 	f.run(5 * time.Minute)
 	f.publish("a", 2, 1000)
 	f.resumeNode(nd)
-	if got := nd.c.Confirmed(); !got.IsZero() {
+	if got := nd.c.ConfirmedAt(); !got.IsZero() {
 		t.Errorf("confirmed at %s by events that waited through the pause", got)
 	}
 	f.run(10 * time.Second)
-	if age := f.now.Sub(nd.c.Confirmed()); age < 5*time.Minute {
+	if age := f.now.Sub(nd.c.ConfirmedAt()); age < 5*time.Minute {
 		t.Errorf("confirmed %s ago, during the outage", age)
 	}
 	f.platform.down = false
 	f.checkInForce(t, f.nodes, 2, 15*time.Second)
 	f.run(5 * time.Second)
-	if age := f.now.Sub(nd.c.Confirmed()); age > 5*time.Second {
+	if age := f.now.Sub(nd.c.ConfirmedAt()); age > 5*time.Second {
 		t.Errorf("confirmed %s ago", age)
 	}
 }
@@ -213,7 +213,7 @@
 	}
 	reads := f.platform.reads
 	if !f.runUntil(f.now.Add(rollOutLimit), f.allReady) {
-		t.Errorf("not ready after %s: %v", rollOutLimit, fresh[0].c.Missing())
+		t.Errorf("not ready after %s: %v", rollOutLimit, fresh[0].c.NotReadyReasons())
 	}
 	if got := f.platform.reads - reads; got > 100 {
 		t.Errorf("%d reads of the configuration service for 30 nodes of 60 bundles", got)
--- a/internal/spread/fleet_test.go
+++ b/internal/spread/fleet_test.go
@@ -328,7 +328,7 @@
 func (f *fleet) runUntilReady(t testing.TB) {
 	t.Helper()
 	if !f.runUntil(f.now.Add(2*time.Minute), f.allReady) {
-		t.Fatalf("not all ready after 2 min: %v", f.nodes[0].c.Missing())
+		t.Fatalf("not all ready after 2 min: %v", f.nodes[0].c.NotReadyReasons())
 	}
 	f.run(10 * time.Second)
 }
--- a/internal/spread/ready.go
+++ b/internal/spread/ready.go
@@ -61,7 +61,7 @@
 }
 
 func (c *Controller) becomeReady() {
-	if c.startup.ready || len(c.Missing()) > 0 {
+	if c.startup.ready || len(c.NotReadyReasons()) > 0 {
 		return
 	}
 	c.startup.ready = true
@@ -75,8 +75,8 @@
 	c.record(event.BundlesReady, "", fmt.Sprintf("%d bundles", len(c.inForce.items)), nil)
 }
 
-// Missing describes what keeps this node from being ready; empty when it is ready.
-func (c *Controller) Missing() []string {
+// NotReadyReasons describes what keeps this node from being ready; empty when it is ready.
+func (c *Controller) NotReadyReasons() []string {
 	if c.startup.ready {
 		return nil
 	}
--- a/internal/spread/ready_test.go
+++ b/internal/spread/ready_test.go
@@ -33,8 +33,8 @@
 			s.handle(control.IndexReadFailed{})
 		}
 	}
-	if s.c.Ready() || len(s.c.Missing()) == 0 || s.board.Bundles.Get() != nil {
-		t.Errorf("ready %v, missing %v", s.c.Ready(), s.c.Missing())
+	if s.c.Ready() || len(s.c.NotReadyReasons()) == 0 || s.board.Bundles.Get() != nil {
+		t.Errorf("ready %v, missing %v", s.c.Ready(), s.c.NotReadyReasons())
 	}
 }
 
@@ -47,8 +47,8 @@
 	}
 	s.handle(control.ValueRead{Name: "a", Data: signed("a", 1, 0)})
 	out = s.wait(noPeerWait)
-	if !s.c.Ready() || recorded(out, event.BundlesReadyUnconfirmed) != 1 || !s.c.Confirmed().IsZero() {
-		t.Fatalf("ready %v, confirmed %s, missing %v", s.c.Ready(), s.c.Confirmed(), s.c.Missing())
+	if !s.c.Ready() || recorded(out, event.BundlesReadyUnconfirmed) != 1 || !s.c.ConfirmedAt().IsZero() {
+		t.Fatalf("ready %v, confirmed %s, missing %v", s.c.Ready(), s.c.ConfirmedAt(), s.c.NotReadyReasons())
 	}
 	s.handle(control.LinkUp{Peer: model.Instance{ID: "p"}})
 	comparisons := sentTo[wire.BundleCompare](s.wait(2*compareInterval), "p")
@@ -57,7 +57,7 @@
 	}
 	last := comparisons[len(comparisons)-1]
 	s.receive("p", wire.BundleCompareReply{Nonce: last.Nonce, Digest: last.Digest, Ready: true})
-	if s.c.Confirmed().IsZero() {
+	if s.c.ConfirmedAt().IsZero() {
 		t.Error("unconfirmed although a peer holds the same versions")
 	}
 }
@@ -79,7 +79,7 @@
 	}
 	s.receive("p", packedBody("a", 2, signed("a", 2, 0)))
 	if !s.c.Ready() || s.inForce() != 2 {
-		t.Errorf("missing %v", s.c.Missing())
+		t.Errorf("missing %v", s.c.NotReadyReasons())
 	}
 }
 
@@ -98,7 +98,7 @@
 	f.checkInForce(t, f.nodes, 1, rollOutLimit)
 	f.run(compareInterval * 2)
 	for _, nd := range f.nodes {
-		if age := f.now.Sub(nd.c.Confirmed()); age > 5*time.Second {
+		if age := f.now.Sub(nd.c.ConfirmedAt()); age > 5*time.Second {
 			t.Errorf("%s was confirmed %s ago", nd.id, age)
 		}
 	}
@@ -118,7 +118,7 @@
 		t.Error("ready before the other linked peer replied")
 	}
 	if reply("q"); !s.c.Ready() {
-		t.Errorf("missing %v", s.c.Missing())
+		t.Errorf("missing %v", s.c.NotReadyReasons())
 	}
 }
 
@@ -145,14 +145,14 @@
 	s.now = s.now.Add(time.Hour)
 	s.handle(control.Paused{For: time.Hour})
 	s.handle(control.IndexRead{Versions: []model.BundleVersion{{Name: "a", Version: 5}}})
-	if got, timer := s.c.Confirmed(), s.c.timer.LastSuccess(); !got.IsZero() || timer.After(before) {
+	if got, timer := s.c.ConfirmedAt(), s.c.timer.LastSuccess(); !got.IsZero() || timer.After(before) {
 		t.Errorf("confirmed as of %s, the timer as of %s, before %s", got, timer, before)
 	}
 	if n := recorded(s.tick(), event.ConfigUnconfirmed); n > 0 {
 		t.Error("the pause itself raised an alert")
 	}
 	s.readIndex(model.BundleVersion{Name: "a", Version: 5})
-	if got := s.c.Confirmed(); !got.Equal(s.now) {
+	if got := s.c.ConfirmedAt(); !got.Equal(s.now) {
 		t.Errorf("confirmed as of %s, now is %s", got, s.now)
 	}
 }
@@ -164,20 +164,20 @@
 	}
 	for name, ev := range events {
 		s := newSingleNode(t, "p")
-		before := s.c.Confirmed()
+		before := s.c.ConfirmedAt()
 		s.now = s.now.Add(time.Minute)
 		out := s.handle(ev)
 		beacon := wire.BundleBeacon{ReadDigest: s.c.inForce.digest}
 		out = append(out, s.receive("p", beacon)...)
 		s.receive("p", wire.BundleCompareReply{Nonce: 1, Digest: s.c.inForce.digest})
 		s.receive("p", beacon)
-		if got := s.c.Confirmed(); got.After(before) {
+		if got := s.c.ConfirmedAt(); got.After(before) {
 			t.Errorf("%s: confirmed as of %s", name, got)
 		}
 		nonce := sentTo[wire.BundleCompare](out, "p")[0].Nonce
 		s.receive("p", wire.BundleCompareReply{Nonce: nonce, Digest: s.c.inForce.digest})
 		s.receive("p", beacon)
-		if got := s.c.Confirmed(); !got.Equal(s.now) {
+		if got := s.c.ConfirmedAt(); !got.Equal(s.now) {
 			t.Errorf("%s: confirmed as of %s, now is %s", name, got, s.now)
 		}
 	}
@@ -218,9 +218,9 @@
 
 func TestReadingConfirmsOnlyNodesHoldingItsVersions(t *testing.T) {
 	s := newSingleNode(t, "p")
-	before := s.c.Confirmed()
+	before := s.c.ConfirmedAt()
 	s.readIndex(model.BundleVersion{Name: "a", Version: 6})
-	if got := s.c.Confirmed(); !got.Equal(before) {
+	if got := s.c.ConfirmedAt(); !got.Equal(before) {
 		t.Errorf("confirmed as of %s by an own reading whose value is missing", got)
 	}
 	digest := s.c.inForce.digest ^ entryHash(s.c.inForce.items["a"].bundle.VersionID(), s.c.inForce.items["a"].content)
@@ -231,11 +231,11 @@
 	}
 	digest ^= entryHash(got.bundle.VersionID(), got.content)
 	s.receive("p", wire.BundleBeacon{ReadDigest: digest})
-	if got := s.c.Confirmed(); !got.Equal(before) {
+	if got := s.c.ConfirmedAt(); !got.Equal(before) {
 		t.Errorf("confirmed as of %s by a peer's reading whose value is missing", got)
 	}
 	s.receive("p", packedBody("a", 7, raw))
-	if got := s.c.Confirmed(); !got.Equal(s.now) {
+	if got := s.c.ConfirmedAt(); !got.Equal(s.now) {
 		t.Errorf("confirmed as of %s, now is %s", got, s.now)
 	}
 }
@@ -248,7 +248,7 @@
 	f.run(fetchExpiry + 10*time.Second)
 	for _, nd := range f.nodes {
 		if nd.inForce("a") != 1 {
-			t.Errorf("%s is not ready: %v", nd.id, nd.c.Missing())
+			t.Errorf("%s is not ready: %v", nd.id, nd.c.NotReadyReasons())
 		}
 	}
 }
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -157,7 +157,7 @@
 // during the pause confirm nothing. A link's ages count again once its peer has replied
 // to a comparison sent after the pause.
 func (c *Controller) paused(d time.Duration) {
-	c.timer.Paused(c.now, d)
+	c.timer.ProcessPaused(c.now, d)
 	c.confirmation.reset(c.now)
 	c.configReads.onPause()
 	for _, f := range c.fetches.list {
@@ -211,11 +211,11 @@
 // configuration service have named since its start. Once ready, it stays ready.
 func (c *Controller) Ready() bool { return c.startup.ready }
 
-// Confirmed returns the time as of which the bundles in force here were known to match
+// ConfirmedAt returns the time as of which the bundles in force here were known to match
 // the configuration service, by a read of this node or of a peer. It is zero before the
 // first confirmation, after a pause until the next one, and while the node became ready
 // from the configuration service alone although it has peers.
-func (c *Controller) Confirmed() time.Time {
+func (c *Controller) ConfirmedAt() time.Time {
 	if c.startup.readyWithoutPeers && c.fleetSize() > 1 {
 		return time.Time{}
 	}
--- a/internal/spread/state_test.go
+++ b/internal/spread/state_test.go
@@ -167,7 +167,7 @@
 		s.check(t)
 		s.f.run(10 * time.Second)
 		for _, nd := range s.f.nodes {
-			if age := s.f.now.Sub(nd.c.Confirmed()); age > 10*time.Second {
+			if age := s.f.now.Sub(nd.c.ConfirmedAt()); age > 10*time.Second {
 				t.Fatalf("%s was confirmed %s ago", nd.id, age)
 			}
 		}
--- a/internal/spread/unobtainable_test.go
+++ b/internal/spread/unobtainable_test.go
@@ -23,6 +23,6 @@
 	f.handle(fresh, control.IndexRead{Versions: []model.BundleVersion{{Name: "a", Version: 2}}})
 	f.run(15 * time.Second)
 	if got := fresh.inForce("a"); got != 1 {
-		t.Errorf("version %d in force after 15 s, want the peers' 1; missing %v", got, fresh.c.Missing())
+		t.Errorf("version %d in force after 15 s, want the peers' 1; missing %v", got, fresh.c.NotReadyReasons())
 	}
 }
--- a/internal/suppress/suppress.go
+++ b/internal/suppress/suppress.go
@@ -182,11 +182,11 @@
 	return true
 }
 
-// Paused says that the process stood still for d until now. Nothing is
+// ProcessPaused says that the process stood still for d until now. Nothing is
 // forgotten, but the timer is held back by a random time, once until the next attempt, so
 // that processes that woke together do not read together, and what waited in buffers is taken
 // to be older by d.
-func (t *Timer) Paused(now time.Time, d time.Duration) {
+func (t *Timer) ProcessPaused(now time.Time, d time.Duration) {
 	t.start(now)
 	// Standstills in series would hold it back for ever.
 	if t.pausedAt.IsZero() || t.attempt.After(t.pausedAt) {
@@ -197,9 +197,9 @@
 	t.doubtUntil = now.Add(wakeDoubt)
 }
 
-// Suspended says that the machine was suspended for d, which the caller's clock did not
+// HostSuspended says that the machine was suspended for d, which the caller's clock did not
 // count: all that is known is older by d.
-func (t *Timer) Suspended(d time.Duration) {
+func (t *Timer) HostSuspended(d time.Duration) {
 	for _, at := range []*time.Time{&t.attempt, &t.confirmed, &t.checked, &t.pausedAt} {
 		if !at.IsZero() {
 			*at = at.Add(-d)
--- a/internal/suppress/suppress_test.go
+++ b/internal/suppress/suppress_test.go
@@ -169,7 +169,7 @@
 	f.now = f.now.Add(asleep)
 	f.waiting.Clear()
 	for _, timer := range f.timers {
-		timer.Paused(f.now, asleep)
+		timer.ProcessPaused(f.now, asleep)
 	}
 	if reads := f.run(2 * tick); reads > n/10 {
 		t.Errorf("%d of %d timers read at once after a pause", reads, n)
@@ -183,7 +183,7 @@
 	timer := newTimer(1)
 	timer.ObservePeer(epoch, time.Second, Never)
 	wake := epoch.Add(time.Minute)
-	timer.Paused(wake, time.Minute)
+	timer.ProcessPaused(wake, time.Minute)
 	timer.ObservePeer(wake, 0, 0)
 	attempt, confirmed := timer.Ages(wake)
 	if attempt < time.Minute || confirmed < time.Minute {
@@ -275,7 +275,7 @@
 				t.Fatalf("seed %d: no reading in %d standstills", seed, cycle)
 			}
 			now = now.Add(stop)
-			timer.Paused(now, stop)
+			timer.ProcessPaused(now, stop)
 			for end := now.Add(run); now.Before(end); now = now.Add(tick) {
 				due = due || timer.Due(now, 1)
 			}
--- a/internal/tomlfile/document.go
+++ b/internal/tomlfile/document.go
@@ -7,9 +7,9 @@
 	"gypsumstand/internal/finding"
 )
 
-// Broken tells that the text is no TOML from some line on, so that what is
+// HasSyntaxError tells that the text is no TOML from some line on, so that what is
 // missing from the struct may stand there.
-func (d *Document) Broken() bool { return d.syntax }
+func (d *Document) HasSyntaxError() bool { return d.syntax }
 
 // Has tells whether the text sets key, rightly or not.
 func (d *Document) Has(key string) bool {
@@ -17,9 +17,9 @@
 	return ok
 }
 
-// Refused tells whether the value of key, or of a table that holds it, was not
+// Rejected tells whether the value of key, or of a table that holds it, was not
 // taken, so that the struct's field says nothing.
-func (d *Document) Refused(key string) bool {
+func (d *Document) Rejected(key string) bool {
 	for ; key != ""; key = parent(key) {
 		if d.refused[key] {
 			return true
@@ -28,15 +28,15 @@
 	return false
 }
 
-// RefusedBelow tells whether key or anything within it was not taken.
-func (d *Document) RefusedBelow(key string) bool {
-	return d.holders[key] || d.Refused(key)
+// RejectedWithin tells whether key or anything within it was not taken.
+func (d *Document) RejectedWithin(key string) bool {
+	return d.holders[key] || d.Rejected(key)
 }
 
 // Add notes a fault of key with the place of key, or of the innermost table
 // around it that the text has. Nothing is noted about a refused key.
 func (d *Document) Add(key, format string, args ...any) {
-	if d.Refused(key) {
+	if d.Rejected(key) {
 		return
 	}
 	f := finding.Finding{File: d.file, Key: key, Message: fmt.Sprintf(format, args...)}
--- a/internal/tomlfile/rules.go
+++ b/internal/tomlfile/rules.go
@@ -23,8 +23,8 @@
 	})
 }
 
-// Name notes a fault when the name at key is missing or not valid.
-func (d *Document) Name(key, value string) {
+// CheckName notes a fault when the name at key is missing or not valid.
+func (d *Document) CheckName(key, value string) {
 	switch {
 	case value == "" && !d.Has(key):
 		d.Add(key, "missing")
@@ -33,9 +33,9 @@
 	}
 }
 
-// Required notes a fault when the text does not set key, and tells whether it
+// Require notes a fault when the text does not set key, and tells whether it
 // does.
-func (d *Document) Required(key string) bool {
+func (d *Document) Require(key string) bool {
 	if d.Has(key) {
 		return true
 	}
@@ -43,30 +43,30 @@
 	return false
 }
 
-// IntRange notes a fault when value is not within low and high.
-func (d *Document) IntRange(key string, value, low, high int64) {
+// CheckIntRange notes a fault when value is not within low and high.
+func (d *Document) CheckIntRange(key string, value, low, high int64) {
 	if value < low || value > high {
 		d.Add(key, "%d must be from %d to %d", value, low, high)
 	}
 }
 
-// FloatRange notes a fault when value is not a number within low and high.
-func (d *Document) FloatRange(key string, value, low, high float64) {
+// CheckFloatRange notes a fault when value is not a number within low and high.
+func (d *Document) CheckFloatRange(key string, value, low, high float64) {
 	if math.IsNaN(value) || value < low || value > high {
 		d.Add(key, "%g must be from %g to %g", value, low, high)
 	}
 }
 
-// FloatAbove notes a fault when value is not a number over low and up to high.
-func (d *Document) FloatAbove(key string, value, low, high float64) {
+// CheckFloatAbove notes a fault when value is not a number over low and up to high.
+func (d *Document) CheckFloatAbove(key string, value, low, high float64) {
 	if math.IsNaN(value) || value <= low || value > high {
 		d.Add(key, "%g must be over %g and at most %g", value, low, high)
 	}
 }
 
-// Address notes a fault when value is not "ip:port" with a port from 1, and
+// CheckAddress notes a fault when value is not "ip:port" with a port from 1, and
 // returns the address. A host name is a fault: nodes look no names up.
-func (d *Document) Address(key, value string) (addr netip.AddrPort, ok bool) {
+func (d *Document) CheckAddress(key, value string) (addr netip.AddrPort, ok bool) {
 	if value == "" && !d.Has(key) {
 		d.Add(key, "missing")
 		return addr, false
@@ -80,7 +80,7 @@
 	case addr.Addr().Zone() != "":
 		d.Add(key, "%q must have no zone", value)
 	default:
-		return addr, !d.Refused(key)
+		return addr, !d.Rejected(key)
 	}
 	return addr, false
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -90,7 +90,7 @@
 func (d *Document) refuseUnknown(sch schema, text []byte) {
 	for i := range d.index.places {
 		p := &d.index.places[i]
-		if _, known := sch[p.plain]; known || d.Refused(p.key) {
+		if _, known := sch[p.plain]; known || d.Rejected(p.key) {
 			continue
 		}
 		line, column := d.index.position(p.offset)
@@ -124,7 +124,7 @@
 	for i := range missing.Errors {
 		err := &missing.Errors[i]
 		p, ok := d.index.at(d.index.offset(err.Position()))
-		if !ok || !d.Refused(p.key) {
+		if !ok || !d.Rejected(p.key) {
 			return d.refuseAt(sch, text, err)
 		}
 	}
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -167,17 +167,17 @@
 	var c config
 	d := Decode("f", []byte("count = \"a\"\npart = 1\nitem = [{name = 1}]\n"), &c)
 	d2 := Decode("f", []byte("[[part]]\nsize = 1\n"), &c)
-	if !d2.Refused("part.size") {
+	if !d2.Rejected("part.size") {
 		t.Error("part.size is not refused with its header")
 	}
 	before := d.Err().Error()
 	for _, key := range []string{"count", "part", "part.size", "item", "item[0].name", "item[0].tags"} {
-		if !d.Refused(key) {
+		if !d.Rejected(key) {
 			t.Errorf("%s is not refused", key)
 		}
 		d.Add(key, "again")
 	}
-	if d.Refused("name") || d.Refused("countdown") {
+	if d.Rejected("name") || d.Rejected("countdown") {
 		t.Error("a sound key is refused")
 	}
 	if diff := cmp.Diff(before, d.Err().Error()); diff != "" {
@@ -188,8 +188,8 @@
 func TestRefusedBelowLooksInsideTables(t *testing.T) {
 	var c config
 	d := Decode("f", []byte("[[item]]\ntags = 1\n[[item]]\ntags = []\n"), &c)
-	if !d.RefusedBelow("item[0]") || d.RefusedBelow("item[1]") || !d.RefusedBelow("item[0].tags") {
-		t.Errorf("refused below item[0] %v, item[1] %v", d.RefusedBelow("item[0]"), d.RefusedBelow("item[1]"))
+	if !d.RejectedWithin("item[0]") || d.RejectedWithin("item[1]") || !d.RejectedWithin("item[0].tags") {
+		t.Errorf("refused below item[0] %v, item[1] %v", d.RejectedWithin("item[0]"), d.RejectedWithin("item[1]"))
 	}
 }
 
@@ -202,16 +202,16 @@
 func TestRules(t *testing.T) {
 	var c config
 	d := Decode("f", nil, &c)
-	d.Name("a", "ok-1.x_y")
-	d.Name("b", "Ä")
-	d.IntRange("c", 5, 1, 5)
-	d.IntRange("d", 6, 1, 5)
-	d.FloatRange("e", 1, 0, 1)
-	d.FloatAbove("f", 0, 0, 1)
-	if addr, ok := d.Address("g", "[::1]:80"); !ok || addr.String() != "[::1]:80" {
+	d.CheckName("a", "ok-1.x_y")
+	d.CheckName("b", "Ä")
+	d.CheckIntRange("c", 5, 1, 5)
+	d.CheckIntRange("d", 6, 1, 5)
+	d.CheckFloatRange("e", 1, 0, 1)
+	d.CheckFloatAbove("f", 0, 0, 1)
+	if addr, ok := d.CheckAddress("g", "[::1]:80"); !ok || addr.String() != "[::1]:80" {
 		t.Errorf("Address = %v, %v", addr, ok)
 	}
-	if _, ok := d.Address("h", "::1:80"); ok {
+	if _, ok := d.CheckAddress("h", "::1:80"); ok {
 		t.Error("an address without brackets was taken")
 	}
 	want := `f: b: "Ä" must be 1 to 64 characters of a-z, 0-9, '.', '_' and '-'
@@ -241,7 +241,7 @@
 				t.Errorf("finding %v outside of %d lines", finding, lines)
 			}
 		}
-		if d.Broken() && len(d.findings) == 0 {
+		if d.HasSyntaxError() && len(d.findings) == 0 {
 			t.Error("broken without a finding")
 		}
 	})
