--- a/internal/load/arrivals.go
+++ b/internal/load/arrivals.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// arrivals draws the intended times of a stream: a Poisson process whose rate
-// rises within bursts. It is drawn at the highest rate and thinned (Lewis and
-// Shedler, 1979).
+// arrivals draws the intended send times of a stream: a Poisson process whose rate rises
+// during bursts. It draws at the peak rate and thins the result (Lewis and Shedler,
+// 1979).
 type arrivals struct {
 	rng      *rand.Rand
 	rate     float64
 	burst    Burst
 	at       time.Duration
-	window   int64
+	period   int64
 	burstEnd time.Duration
 }
 
 func newArrivals(s *Stream, rng *rand.Rand) *arrivals {
-	a := &arrivals{rng: rng, rate: s.RatePerSecond, burst: s.Burst, window: -1}
+	a := &arrivals{rng: rng, rate: s.RatePerSecond, burst: s.Burst, period: -1}
 	if a.burst.EveryMs == 0 {
 		a.burst = Burst{Factor: 1}
 	}
 	return a
 }
 
-// next returns the time of the next arrival since the start of the run.
+// next returns the time of the next arrival, measured from the start of the run.
 func (a *arrivals) next() time.Duration {
 	peak := a.rate * a.burst.Factor
 	for {
@@ -36,16 +36,16 @@
 	}
 }
 
-// rateAt returns the rate at t; t must not decrease from call to call.
+// rateAt returns the rate per second at t. t must not decrease between calls.
 func (a *arrivals) rateAt(t time.Duration) float64 {
 	if a.burst.EveryMs == 0 {
 		return a.rate
 	}
 	every := milliseconds(a.burst.EveryMs)
-	for w := int64(t / every); a.window < w; {
-		a.window++
+	for w := int64(t / every); a.period < w; {
+		a.period++
 		length := a.burst.MinMs + a.rng.Int64N(a.burst.MaxMs-a.burst.MinMs+1)
-		a.burstEnd = time.Duration(a.window)*every + milliseconds(length)
+		a.burstEnd = time.Duration(a.period)*every + milliseconds(length)
 	}
 	if t < a.burstEnd {
 		return a.rate * a.burst.Factor
--- a/internal/load/oracle_http.go
+++ b/internal/load/oracle_http.go
@@ -13,46 +13,46 @@
 	"gypsumstand/internal/model"
 )
 
-// Bounds of a question to a worker.
+// Limits of a query to one worker.
 const (
-	oracleTimeout  = 10 * time.Second
-	maxOracleReply = 16 << 20
+	oracleTimeout       = 10 * time.Second
+	maxOracleReplyBytes = 16 << 20
 )
 
-// HTTPOracle sums over the control addresses ("ip:port") of stand-in workers,
-// each with a ledger of its own.
+// HTTPOracle sums the runs of stand-in workers, given by their control addresses
+// ("ip:port"). Each worker must have its own ledger.
 type HTTPOracle []string
 
 // Runs implements Oracle.
 func (o HTTPOracle) Runs(ctx context.Context, ids []model.RequestID) ([]int, error) {
 	ctx, cancel := context.WithTimeout(ctx, oracleTimeout)
 	defer cancel()
-	question, err := json.Marshal(worker.RunsQuery{IDs: ids})
+	query, err := json.Marshal(worker.RunsQuery{IDs: ids})
 	if err != nil {
 		return nil, err
 	}
 	out := make([]int, len(ids))
 	for _, address := range o {
-		got, err := askRuns(ctx, address, question)
+		reply, err := fetchRuns(ctx, address, query)
 		if err != nil {
 			return nil, fmt.Errorf("worker at %s: %w", address, err)
 		}
-		if len(got.Runs) != len(ids) {
-			return nil, fmt.Errorf("worker at %s: %d answers to %d ids", address, len(got.Runs), len(ids))
+		if len(reply.Runs) != len(ids) {
+			return nil, fmt.Errorf("worker at %s: returned %d counts for %d ids", address, len(reply.Runs), len(ids))
 		}
-		if got.Forgotten > 0 {
-			return nil, fmt.Errorf("worker at %s: %w: %d ids are forgotten", address, ErrIncomplete, got.Forgotten)
+		if reply.Forgotten > 0 {
+			return nil, fmt.Errorf("worker at %s: %w: %d ids are forgotten", address, ErrIncomplete, reply.Forgotten)
 		}
-		for i, r := range got.Runs {
+		for i, r := range reply.Runs {
 			out[i] += r.Runs
 		}
 	}
 	return out, nil
 }
 
-func askRuns(ctx context.Context, address string, question []byte) (worker.RunsReply, error) {
+func fetchRuns(ctx context.Context, address string, query []byte) (worker.RunsReply, error) {
 	var out worker.RunsReply
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+worker.ControlRunsPath, bytes.NewReader(question))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+worker.ControlRunsPath, bytes.NewReader(query))
 	if err != nil {
 		return out, err
 	}
@@ -61,7 +61,7 @@
 		return out, err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxOracleReply))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxOracleReplyBytes))
 	if err != nil {
 		return out, err
 	}
--- a/internal/load/parse.go
+++ b/internal/load/parse.go
@@ -7,10 +7,10 @@
 	"gypsumstand/internal/tomlfile"
 )
 
-// ParsePlan reads the TOML of a plan and fills defaults. file names the text in
-// findings. Each override is applied before the plan is checked: what the
-// command line says goes before the file. The error is a finding.List with every
-// fault and its place.
+// ParsePlan reads a plan from TOML and fills in defaults. file names the text in
+// findings. The overrides, such as command-line flags, take precedence over the file and
+// are applied before the plan is checked. The error is a finding.List with every fault
+// and its place.
 func ParsePlan(file string, data []byte, overrides ...func(*Plan)) (Plan, error) {
 	p := NewPlan()
 	doc := tomlfile.Decode(file, data, &p)
@@ -32,8 +32,8 @@
 	return p, nil
 }
 
-// CheckPlan fills the defaults of a plan that no file was read for and checks
-// it. The error is a finding.List with every fault.
+// CheckPlan fills in the defaults of a plan that was not read from a file and checks it.
+// The error is a finding.List with every fault.
 func CheckPlan(p Plan) (Plan, error) {
 	p.Streams = append([]Stream(nil), p.Streams...)
 	p.Steps = append([]Step(nil), p.Steps...)
--- a/internal/load/plan_test.go
+++ b/internal/load/plan_test.go
@@ -36,7 +36,7 @@
 body = '{"slow_factor":5}'
 `
 
-func TestAPlanGetsItsDefaultsAndOverrides(t *testing.T) {
+func TestParsePlanAppliesDefaultsAndOverrides(t *testing.T) {
 	got, err := ParsePlan("p.toml", []byte(goodPlan), func(p *Plan) { p.Seed = 7 })
 	if err != nil {
 		t.Fatal(err)
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestEveryFaultOfAPlanIsFoundWithItsPlace(t *testing.T) {
+func TestPlanErrorsNameTheirKey(t *testing.T) {
 	replace := func(old, new string) string { return strings.Replace(goodPlan, old, new, 1) }
 	tests := []struct{ name, text, want string }{
 		{"unknown key", replace("worth", "value"), "p.toml:8:1: stream[0].value: unknown key"},
@@ -67,7 +67,7 @@
 		{"relative path", replace(`"/payouts"`, `"payouts"`), "stream[0].path"},
 		{"query", replace(`"/payouts"`, `"/payouts?a=1"`), "stream[0].path"},
 		{"method", replace(`"POST"`, `"PO ST"`), "stream[0].method"},
-		{"copies of idempotent requests", replace(`"POST"`, `"GET"`), "stream[0].copy_share: is for requests"},
+		{"copies of idempotent requests", replace(`"POST"`, `"GET"`), "stream[0].copy_share: is only allowed for requests that are not idempotent"},
 		{"burst without factor", replace(", factor = 4", ""), "stream[0].burst.factor: 0 must be from 1"},
 		{"step after the end", replace("at_ms = 100", "at_ms = 900"), "step[0].at_ms: 900 must be from 0 to 500"},
 		{"step elsewhere", replace("http://127", "https://127"), "step[0].url"},
@@ -84,12 +84,12 @@
 		})
 	}
 	if _, err := CheckPlan(Plan{}); err == nil {
-		t.Error("the zero plan passed")
+		t.Error("the zero plan passed the check")
 	}
 }
 
-// rateOf counts arrivals between from and to, per second.
-func rateOf(times []time.Duration, from, to time.Duration) float64 {
+// arrivalRate returns the arrivals per second between from and to.
+func arrivalRate(times []time.Duration, from, to time.Duration) float64 {
 	n := 0
 	for _, at := range times {
 		if at >= from && at < to {
@@ -99,7 +99,7 @@
 	return float64(n) / (to - from).Seconds()
 }
 
-func TestArrivalsArePoissonAtTheGivenRate(t *testing.T) {
+func TestArrivalsArePoisson(t *testing.T) {
 	a := newArrivals(&Stream{RatePerSecond: 1000}, rand.New(rand.NewPCG(1, 1)))
 	const n = 100_000
 	var sum, squares float64
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestBurstsRaiseTheRateForTheirLength(t *testing.T) {
+func TestBurstRate(t *testing.T) {
 	s := Stream{RatePerSecond: 10_000, Burst: Burst{EveryMs: 100, MinMs: 5, MaxMs: 20, Factor: 5}}
 	a := newArrivals(&s, rand.New(rand.NewPCG(1, 1)))
 	var inside, between []time.Duration
@@ -130,15 +130,15 @@
 			between = append(between, at)
 		}
 	}
-	if got := rateOf(inside, 0, 20*time.Second) / 0.05; math.Abs(got-50_000) > 1500 {
+	if got := arrivalRate(inside, 0, 20*time.Second) / 0.05; math.Abs(got-50_000) > 1500 {
 		t.Errorf("rate within bursts %v, want 50000", got)
 	}
-	if got := rateOf(between, 0, 20*time.Second) / 0.80; math.Abs(got-10_000) > 300 {
+	if got := arrivalRate(between, 0, 20*time.Second) / 0.80; math.Abs(got-10_000) > 300 {
 		t.Errorf("rate between bursts %v, want 10000", got)
 	}
 }
 
-func TestSeedsRepeatArrivals(t *testing.T) {
+func TestSeedMakesArrivalsRepeatable(t *testing.T) {
 	draw := func(seed uint64) []time.Duration {
 		a := newArrivals(&Stream{RatePerSecond: 10}, rand.New(rand.NewPCG(seed, 1)))
 		return []time.Duration{a.next(), a.next(), a.next()}
@@ -147,22 +147,22 @@
 		t.Error(diff)
 	}
 	if cmp.Equal(draw(1), draw(2)) {
-		t.Error("two seeds give the same times")
+		t.Error("two seeds give the same arrival times")
 	}
 }
 
-func TestLatenciesOverTheBoundCountAsTheBound(t *testing.T) {
-	l := newLatencies()
+func TestLatenciesAreClampedToTheHistogram(t *testing.T) {
+	l := newLatencyHistogram()
 	for _, d := range []time.Duration{-time.Second, 0, time.Millisecond, 24 * time.Hour} {
 		l.add(d)
 	}
 	got := l.quantiles()
-	if got.Count != 4 || got.P50Us != 1 || got.MaxUs < highestLatency {
-		t.Errorf("%+v", got)
+	if got.Count != 4 || got.P50Us != 1 || got.MaxUs < maxLatencyUs {
+		t.Errorf("quantiles %+v", got)
 	}
 }
 
-func TestTheOracleAsksWorkersOverHTTP(t *testing.T) {
+func TestHTTPOracleSumsRunsOfAllWorkers(t *testing.T) {
 	var addresses HTTPOracle
 	for range 2 {
 		w, err := worker.New(worker.Config{})
@@ -184,11 +184,11 @@
 		t.Error(diff)
 	}
 	if _, err := append(addresses, "127.0.0.1:1").Runs(t.Context(), nil); err == nil {
-		t.Error("a worker that can't be asked was passed over")
+		t.Error("an unreachable worker was ignored")
 	}
 }
 
-func TestTheTableNamesWhatWasMeasured(t *testing.T) {
+func TestWriteTable(t *testing.T) {
 	r := Result{Seconds: 2, Truncated: true, EndedEarly: true,
 		Streams: []Summary{{Class: "payouts", Tenant: "issuer", Counts: Counts{Sent: 200, Answered: 150, InDeadline: 100, NotRun: 30, Unknown: 20},
 			Latency: Quantiles{P50Us: 1500, P99Us: 20_250, P999Us: 100_000}}},
@@ -200,7 +200,7 @@
 		t.Fatal(err)
 	}
 	for _, want := range []string{"payouts", "issuer", "100.0", "50.00%", "30", "20", "1.50", "20.25", "100.00",
-		"bound on requests", "stopped before", "FAILED: status 400", "1 run twice", "x ran 2 times"} {
+		"limit on requests", "stopped before", "FAILED: status 400", "1 ran more than once", "x ran 2 times"} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("no %q in\n%s", want, out.String())
 		}
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -7,34 +7,34 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the histograms: microseconds, three significant digits.
+// Range of the histograms, in microseconds, and their precision in significant digits.
 const (
-	lowestLatency  = 1
-	highestLatency = int64(30 * time.Minute / time.Microsecond)
-	latencyDigits  = 3
+	minLatencyUs  = 1
+	maxLatencyUs  = int64(30 * time.Minute / time.Microsecond)
+	latencyDigits = 3
 )
 
-// latencies is a histogram that is safe for concurrent use.
-type latencies struct {
+// latencyHistogram is a latency histogram that is safe for concurrent use.
+type latencyHistogram struct {
 	mu   sync.Mutex
 	hist *hdrhistogram.Histogram
 }
 
-func newLatencies() *latencies {
-	return &latencies{hist: hdrhistogram.New(lowestLatency, highestLatency, latencyDigits)}
+func newLatencyHistogram() *latencyHistogram {
+	return &latencyHistogram{hist: hdrhistogram.New(minLatencyUs, maxLatencyUs, latencyDigits)}
 }
 
-// add records d; what is over the histogram's bound counts as the bound.
-func (l *latencies) add(d time.Duration) {
+// add records d, clamped to the range of the histogram.
+func (l *latencyHistogram) add(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	us := min(max(d.Microseconds(), lowestLatency), highestLatency)
-	_ = l.hist.RecordValue(us) // within the bounds
+	us := min(max(d.Microseconds(), minLatencyUs), maxLatencyUs)
+	_ = l.hist.RecordValue(us) // us is within the range
 }
 
-func (l *latencies) merge(from *latencies) { l.hist.Merge(from.hist) }
+func (l *latencyHistogram) merge(from *latencyHistogram) { l.hist.Merge(from.hist) }
 
-// Quantiles describe a histogram of latencies in microseconds.
+// Quantiles describes a latency histogram, in microseconds.
 type Quantiles struct {
 	Count  int64   `json:"count"`
 	MeanUs float64 `json:"mean_us"`
@@ -45,7 +45,7 @@
 	MaxUs  int64   `json:"max_us"`
 }
 
-func (l *latencies) quantiles() Quantiles {
+func (l *latencyHistogram) quantiles() Quantiles {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.hist
@@ -60,63 +60,66 @@
 	}
 }
 
-// Counts count requests by what came of them.
+// Counts counts requests by their result.
 type Counts struct {
-	// Sent counts requests, each once; it is the sum of the counts up to Unsent.
+	// Sent counts each request once; it is the sum of the counts from Answered to Unsent.
 	Sent int64 `json:"sent"`
-	// Answered: the whole answer to this very request.
+	// Answered counts complete responses that belong to their request.
 	Answered int64 `json:"answered"`
-	// WorkerErrors: a worker's own error, passed through as answered.
+	// WorkerErrors counts errors of workers themselves, passed through as responses.
 	WorkerErrors int64 `json:"worker_errors"`
 	NotRun       int64 `json:"not_run"`
 	Unknown      int64 `json:"unknown"`
-	// Broken: no answer, or one that visibly broke off.
+	// Broken counts requests without a response or with one that was visibly interrupted.
 	Broken int64 `json:"broken"`
-	// Unreachable: no connection could be had.
+	// Unreachable counts requests whose connection could not be established.
 	Unreachable int64 `json:"unreachable"`
-	// Wrong: an answer that is another request's or altered. A broken promise.
+	// Wrong counts responses that belong to another request or were altered, which
+	// violates a guarantee.
 	Wrong int64 `json:"wrong"`
-	// Cut: an answer that ended as if whole but was not. A broken promise.
+	// Truncated counts responses that ended early although their framing looked complete,
+	// which violates a guarantee.
 	Truncated int64 `json:"cut"`
-	// Malformed: no outcome, or one that contradicts the status.
+	// Malformed counts responses whose outcome is missing or contradicts the status.
 	Malformed int64 `json:"malformed"`
-	// Unsent: the time ran out before the bound on requests in flight allowed
-	// the sending.
+	// Unsent counts requests whose timeout expired while they waited for the limit on
+	// requests in flight.
 	Unsent int64 `json:"unsent"`
 
-	// InDeadline counts the answered within the timeout from the intended time.
+	// InDeadline counts the requests answered within the timeout from the intended time.
 	InDeadline int64 `json:"in_deadline"`
-	// Worth is the sum of the worth of InDeadline, WorthSent of all requests.
+	// Worth is the total worth of the requests in InDeadline, WorthSent that of all
+	// requests.
 	Worth     float64 `json:"worth"`
 	WorthSent float64 `json:"worth_sent"`
-	// Resends counts sendings after a not-run.
+	// Resends counts submissions repeated after the outcome not-run.
 	Resends int64 `json:"resends"`
-	// Copies counts sendings of a second caller, CopiesCorrupted those of them whose
-	// answer was wrong or cut: a broken promise.
+	// Copies counts the submissions of second callers, CopiesCorrupted those whose
+	// response was wrong or truncated, which violates a guarantee.
 	Copies          int64 `json:"copies"`
 	CopiesCorrupted int64 `json:"copies_spoilt"`
 }
 
-// of returns the counter of a verdict.
-func (c *Counts) of(v verdict) *int64 {
-	return [verdictCount]*int64{
-		verdictAnswered:    &c.Answered,
-		verdictWorkerError: &c.WorkerErrors,
-		verdictNotRun:      &c.NotRun,
-		verdictUnknown:     &c.Unknown,
-		verdictBroken:      &c.Broken,
-		verdictUnreachable: &c.Unreachable,
-		verdictWrong:       &c.Wrong,
-		verdictCut:         &c.Truncated,
-		verdictMalformed:   &c.Malformed,
-		verdictUnsent:      &c.Unsent,
-	}[v]
+// counter returns the counter of a result kind.
+func (c *Counts) counter(kind resultKind) *int64 {
+	return [resultKindCount]*int64{
+		resultAnswered:    &c.Answered,
+		resultWorkerError: &c.WorkerErrors,
+		resultNotRun:      &c.NotRun,
+		resultUnknown:     &c.Unknown,
+		resultBroken:      &c.Broken,
+		resultUnreachable: &c.Unreachable,
+		resultWrong:       &c.Wrong,
+		resultTruncated:   &c.Truncated,
+		resultMalformed:   &c.Malformed,
+		resultUnsent:      &c.Unsent,
+	}[kind]
 }
 
 func (c *Counts) add(o Counts) {
 	c.Sent += o.Sent
-	for v := range verdictCount {
-		*c.of(v) += *o.of(v)
+	for v := range resultKindCount {
+		*c.counter(v) += *o.counter(v)
 	}
 	c.InDeadline += o.InDeadline
 	c.Worth += o.Worth
@@ -126,53 +129,54 @@
 	c.CopiesCorrupted += o.CopiesCorrupted
 }
 
-// recorder holds the measurements of a stream, or of several.
+// recorder collects the measurements of one or more streams.
 type recorder struct {
 	mu     sync.Mutex
 	counts Counts
-	// answered holds the latencies of right answers, all those of every request
-	// up to whatever its end was.
-	answered *latencies
-	all      *latencies
-	// fromSend holds the latencies of right answers from the first sending.
-	fromSend *latencies
+	// answered holds the latencies of correct responses, all those of every request
+	// whatever its result.
+	answered *latencyHistogram
+	all      *latencyHistogram
+	// fromSend holds the latencies of correct responses, counted from the first
+	// submission.
+	fromSend *latencyHistogram
 }
 
 func newRecorder() *recorder {
-	return &recorder{answered: newLatencies(), all: newLatencies(), fromSend: newLatencies()}
+	return &recorder{answered: newLatencyHistogram(), all: newLatencyHistogram(), fromSend: newLatencyHistogram()}
 }
 
-// record counts a request that ended after latency from its intended time; it
-// was sent late by late.
-func (r *recorder) record(s *Stream, v verdict, latency, late time.Duration, resends int) {
+// record counts a request that completed latency after its intended time; late is the
+// delay of its first submission.
+func (r *recorder) record(s *Stream, kind resultKind, latency, late time.Duration, resends int) {
 	r.all.add(latency)
-	if v == verdictAnswered {
+	if kind == resultAnswered {
 		r.answered.add(latency)
 		r.fromSend.add(latency - late)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts.Sent++
-	*r.counts.of(v)++
+	*r.counts.counter(kind)++
 	r.counts.WorthSent += s.Worth
 	r.counts.Resends += int64(resends)
-	if v == verdictAnswered && latency <= s.timeout() {
+	if kind == resultAnswered && latency <= s.timeout() {
 		r.counts.InDeadline++
 		r.counts.Worth += s.Worth
 	}
 }
 
-// recordCopy counts a copy.
-func (r *recorder) recordCopy(v verdict) {
+// recordCopy counts the submission of a second caller.
+func (r *recorder) recordCopy(kind resultKind) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counts.Copies++
-	if v == verdictWrong || v == verdictCut {
+	if kind == resultWrong || kind == resultTruncated {
 		r.counts.CopiesCorrupted++
 	}
 }
 
-// merge adds from's measurements; nobody may record meanwhile.
+// merge adds the measurements of from. Neither recorder may be in use.
 func (r *recorder) merge(from *recorder) {
 	r.counts.add(from.counts)
 	r.answered.merge(from.answered)
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -9,20 +9,20 @@
 	"gypsumstand/internal/model"
 )
 
-// Result is what a run measured.
+// Result holds the measurements of a run.
 type Result struct {
 	Started time.Time `json:"started"`
-	// Seconds is the time from the start to the last answer.
+	// Seconds is the time from the start to the last response.
 	Seconds float64 `json:"seconds"`
-	// EndedEarly says that the run was stopped, Truncated that MaxRequests was
-	// reached before the plan's duration.
+	// EndedEarly is set when the run was stopped, Truncated when MaxRequests was reached
+	// before the planned duration.
 	EndedEarly bool `json:"ended_early"`
 	Truncated  bool `json:"truncated"`
-	// Streams are in the order of the plan; Classes sum them up by class.
+	// Streams are in the order of the plan; Classes sums them by class.
 	Streams []Summary `json:"streams"`
 	Classes []Summary `json:"classes"`
 	Total   Summary   `json:"total"`
-	// Lateness is how late after their intended time requests were sent: the
+	// Lateness is the delay between the intended and the actual send time: the
 	// generator's own error, which is part of every latency.
 	Lateness Quantiles    `json:"lateness"`
 	Steps    []StepResult `json:"steps"`
@@ -30,29 +30,29 @@
 	Oracle *OracleResult `json:"oracle"`
 }
 
-// Summary holds the measurements of one stream or a sum of them.
+// Summary holds the measurements of one stream or of a sum of streams.
 type Summary struct {
 	Class  model.ClassName  `json:"class"`
 	Tenant model.TenantName `json:"tenant"`
 	Counts Counts           `json:"counts"`
-	// Latency is that of right answers, from the intended time.
+	// Latency covers correct responses and is counted from the intended time.
 	Latency Quantiles `json:"latency"`
-	// All is that of every request, up to whatever its end was.
+	// All covers every request, whatever its result.
 	All Quantiles `json:"all"`
-	// FromSend is Latency without the generator's lateness. It hides stalls
-	// (coordinated omission): use it only to compare runs on a busy machine whose
-	// Lateness shows no stall.
+	// FromSend is Latency without the generator's lateness. It hides stalls (coordinated
+	// omission): use it only to compare runs on a busy machine whose Lateness shows no
+	// stall.
 	FromSend Quantiles `json:"from_send"`
 }
 
-// GuaranteesHeld tells whether no answer was wrong or cut and, where runs were
-// counted, none contradicted what its caller was told.
+// GuaranteesHeld reports whether no response was wrong or truncated and, where runs were
+// counted, none contradicted the outcome that its caller received.
 func (r *Result) GuaranteesHeld() bool {
 	c := r.Total.Counts
 	return c.Wrong+c.Truncated+c.CopiesCorrupted == 0 && (r.Oracle == nil || r.Oracle.Consistent())
 }
 
-// StepsSucceeded tells whether every step of the plan was carried out.
+// StepsSucceeded reports whether every step of the plan succeeded.
 func (r *Result) StepsSucceeded() bool {
 	for _, s := range r.Steps {
 		if s.Error != "" {
@@ -62,8 +62,8 @@
 	return true
 }
 
-// result puts the run's measurements together.
-func (g *generator) result(steps []StepResult) *Result {
+// buildResult summarizes the run's measurements.
+func (g *generator) buildResult(steps []StepResult) *Result {
 	r := &Result{
 		Started:   g.started,
 		Seconds:   time.Since(g.started).Seconds(),
@@ -76,7 +76,7 @@
 	byClass := map[model.ClassName]*recorder{}
 	for i, rec := range g.recorders {
 		s := &g.plan.Streams[i]
-		r.Streams = append(r.Streams, rec.measured(s.Class, s.Tenant))
+		r.Streams = append(r.Streams, rec.summary(s.Class, s.Tenant))
 		if byClass[s.Class] == nil {
 			byClass[s.Class] = newRecorder()
 			order = append(order, s.Class)
@@ -85,13 +85,13 @@
 		total.merge(rec)
 	}
 	for _, class := range order {
-		r.Classes = append(r.Classes, byClass[class].measured(class, ""))
+		r.Classes = append(r.Classes, byClass[class].summary(class, ""))
 	}
-	r.Total = total.measured("total", "")
+	r.Total = total.summary("total", "")
 	return r
 }
 
-func (r *recorder) measured(class model.ClassName, tenant model.TenantName) Summary {
+func (r *recorder) summary(class model.ClassName, tenant model.TenantName) Summary {
 	return Summary{
 		Class:    class,
 		Tenant:   tenant,
@@ -124,21 +124,21 @@
 	fmt.Fprintf(w, "%s\t%s\t%.1f\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t\n",
 		m.Class, m.Tenant, float64(c.Sent)/max(seconds, 1e-9), percent(float64(c.InDeadline), float64(c.Sent)),
 		c.NotRun, c.Unknown, c.WorkerErrors, broken, c.Wrong, c.Truncated,
-		msText(m.Latency.P50Us), msText(m.Latency.P99Us), msText(m.Latency.P999Us), percent(c.Worth, c.WorthSent))
+		formatMs(m.Latency.P50Us), formatMs(m.Latency.P99Us), formatMs(m.Latency.P999Us), percent(c.Worth, c.WorthSent))
 }
 
-// writeNotes writes what the table's rows don't hold.
+// writeNotes writes the figures that are not in the table's rows.
 func (r *Result) writeNotes(out io.Writer) error {
 	c := r.Total.Counts
 	lines := []string{
-		fmt.Sprintf("%d requests in %.1f s; sent late by %s ms at p99; %d resends, %d copies (%d spoilt); broken: %d broke off, %d unreachable, %d malformed, %d unsent",
-			c.Sent, r.Seconds, msText(r.Lateness.P99Us), c.Resends, c.Copies, c.CopiesCorrupted, c.Broken, c.Unreachable, c.Malformed, c.Unsent),
+		fmt.Sprintf("%d requests in %.1f s; sent late by %s ms at p99; %d resends, %d copies (%d corrupted); broken: %d interrupted, %d unreachable, %d malformed, %d unsent",
+			c.Sent, r.Seconds, formatMs(r.Lateness.P99Us), c.Resends, c.Copies, c.CopiesCorrupted, c.Broken, c.Unreachable, c.Malformed, c.Unsent),
 	}
 	if r.Truncated {
-		lines = append(lines, "the bound on requests was reached before the planned time")
+		lines = append(lines, "the limit on requests was reached before the planned duration")
 	}
 	if r.EndedEarly {
-		lines = append(lines, "the run was stopped before its planned time")
+		lines = append(lines, "the run was stopped before its planned duration")
 	}
 	for _, s := range r.Steps {
 		lines = append(lines, s.String())
@@ -154,12 +154,12 @@
 	return nil
 }
 
-func percent(part, whole float64) string {
-	if whole == 0 {
+func percent(part, total float64) string {
+	if total == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.2f%%", 100*part/whole)
+	return fmt.Sprintf("%.2f%%", 100*part/total)
 }
 
-// msText writes microseconds as milliseconds.
-func msText(us int64) string { return fmt.Sprintf("%.2f", float64(us)/1000) }
+// formatMs formats microseconds as milliseconds.
+func formatMs(us int64) string { return fmt.Sprintf("%.2f", float64(us)/1000) }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -14,42 +14,42 @@
 	"gypsumstand/internal/pause"
 )
 
-// Waits before a request that was not run is sent again.
+// Limits of the delay before a request reported as not run is sent again.
 const (
-	minResendWait = 10 * time.Millisecond
-	maxResendWait = 5 * time.Second
+	minResendDelay = 10 * time.Millisecond
+	maxResendDelay = 5 * time.Second
 )
 
-// idleConnTimeout ends the callers' idle connections.
+// idleConnTimeout closes idle connections of callers.
 const idleConnTimeout = 30 * time.Second
 
-// Options are what a run needs besides its plan.
+// Options holds what a run needs besides its plan.
 type Options struct {
-	// Dial replaces the TCP dialer when present.
+	// Dial replaces the TCP dialer when it is not nil.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Oracle counts runs; nil means that what callers were told is not checked.
+	// Oracle counts runs; nil disables the comparison of outcomes with runs.
 	Oracle Oracle
 }
 
-// generator is a run.
+// generator is the state of one run.
 type generator struct {
-	plan    Plan
-	client  *http.Client
-	prefix  string
-	started time.Time
-
-	slots     chan struct{} // bounds the requests in flight
-	requests  atomic.Int64  // requests that were drawn
-	turn      atomic.Uint64
-	recorders []*recorder
-	lateness  *latencies
-	ledger    ledger
-	work      sync.WaitGroup
+	plan        Plan
+	client      *http.Client
+	noncePrefix string
+	started     time.Time
+
+	slots      chan struct{} // limits the requests in flight
+	requests   atomic.Int64  // requests drawn so far
+	nextTarget atomic.Uint64
+	recorders  []*recorder
+	lateness   *latencyHistogram
+	outcomes   outcomeLog
+	inFlight   sync.WaitGroup
 }
 
-// Run carries out a checked plan. It returns an error when the plan's check or
-// the oracle fails; what callers met is in the result. When ctx ends, the run
-// ends early and the result says so.
+// Run executes a plan. It returns an error when the plan is invalid or the oracle fails;
+// failures of requests are in the result. When ctx ends, the run ends early and the
+// result has EndedEarly set.
 func Run(ctx context.Context, plan Plan, opts Options) (*Result, error) {
 	plan, err := CheckPlan(plan)
 	if err != nil {
@@ -58,13 +58,13 @@
 	g := newGenerator(plan, opts)
 	defer g.client.CloseIdleConnections()
 	steps := g.run(ctx)
-	result := g.result(steps)
+	result := g.buildResult(steps)
 	result.EndedEarly = ctx.Err() != nil
 	if opts.Oracle == nil {
 		return result, nil
 	}
 	pause.For(ctx, milliseconds(plan.SettleMs))
-	result.Oracle, err = g.ledger.check(ctx, opts.Oracle)
+	result.Oracle, err = g.outcomes.check(ctx, opts.Oracle)
 	return result, err
 }
 
@@ -74,10 +74,10 @@
 		dial = (&net.Dialer{}).DialContext
 	}
 	g := &generator{
-		plan:     plan,
-		prefix:   "load-" + strconv.FormatUint(rand.Uint64(), 36) + "-",
-		slots:    make(chan struct{}, plan.MaxInFlight),
-		lateness: newLatencies(),
+		plan:        plan,
+		noncePrefix: "load-" + strconv.FormatUint(rand.Uint64(), 36) + "-",
+		slots:       make(chan struct{}, plan.MaxInFlight),
+		lateness:    newLatencyHistogram(),
 		client: &http.Client{
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 			Transport: &http.Transport{
@@ -94,7 +94,7 @@
 	return g
 }
 
-// run sends everything and waits for its end.
+// run sends all requests, runs all steps and waits for the responses.
 func (g *generator) run(ctx context.Context) []StepResult {
 	g.started = time.Now()
 	var streams sync.WaitGroup
@@ -103,11 +103,11 @@
 	}
 	steps := g.runSteps(ctx)
 	streams.Wait()
-	g.work.Wait()
+	g.inFlight.Wait()
 	return steps
 }
 
-// runStream sends the requests of one stream at their times.
+// runStream sends the requests of one stream at their intended times.
 func (g *generator) runStream(ctx context.Context, index int) {
 	s := &g.plan.Streams[index]
 	rng := rand.New(rand.NewPCG(g.plan.Seed, uint64(index)))
@@ -131,14 +131,14 @@
 }
 
 func (g *generator) newRequest(s *Stream, n int64, intended time.Time) *request {
-	r := &request{stream: s, unique: g.prefix + strconv.FormatInt(n, 36), intended: intended}
+	r := &request{stream: s, nonce: g.noncePrefix + strconv.FormatInt(n, 36), intended: intended}
 	if s.Keyed || !s.idempotent() {
-		r.id = model.RequestID(r.unique)
+		r.id = model.RequestID(r.nonce)
 	}
 	return r
 }
 
-// dispatch starts a request once the bound on requests in flight allows it.
+// dispatch starts a request once the limit on requests in flight allows it.
 func (g *generator) dispatch(ctx context.Context, index int, r *request, copied bool, draw uint64) {
 	rec := g.recorders[index]
 	select {
@@ -149,60 +149,65 @@
 	late := time.Since(r.intended)
 	if late >= r.stream.timeout() {
 		<-g.slots
-		rec.record(r.stream, verdictUnsent, late, late, 0)
+		rec.record(r.stream, resultUnsent, late, late, 0)
 		return
 	}
 	g.lateness.add(late)
-	first := g.pick(draw)
-	g.work.Go(func() {
+	first := g.pickTarget(draw)
+	g.inFlight.Go(func() {
 		defer func() { <-g.slots }()
 		var second sync.WaitGroup
 		if copied {
-			second.Go(func() { g.copy(ctx, rec, r, first+1) })
+			second.Go(func() { g.sendCopy(ctx, rec, r, first+1) })
 		}
-		g.request(ctx, rec, r, first, copied)
+		g.sendWithResends(ctx, rec, r, first, copied)
 		second.Wait()
 	})
 }
 
-// pick returns the number of the next target.
-func (g *generator) pick(draw uint64) uint64 {
+// pickTarget returns the number of the next target, which targetAddress reduces to an
+// index.
+func (g *generator) pickTarget(draw uint64) uint64 {
 	if g.plan.Pick == PickRandom {
 		return draw
 	}
-	return g.turn.Add(1)
+	return g.nextTarget.Add(1)
 }
 
-func (g *generator) address(n uint64) string { return g.plan.Targets[n%uint64(len(g.plan.Targets))] }
+func (g *generator) targetAddress(n uint64) string {
+	return g.plan.Targets[n%uint64(len(g.plan.Targets))]
+}
 
-// request sends a request, and again while it was not run and may be resent.
-func (g *generator) request(ctx context.Context, rec *recorder, r *request, target uint64, copied bool) {
-	var last reply
+// sendWithResends sends a request and resends it while it is reported as not run and
+// resends are left.
+func (g *generator) sendWithResends(ctx context.Context, rec *recorder, r *request, target uint64, copied bool) {
+	var last sendResult
 	resends := 0
 	late := time.Since(r.intended)
 	deadline := r.intended.Add(r.stream.timeout())
 	for {
-		last = g.send(ctx, r, g.address(target+uint64(resends)), deadline)
-		if last.verdict != verdictNotRun || resends >= r.stream.Resend || ctx.Err() != nil {
+		last = g.send(ctx, r, g.targetAddress(target+uint64(resends)), deadline)
+		if last.kind != resultNotRun || resends >= r.stream.Resend || ctx.Err() != nil {
 			break
 		}
 		resends++
-		pause.For(ctx, resendWait(last.retryAfter))
+		pause.For(ctx, resendDelay(last.retryAfter))
 		deadline = time.Now().Add(r.stream.timeout())
 	}
-	rec.record(r.stream, last.verdict, time.Since(r.intended), late, resends)
-	g.ledger.add(r, last.verdict, copied)
+	rec.record(r.stream, last.kind, time.Since(r.intended), late, resends)
+	g.outcomes.add(r, last.kind, copied)
 }
 
-// resendWait follows the advice, within bounds and jittered.
-func resendWait(advice time.Duration) time.Duration {
-	d := min(max(advice, minResendWait), maxResendWait)
+// resendDelay returns the received Retry-After within limits, plus jitter of up to half
+// of it.
+func resendDelay(retryAfter time.Duration) time.Duration {
+	d := min(max(retryAfter, minResendDelay), maxResendDelay)
 	return d + rand.N(d/2)
 }
 
-// copy is a second caller's sending of a request; it counts only as a copy and
-// where its answer is wrong or cut.
-func (g *generator) copy(ctx context.Context, rec *recorder, r *request, target uint64) {
-	got := g.send(ctx, r, g.address(target), r.intended.Add(r.stream.timeout()))
-	rec.recordCopy(got.verdict)
+// sendCopy sends a request as a second caller. Only the copy itself and a wrong or
+// truncated response are counted.
+func (g *generator) sendCopy(ctx context.Context, rec *recorder, r *request, target uint64) {
+	got := g.send(ctx, r, g.targetAddress(target), r.intended.Add(r.stream.timeout()))
+	rec.recordCopy(got.kind)
 }
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -17,9 +17,9 @@
 	"gypsumstand/internal/wire"
 )
 
-// inBubble runs f with a stand-in worker on the fake clock; wrap may stand
-// between the callers and the worker, as a node does.
-func inBubble(t *testing.T, cfg worker.Config, wrap func(http.Handler) http.Handler, f func(t *testing.T, w *worker.Worker, opts Options)) {
+// runWithWorker runs f with a stand-in worker on a fake clock. wrap, when not nil, wraps
+// the worker's handler in the place of a node.
+func runWithWorker(t *testing.T, cfg worker.Config, wrap func(http.Handler) http.Handler, f func(t *testing.T, w *worker.Worker, opts Options)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w, err := worker.New(cfg)
@@ -37,19 +37,19 @@
 	})
 }
 
-// directPlan returns a plan for one stream straight to a worker.
-func directPlan(s Stream) Plan {
+// directPlan returns a plan with one stream that is sent directly to a worker.
+func directPlan(stream Stream) Plan {
 	p := NewPlan()
 	p.Targets = []string{"127.0.0.1:1", "127.0.0.1:2"}
 	p.Direct = true
 	p.Seed = 1
-	if s.Class == "" {
-		s.Class = "c"
+	if stream.Class == "" {
+		stream.Class = "c"
 	}
-	if s.Path == "" {
-		s.Path = "/a"
+	if stream.Path == "" {
+		stream.Path = "/a"
 	}
-	p.Streams = []Stream{s}
+	p.Streams = []Stream{stream}
 	return p
 }
 
@@ -62,8 +62,8 @@
 	return r
 }
 
-func TestAWholeRunIsCountedAndChecked(t *testing.T) {
-	inBubble(t, worker.Config{Slots: 1000, Profiles: []worker.Profile{{Path: "/", MeanMs: 10}}}, nil, func(t *testing.T, w *worker.Worker, opts Options) {
+func TestRunCountsAndChecksEveryRequest(t *testing.T) {
+	runWithWorker(t, worker.Config{Slots: 1000, Profiles: []worker.Profile{{Path: "/", MeanMs: 10}}}, nil, func(t *testing.T, w *worker.Worker, opts Options) {
 		p := directPlan(Stream{RatePerSecond: 200, Worth: 2, Method: http.MethodPost, CopyShare: 0})
 		p.Streams = append(p.Streams, Stream{Class: "c", Tenant: "x", Path: "/b", RatePerSecond: 100, TimeoutMs: 5}, Stream{Class: "d", Path: "/c", RatePerSecond: 50})
 		r := run(t, p, opts)
@@ -92,25 +92,26 @@
 	})
 }
 
-// TestAStallIsMeasuredFromTheIntendedTimes: a generator that waits for answers
-// would send few requests into the stall and show a fine 99th percentile.
-func TestAStallIsMeasuredFromTheIntendedTimes(t *testing.T) {
-	inBubble(t, worker.Config{Profiles: []worker.Profile{{Path: "/", MeanMs: 1}}}, nil, func(t *testing.T, w *worker.Worker, opts Options) {
+// TestStallIsMeasuredFromIntendedTimes guards against coordinated omission: a generator
+// that waits for responses sends few requests during a stall, so that the 99th percentile
+// hides it.
+func TestStallIsMeasuredFromIntendedTimes(t *testing.T) {
+	runWithWorker(t, worker.Config{Profiles: []worker.Profile{{Path: "/", MeanMs: 1}}}, nil, func(t *testing.T, w *worker.Worker, opts Options) {
 		p := directPlan(Stream{RatePerSecond: 500, TimeoutMs: 10_000})
 		p.MaxInFlight = 10
 		time.AfterFunc(4*time.Second, func() { w.Pause(2 * time.Second) })
 		r := run(t, p, opts)
 		c, l := r.Total.Counts, r.Total.Latency
 		if c.Answered != c.Sent || c.Sent < 4500 {
-			t.Fatalf("%+v", c)
+			t.Fatalf("counts %+v", c)
 		}
-		// A fifth of the requests were meant for the stall; their latencies are
-		// spread evenly over it, but for the time in which the backlog is sent.
+		// A fifth of the requests fall into the stall. Their latencies are spread evenly
+		// over it, except during the time in which the backlog is sent.
 		if l.P50Us > 2_000 || l.P90Us < 900_000 || l.P90Us > 1_500_000 || l.P99Us < 1_800_000 || l.MaxUs < 1_990_000 {
 			t.Errorf("latency %+v", l)
 		}
 		if naive := r.Total.FromSend; naive.P99Us > 10_000 || naive.Count != c.Sent {
-			t.Errorf("latency from sending %+v: the stall did not hide there, so the test shows nothing", naive)
+			t.Errorf("latency from sending %+v: the stall is visible there, so the test proves nothing", naive)
 		}
 		if r.Lateness.MaxUs < 1_900_000 {
 			t.Errorf("lateness %+v", r.Lateness)
@@ -118,40 +119,40 @@
 	})
 }
 
-func TestRequestsWhoseTimeRanOutAreNotSent(t *testing.T) {
-	inBubble(t, worker.Config{}, nil, func(t *testing.T, w *worker.Worker, opts Options) {
+func TestExpiredRequestsAreNotSent(t *testing.T) {
+	runWithWorker(t, worker.Config{}, nil, func(t *testing.T, w *worker.Worker, opts Options) {
 		p := directPlan(Stream{RatePerSecond: 100, TimeoutMs: 500})
 		p.MaxInFlight = 1
 		w.Pause(5 * time.Second)
 		r := run(t, p, opts)
 		c := r.Total.Counts
 		if c.Unsent < 300 || c.Broken == 0 || c.Answered == 0 || c.Sent != c.Unsent+c.Broken+c.Answered {
-			t.Errorf("%+v", c)
+			t.Errorf("counts %+v", c)
 		}
 		if r.Total.All.Count != c.Sent || r.Total.All.MaxUs < 1_500_000 {
-			t.Errorf("all %+v", r.Total.All)
+			t.Errorf("latency of all requests %+v", r.Total.All)
 		}
 	})
 }
 
-func TestSpoiltAnswersAreTold(t *testing.T) {
+func TestCorruptedResponsesAreCounted(t *testing.T) {
 	tests := []struct {
-		name   string
-		fault  func(*worker.Faults)
-		wrap   func(http.Handler) http.Handler
-		count  func(Counts) int64
-		broken bool
+		name     string
+		fault    func(*worker.Faults)
+		wrap     func(http.Handler) http.Handler
+		count    func(Counts) int64
+		violated bool
 	}{
 		{"crossed", func(f *worker.Faults) { f.CrossedBodyShare = 1 }, nil, func(c Counts) int64 { return c.Wrong }, true},
-		{"visibly cut", func(f *worker.Faults) { f.CutShare = 1 }, nil, func(c Counts) int64 { return c.Broken }, false},
-		{"cut as if whole", nil, shorten, func(c Counts) int64 { return c.Truncated }, true},
-		{"lost", func(f *worker.Faults) { f.CloseShare = 1 }, nil, func(c Counts) int64 { return c.Broken }, false},
+		{"visibly truncated", func(f *worker.Faults) { f.CutShare = 1 }, nil, func(c Counts) int64 { return c.Broken }, false},
+		{"truncated silently", nil, truncateResponses, func(c Counts) int64 { return c.Truncated }, true},
+		{"connection closed", func(f *worker.Faults) { f.CloseShare = 1 }, nil, func(c Counts) int64 { return c.Broken }, false},
 		{"failing", func(f *worker.Faults) { f.FailShare = 1 }, nil, func(c Counts) int64 { return c.WorkerErrors }, false},
 		{"shed", func(f *worker.Faults) { f.ShedShare = 1 }, nil, func(c Counts) int64 { return c.NotRun }, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			inBubble(t, worker.Config{}, test.wrap, func(t *testing.T, w *worker.Worker, opts Options) {
+			runWithWorker(t, worker.Config{}, test.wrap, func(t *testing.T, w *worker.Worker, opts Options) {
 				if test.fault != nil {
 					if err := w.ChangeFaults(test.fault); err != nil {
 						t.Fatal(err)
@@ -162,33 +163,34 @@
 				r := run(t, p, opts)
 				c := r.Total.Counts
 				if c.Sent == 0 || test.count(c) != c.Sent || c.InDeadline != 0 {
-					t.Errorf("%+v", c)
+					t.Errorf("counts %+v", c)
 				}
-				if r.GuaranteesHeld() == test.broken {
-					t.Errorf("promises kept: %v", r.GuaranteesHeld())
+				if r.GuaranteesHeld() == test.violated {
+					t.Errorf("guarantees held: %v", r.GuaranteesHeld())
 				}
 			})
 		})
 	}
 }
 
-// shorten ends answers early as if they were whole, as a faulty balancer would.
-func shorten(next http.Handler) http.Handler {
+// truncateResponses ends responses early with a complete framing, as a faulty balancer
+// would.
+func truncateResponses(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		next.ServeHTTP(&shortWriter{ResponseWriter: rw}, r)
+		next.ServeHTTP(&truncatingWriter{ResponseWriter: rw}, r)
 	})
 }
 
-type shortWriter struct{ http.ResponseWriter }
+type truncatingWriter struct{ http.ResponseWriter }
 
-func (w *shortWriter) Write(p []byte) (int, error) {
+func (w *truncatingWriter) Write(p []byte) (int, error) {
 	w.Header().Del("Content-Length")
 	_, err := w.ResponseWriter.Write(p[:len(p)/2])
 	return len(p), err
 }
 
-func TestNetHTTPNeverReplaysACallersRequest(t *testing.T) {
-	inBubble(t, worker.Config{}, nil, func(t *testing.T, w *worker.Worker, opts Options) {
+func TestNetHTTPNeverReplaysARequest(t *testing.T) {
+	runWithWorker(t, worker.Config{}, nil, func(t *testing.T, w *worker.Worker, opts Options) {
 		if err := w.ChangeFaults(func(f *worker.Faults) { f.CloseReusedShare = 0.5 }); err != nil {
 			t.Fatal(err)
 		}
@@ -196,13 +198,13 @@
 		p.DurationMs = 2000
 		r := run(t, p, opts)
 		if r.Total.Counts.Broken == 0 || r.Oracle.Duplicates != 0 {
-			t.Errorf("%+v %+v", r.Total.Counts, r.Oracle)
+			t.Errorf("counts %+v, oracle %+v", r.Total.Counts, r.Oracle)
 		}
 	})
 }
 
-func TestNotRunIsSentAgainWithTheSameIDAfterTheAdvice(t *testing.T) {
-	inBubble(t, worker.Config{}, nil, func(t *testing.T, w *worker.Worker, opts Options) {
+func TestNotRunIsResentWithTheSameID(t *testing.T) {
+	runWithWorker(t, worker.Config{}, nil, func(t *testing.T, w *worker.Worker, opts Options) {
 		if err := w.ChangeFaults(func(f *worker.Faults) { f.Draining = true }); err != nil {
 			t.Fatal(err)
 		}
@@ -212,16 +214,16 @@
 		r := run(t, p, opts)
 		c := r.Total.Counts
 		if c.NotRun == 0 || c.Answered == 0 || c.NotRun+c.Answered != c.Sent || c.Resends != c.Sent || c.InDeadline != 0 {
-			t.Errorf("%+v", c)
+			t.Errorf("counts %+v", c)
 		}
 		if !r.Oracle.Consistent() || r.Oracle.Checked != c.Sent {
-			t.Errorf("%+v", r.Oracle)
+			t.Errorf("oracle %+v", r.Oracle)
 		}
 	})
 }
 
-func TestCopiesGoToAnotherTargetAndAreDuplicatesHere(t *testing.T) {
-	inBubble(t, worker.Config{}, nil, func(t *testing.T, w *worker.Worker, opts Options) {
+func TestCopiesGoToAnotherTarget(t *testing.T) {
+	runWithWorker(t, worker.Config{}, nil, func(t *testing.T, w *worker.Worker, opts Options) {
 		dialled := make(chan string, 1000)
 		inner := opts.Dial
 		opts.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -232,7 +234,7 @@
 		p.MaxRequests = 1
 		r := run(t, p, opts)
 		if c := r.Total.Counts; c.Sent != 1 || c.Copies != c.Sent || r.Oracle.Duplicates != c.Sent || r.GuaranteesHeld() {
-			t.Errorf("%+v %+v", c, r.Oracle)
+			t.Errorf("counts %+v, oracle %+v", c, r.Oracle)
 		}
 		close(dialled)
 		seen := map[string]bool{}
@@ -240,13 +242,13 @@
 			seen[a] = true
 		}
 		if len(seen) != 2 {
-			t.Errorf("targets %v", seen)
+			t.Errorf("dialled %v, want two targets", seen)
 		}
 	})
 }
 
-func TestABoundOnRequestsEndsTheRun(t *testing.T) {
-	inBubble(t, worker.Config{}, nil, func(t *testing.T, w *worker.Worker, opts Options) {
+func TestMaxRequestsAndContextEndTheRun(t *testing.T) {
+	runWithWorker(t, worker.Config{}, nil, func(t *testing.T, w *worker.Worker, opts Options) {
 		p := directPlan(Stream{RatePerSecond: 100})
 		p.MaxRequests = 50
 		if r := run(t, p, opts); r.Total.Counts.Sent != 50 || !r.Truncated {
@@ -262,7 +264,7 @@
 	})
 }
 
-func TestOutcomesAreReadFromTheirHeader(t *testing.T) {
+func TestOutcomeHeaderIsParsed(t *testing.T) {
 	var outcome, status atomic.Value
 	wrap := func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
@@ -274,7 +276,7 @@
 			next.ServeHTTP(rw, r)
 		})
 	}
-	inBubble(t, worker.Config{}, wrap, func(t *testing.T, _ *worker.Worker, opts Options) {
+	runWithWorker(t, worker.Config{}, wrap, func(t *testing.T, _ *worker.Worker, opts Options) {
 		tests := []struct {
 			outcome string
 			status  int
@@ -298,14 +300,14 @@
 			p.DurationMs = 1000
 			c := run(t, p, opts).Total.Counts
 			if c.Sent == 0 || test.count(c) != c.Sent {
-				t.Errorf("%q %d: %+v", test.outcome, test.status, c)
+				t.Errorf("outcome %q, status %d: counts %+v", test.outcome, test.status, c)
 			}
 		}
 	})
 }
 
-func TestStepsSetFaultsAtTheirTimes(t *testing.T) {
-	inBubble(t, worker.Config{}, nil, func(t *testing.T, w *worker.Worker, opts Options) {
+func TestStepsRunAtTheirTimes(t *testing.T) {
+	runWithWorker(t, worker.Config{}, nil, func(t *testing.T, w *worker.Worker, opts Options) {
 		control := listen.NewPipe()
 		server := &http.Server{Handler: w.Control()}
 		go func() { _ = server.Serve(control) }()
@@ -324,16 +326,16 @@
 		}
 		r := run(t, p, opts)
 		if c := r.Total.Counts; c.NotRun < c.Sent*4/10 || c.NotRun > c.Sent*6/10 {
-			t.Errorf("%+v", c)
+			t.Errorf("counts %+v", c)
 		}
 		if len(r.Steps) != 2 || r.Steps[0].Error != "" || !strings.Contains(r.Steps[1].Error, "shed_share") || r.StepsSucceeded() {
-			t.Errorf("%+v", r.Steps)
+			t.Errorf("steps %+v", r.Steps)
 		}
 		_ = server.Close()
 	})
 }
 
-func TestARefusedConnectionIsUnreachable(t *testing.T) {
+func TestRefusedConnectionIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		refuse := func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Err: errors.New("refused")}
@@ -341,40 +343,40 @@
 		p := directPlan(Stream{RatePerSecond: 20})
 		p.DurationMs = 1000
 		if c := run(t, p, Options{Dial: refuse}).Total.Counts; c.Sent == 0 || c.Unreachable != c.Sent {
-			t.Errorf("%+v", c)
+			t.Errorf("counts %+v", c)
 		}
 	})
 }
 
-func TestWhatCallersWereToldIsHeldAgainstTheRuns(t *testing.T) {
+func TestOracleComparesOutcomesWithRuns(t *testing.T) {
 	tests := []struct {
-		name string
-		told told
-		runs int
-		want OracleResult
+		name    string
+		outcome reportedOutcome
+		runs    int
+		want    OracleResult
 	}{
-		{"once", told{verdict: verdictAnswered}, 1, OracleResult{}},
-		{"twice", told{verdict: verdictAnswered}, 2, OracleResult{Duplicates: 1}},
-		{"twice, unknown", told{verdict: verdictUnknown}, 2, OracleResult{Duplicates: 1}},
-		{"twice, idempotent", told{verdict: verdictAnswered, idempotent: true}, 2, OracleResult{}},
-		{"unknown", told{verdict: verdictUnknown}, 0, OracleResult{}},
-		{"not run that ran", told{verdict: verdictNotRun}, 1, OracleResult{FalseNotRun: 1}},
-		{"not run that ran, idempotent", told{verdict: verdictNotRun, idempotent: true}, 1, OracleResult{FalseNotRun: 1}},
-		{"not run, the copy ran", told{verdict: verdictNotRun, copied: true}, 1, OracleResult{}},
-		{"copies ran", told{verdict: verdictAnswered, copied: true}, 2, OracleResult{Duplicates: 1}},
-		{"answered without a run", told{verdict: verdictAnswered}, 0, OracleResult{AnsweredWithoutRun: 1}},
+		{"once", reportedOutcome{kind: resultAnswered}, 1, OracleResult{}},
+		{"twice", reportedOutcome{kind: resultAnswered}, 2, OracleResult{Duplicates: 1}},
+		{"twice, unknown", reportedOutcome{kind: resultUnknown}, 2, OracleResult{Duplicates: 1}},
+		{"twice, idempotent", reportedOutcome{kind: resultAnswered, idempotent: true}, 2, OracleResult{}},
+		{"unknown", reportedOutcome{kind: resultUnknown}, 0, OracleResult{}},
+		{"not run that ran", reportedOutcome{kind: resultNotRun}, 1, OracleResult{FalseNotRun: 1}},
+		{"not run that ran, idempotent", reportedOutcome{kind: resultNotRun, idempotent: true}, 1, OracleResult{FalseNotRun: 1}},
+		{"not run, the copy ran", reportedOutcome{kind: resultNotRun, copied: true}, 1, OracleResult{}},
+		{"copies ran", reportedOutcome{kind: resultAnswered, copied: true}, 2, OracleResult{Duplicates: 1}},
+		{"answered without a run", reportedOutcome{kind: resultAnswered}, 0, OracleResult{AnsweredWithoutRun: 1}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			var got OracleResult
-			test.told.id = "x"
-			got.checkOne(test.told, test.runs)
+			test.outcome.id = "x"
+			got.checkOne(test.outcome, test.runs)
 			test.want.Checked = 1
 			if got.Duplicates != test.want.Duplicates || got.FalseNotRun != test.want.FalseNotRun || got.AnsweredWithoutRun != test.want.AnsweredWithoutRun {
-				t.Errorf("%+v, want %+v", got, test.want)
+				t.Errorf("result %+v, want %+v", got, test.want)
 			}
 			if got.Consistent() != (len(got.Examples) == 0) {
-				t.Errorf("kept %v with examples %v", got.Consistent(), got.Examples)
+				t.Errorf("consistent %v with examples %v", got.Consistent(), got.Examples)
 			}
 		})
 	}
@@ -385,8 +387,8 @@
 func (forgetful) Runs(model.RequestID) int { return 0 }
 func (forgetful) Forgotten() uint64        { return 1 }
 
-func TestAnOracleThatForgetsProvesNothing(t *testing.T) {
+func TestOracleFailsWhenIDsAreForgotten(t *testing.T) {
 	if _, err := (LocalOracle{forgetful{}}).Runs(context.Background(), nil); !errors.Is(err, ErrIncomplete) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want ErrIncomplete", err)
 	}
 }
--- a/internal/load/send.go
+++ b/internal/load/send.go
@@ -14,62 +14,62 @@
 	"gypsumstand/internal/wire"
 )
 
-// uniqueQuery is the query parameter that makes a target unique, so that an
-// answer to a request without an id can be told from any other.
-const uniqueQuery = "n"
+// nonceParam is the query parameter that makes each target unique, so that a response to
+// a request without an id can be told from any other.
+const nonceParam = "n"
 
 // request is one request of a stream.
 type request struct {
 	stream *Stream
 	// id is sent as Idempotency-Key when it is not empty.
 	id       model.RequestID
-	unique   string
+	nonce    string
 	intended time.Time
 }
 
 // target returns the path and the query.
 func (r *request) target() string {
-	query := url.Values{uniqueQuery: {r.unique}}
+	query := url.Values{nonceParam: {r.nonce}}
 	if r.stream.Depth > 0 {
 		query.Set(worker.DepthParam, strconv.Itoa(r.stream.Depth))
 	}
 	return r.stream.Path + "?" + query.Encode()
 }
 
-// want returns what a right answer is to.
-func (r *request) want(body []byte) answer.Request {
+// expected identifies the request that a correct response belongs to.
+func (r *request) expected(body []byte) answer.Request {
 	return answer.Request{ID: r.id, Target: r.target(), BodyHash: answer.Hash(body)}
 }
 
-// body returns the request's body; it differs from request to request.
+// body returns the request's body, which differs between requests.
 func (r *request) body() []byte {
 	if !r.stream.hasBody() {
 		return nil
 	}
 	out := make([]byte, r.stream.BodyBytes)
 	for i := range out {
-		out[i] = r.unique[i%len(r.unique)]
+		out[i] = r.nonce[i%len(r.nonce)]
 	}
 	return out
 }
 
-// send sends r once to a target and waits until deadline and the slack for word
-// of it.
-func (g *generator) send(ctx context.Context, r *request, address string, deadline time.Time) reply {
+// send sends r once to a target and waits for the outcome until deadline plus the plan's
+// slack.
+func (g *generator) send(ctx context.Context, r *request, address string, deadline time.Time) sendResult {
 	ctx, cancel := context.WithDeadline(ctx, deadline.Add(milliseconds(g.plan.SlackMs)))
 	defer cancel()
 	body := r.body()
 	req, err := http.NewRequestWithContext(ctx, r.stream.Method, "http://"+address+r.target(), bodyReader(body))
 	if err != nil {
-		return reply{verdict: verdictBroken}
+		return sendResult{kind: resultBroken}
 	}
 	req.ContentLength = int64(len(body))
 	setHeaders(req.Header, r, deadline)
 	resp, err := g.client.Do(req)
 	if err != nil {
-		return judgeError(err)
+		return classifyError(err)
 	}
-	return judge(resp, r.want(body), g.plan.Direct)
+	return classifyResponse(resp, r.expected(body), g.plan.Direct)
 }
 
 func setHeaders(h http.Header, r *request, deadline time.Time) {
@@ -85,8 +85,8 @@
 	}
 }
 
-// bodyReader returns a reader that net/http can't rewind: it would otherwise
-// send a request with an Idempotency-Key again by itself, unseen.
+// bodyReader returns a reader that net/http cannot rewind: with one that it can, it would
+// silently resend a request that has an Idempotency-Key.
 func bodyReader(body []byte) io.Reader {
 	if len(body) == 0 {
 		return nil
@@ -94,7 +94,7 @@
 	return &onceReader{rest: body}
 }
 
-// onceReader reads its bytes once.
+// onceReader can be read only once.
 type onceReader struct{ rest []byte }
 
 // Read implements io.Reader.
--- a/internal/load/steps.go
+++ b/internal/load/steps.go
@@ -12,18 +12,19 @@
 	"gypsumstand/internal/pause"
 )
 
-// stepTimeout bounds a step, maxStepReply what is kept of its answer.
+// stepTimeout limits the duration of a step; maxStepResponseBytes limits how much of its
+// response is read.
 const (
-	stepTimeout  = 10 * time.Second
-	maxStepReply = 500
+	stepTimeout          = 10 * time.Second
+	maxStepResponseBytes = 500
 )
 
-// StepResult says what came of a step.
+// StepResult is the result of a step.
 type StepResult struct {
 	AtMs   int64  `json:"at_ms"`
 	Method string `json:"method"`
 	URL    string `json:"url"`
-	// Error is empty when the step was carried out.
+	// Error is empty when the step succeeded.
 	Error string `json:"error"`
 }
 
@@ -36,7 +37,7 @@
 	return out
 }
 
-// runSteps carries the plan's steps out at their times, one after the other.
+// runSteps runs the plan's steps sequentially, each at its time.
 func (g *generator) runSteps(ctx context.Context) []StepResult {
 	steps := append([]Step(nil), g.plan.Steps...)
 	sort.SliceStable(steps, func(i, j int) bool { return steps[i].AtMs < steps[j].AtMs })
@@ -44,7 +45,7 @@
 	for _, s := range steps {
 		pause.For(ctx, time.Until(g.started.Add(milliseconds(s.AtMs))))
 		result := StepResult{AtMs: s.AtMs, Method: s.Method, URL: s.URL}
-		if err := g.step(ctx, s); err != nil {
+		if err := g.runStep(ctx, s); err != nil {
 			result.Error = err.Error()
 		}
 		out = append(out, result)
@@ -52,7 +53,7 @@
 	return out
 }
 
-func (g *generator) step(ctx context.Context, s Step) error {
+func (g *generator) runStep(ctx context.Context, s Step) error {
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, s.Method, s.URL, strings.NewReader(s.Body))
@@ -64,7 +65,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxStepReply))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxStepResponseBytes))
 	if err != nil {
 		return err
 	}
