--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,5 +1,5 @@
-// Package eventqueue holds what is due at times of a fake clock. The measured
-// fleets and the tests' fleets hand their messages over by it.
+// Package eventqueue is a time-ordered queue for a fake clock. Simulated fleets in tests
+// and measurements deliver their messages with it.
 package eventqueue
 
 import (
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// Queue gives its values back in the order of their times; those of one time in
-// the order in which they were added. The zero value is empty and ready for use.
-// It is for one goroutine.
+// Queue returns its values ordered by time, and values of the same time in the order in
+// which they were added. The zero value is empty and ready for use. It is not safe for
+// concurrent use.
 type Queue[T any] struct {
-	entries entries[T]
-	added   uint64
+	entries      entries[T]
+	lastSequence uint64
 }
 
-// Add queues a value that is due at a time.
+// Add queues a value that is due at the given time.
 func (q *Queue[T]) Add(at time.Time, value T) {
-	q.added++
-	heap.Push(&q.entries, entry[T]{at: at, order: q.added, value: value})
+	q.lastSequence++
+	heap.Push(&q.entries, entry[T]{at: at, sequence: q.lastSequence, value: value})
 }
 
 // Len returns the number of queued values.
 func (q *Queue[T]) Len() int { return len(q.entries) }
 
-// Next returns when the earliest value is due; ok is false when there is none.
+// Next returns when the earliest value is due; ok is false when the queue is empty.
 func (q *Queue[T]) Next() (at time.Time, ok bool) {
 	if len(q.entries) == 0 {
 		return time.Time{}, false
@@ -33,8 +33,8 @@
 	return q.entries[0].at, true
 }
 
-// Until ranges over the values that are due at end or before, with their times,
-// and removes each as it comes, also those that are added meanwhile.
+// Until ranges over the values that are due at or before end, with their times. It
+// removes each value before yielding it and includes values added during the iteration.
 func (q *Queue[T]) Until(end time.Time) iter.Seq2[time.Time, T] {
 	return func(yield func(time.Time, T) bool) {
 		for len(q.entries) > 0 && !q.entries[0].at.After(end) {
@@ -49,11 +49,11 @@
 // Clear removes all values.
 func (q *Queue[T]) Clear() { q.entries = nil }
 
-// entry is one queued value.
+// entry is one queued value. sequence breaks ties between equal times.
 type entry[T any] struct {
-	at    time.Time
-	order uint64
-	value T
+	at       time.Time
+	sequence uint64
+	value    T
 }
 
 // entries implements heap.Interface.
@@ -65,7 +65,7 @@
 	if !e[i].at.Equal(e[j].at) {
 		return e[i].at.Before(e[j].at)
 	}
-	return e[i].order < e[j].order
+	return e[i].sequence < e[j].sequence
 }
 
 func (e entries[T]) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
@@ -73,8 +73,8 @@
 // Push implements heap.Interface.
 func (e *entries[T]) Push(x any) { *e = append(*e, x.(entry[T])) }
 
-// Pop implements heap.Interface. The place left is emptied, so that what was
-// taken can be freed.
+// Pop implements heap.Interface. It clears the vacated element, so that the value can be
+// garbage collected.
 func (e *entries[T]) Pop() any {
 	end := len(*e) - 1
 	last := (*e)[end]
--- a/internal/eventqueue/eventqueue_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestValuesComeByTimeAndThenAsAdded compares the queue with a stable sort, with
-// takes between the additions.
-func TestValuesComeByTimeAndThenAsAdded(t *testing.T) {
+// TestQueueOrdersByTimeThenInsertion compares the queue with a stable sort, with removals
+// between the additions.
+func TestQueueOrdersByTimeThenInsertion(t *testing.T) {
 	type due struct {
 		At    time.Time
 		Value int
@@ -19,7 +19,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[int]
 		var model []due
-		most := rapid.IntRange(1, 3).Draw(t, "most taken at once")
+		maxTaken := rapid.IntRange(1, 3).Draw(t, "most taken at once")
 		steps := rapid.SliceOfN(rapid.IntRange(-3, 5), 1, 50).Draw(t, "seconds, or a take")
 		for value, s := range steps {
 			at := time.Unix(int64(s), 0)
@@ -32,11 +32,11 @@
 			end := time.Unix(int64(-s), 0)
 			var got, want []due
 			for at, v := range q.Until(end) {
-				if got = append(got, due{at, v}); len(got) == most {
+				if got = append(got, due{at, v}); len(got) == maxTaken {
 					break
 				}
 			}
-			for len(model) > 0 && len(want) < most && !model[0].At.After(end) {
+			for len(model) > 0 && len(want) < maxTaken && !model[0].At.After(end) {
 				want, model = append(want, model[0]), model[1:]
 			}
 			if diff := cmp.Diff(want, got); diff != "" {
--- a/internal/local/fleet.go
+++ b/internal/local/fleet.go
@@ -1,6 +1,6 @@
-// Package local runs a whole deployment on loopback in one process: the
-// platform's stand-in, workers, and nodes through the same code and real sockets
-// as gypsumd. For the demonstration, the experiments and end-to-end tests.
+// Package local runs a complete deployment on loopback in one process: the stand-in of
+// the platform, workers, and nodes that use the same code and real sockets as gypsumd.
+// The demonstration, the experiments and the end-to-end tests use it.
 package local
 
 import (
@@ -29,51 +29,51 @@
 	"gypsumstand/internal/server"
 )
 
-// Signer is the name that a fleet's bundles are signed off in.
+// Signer is the name under which a fleet's bundles are signed.
 const Signer = "Local Signer"
 
-// anyPort is a free port on loopback.
+// anyPort lets the system pick a free port on loopback.
 const anyPort = "127.0.0.1:0"
 
-// pollInterval is the pace of waiting for a state.
+// pollInterval is the interval at which a condition is checked.
 const pollInterval = 10 * time.Millisecond
 
 // Service describes the workers of one service.
 type Service struct {
 	Name    model.ServiceName
 	Workers int
-	// Profiles are the workers' service times.
+	// Profiles are the workers' service times by path.
 	Profiles []worker.Profile
-	// Handler, when not nil, takes the place of the stand-in worker.
+	// Handler replaces the stand-in worker when it is not nil.
 	Handler http.Handler
-	// Deadly, CrashDelay and RestartDelay are the stand-in worker's.
+	// CrashOn, CrashDelay and RestartDelay are passed to the stand-in worker.
 	CrashOn                  func(answer.Request) bool
 	CrashDelay, RestartDelay time.Duration
 }
 
 // Config describes a fleet.
 type Config struct {
-	// Bundle is the TOML of the first bundle.
+	// Bundle is the TOML of the first published bundle.
 	Bundle   []byte
 	Services []Service
-	// DataCentres is the number of data centres over which workers are spread.
+	// DataCentres is the number of data centres that workers are distributed over.
 	DataCentres int
-	// CrossDelay is the one-way time between data centres; zero means none.
+	// CrossDelay is the one-way network delay between data centres; zero disables it.
 	CrossDelay time.Duration
-	// Slots of each worker.
+	// Slots is the number of slots of each worker.
 	Slots int
-	// Policy of routing; baselines are for experiments.
+	// Policy is the routing policy. The baselines are for experiments.
 	Policy route.Policy
-	// StopTimeout and LeaveGrace are the nodes' settings.
+	// StopTimeout and LeaveGrace are passed to the nodes.
 	StopTimeout time.Duration
 	LeaveGrace  time.Duration
 	Seed        uint64
-	// ProbeAge and OnCall are the nodes' settings.
+	// ProbeAge and OnCall are passed to the nodes.
 	ProbeAge time.Duration
 	OnCall   func(server.CallRecord)
-	// PeerTLS, when not nil, is the mutual TLS of all peer ports.
+	// PeerTLS enables mutual TLS on all peer ports when it is not nil.
 	PeerTLS *tls.Config
-	// SeedPeers gives each node the peer addresses of those that run at its start,
+	// SeedPeers gives each node the peer addresses of the nodes that run when it starts,
 	// so that it finds them without the platform.
 	SeedPeers bool
 	Log       zerolog.Logger
@@ -90,15 +90,15 @@
 	workerHTTP *http.Server
 	workerAddr string
 	stop       context.CancelFunc
-	ended      chan error
-	over       atomic.Bool
+	exited     chan error
+	stopped    atomic.Bool
 }
 
 // WorkerAddress returns the address of the member's worker.
 func (m *Member) WorkerAddress() string { return m.workerAddr }
 
-// Stopped tells whether the member was stopped or killed.
-func (m *Member) Stopped() bool { return m.over.Load() }
+// Stopped reports whether the member was stopped or killed, or its node failed.
+func (m *Member) Stopped() bool { return m.stopped.Load() }
 
 // Fleet is a running deployment.
 type Fleet struct {
@@ -106,34 +106,33 @@
 	Ledger   *worker.Ledger
 
 	cfg          Config
-	key          ed25519.PrivateKey
+	signingKey   ed25519.PrivateKey
 	signer       bundle.Signer
 	platformHTTP *http.Server
 	platformAddr string
 
 	mu      sync.Mutex
 	members []*Member
-	// centres finds the data centre of a peer address.
-	centres map[string]model.DataCentre
+	// centreByPeer maps a peer address to its data centre.
+	centreByPeer map[string]model.DataCentre
 }
 
-// ledgerSize is the number of request ids that the oracle remembers.
+// ledgerSize is the number of request ids that the ledger remembers.
 const ledgerSize = 1 << 20
 
-// Start runs the fleet; Close ends it. The bundle is published before any node
-// starts.
+// Start publishes the bundle and then starts workers and nodes. Close stops them.
 func Start(cfg Config) (*Fleet, error) {
 	public, private, err := ed25519.GenerateKey(nil)
 	if err != nil {
-		return nil, fmt.Errorf("make key: %w", err)
+		return nil, fmt.Errorf("generate signing key: %w", err)
 	}
 	f := &Fleet{
-		Platform: platform.New(platform.Config{}),
-		Ledger:   worker.NewLedger(ledgerSize),
-		cfg:      cfg,
-		key:      private,
-		signer:   bundle.Signer{Name: Signer, Key: public},
-		centres:  map[string]model.DataCentre{},
+		Platform:     platform.New(platform.Config{}),
+		Ledger:       worker.NewLedger(ledgerSize),
+		cfg:          cfg,
+		signingKey:   private,
+		signer:       bundle.Signer{Name: Signer, Key: public},
+		centreByPeer: map[string]model.DataCentre{},
 	}
 	if err := f.start(); err != nil {
 		return nil, errors.Join(err, f.Close())
@@ -144,7 +143,7 @@
 func (f *Fleet) start() error {
 	l, err := net.Listen("tcp", anyPort)
 	if err != nil {
-		return fmt.Errorf("platform: %w", err)
+		return fmt.Errorf("listen for platform stand-in: %w", err)
 	}
 	f.platformAddr = l.Addr().String()
 	f.platformHTTP = f.Platform.NewServer()
@@ -162,26 +161,26 @@
 	return nil
 }
 
-// Publish signs a bundle off and publishes it.
+// Publish signs and publishes a bundle.
 func (f *Fleet) Publish(data []byte) error {
-	if _, err := f.Platform.PublishSigned(bundle.Sign(Signer, f.key, data)); err != nil {
-		return fmt.Errorf("publish: %w", err)
+	if _, err := f.Platform.PublishSigned(bundle.Sign(Signer, f.signingKey, data)); err != nil {
+		return fmt.Errorf("publish bundle: %w", err)
 	}
 	return nil
 }
 
-// Add starts one more worker of a service with its node. i gives its name and
-// data centre.
+// Add starts one more worker of a service with its node. i, counted from 0, determines
+// its instance id and its data centre.
 func (f *Fleet) Add(s Service, i int) (*Member, error) {
 	centre := i%max(f.cfg.DataCentres, 1) + 1
 	m := &Member{
 		ID:         model.InstanceID(fmt.Sprintf("%s-%d", s.Name, i+1)),
 		Service:    s.Name,
 		DataCentre: model.DataCentre(fmt.Sprintf("dc%d", centre)),
-		ended:      make(chan error, 1),
+		exited:     make(chan error, 1),
 	}
 	if err := f.startNode(m, s); err != nil {
-		return nil, fmt.Errorf("%s: %w", m.ID, err)
+		return nil, fmt.Errorf("start %s: %w", m.ID, err)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -189,8 +188,8 @@
 	return m, nil
 }
 
-// startNode starts the worker first, as the node polls it; the worker's own
-// calls go through the node.
+// startNode creates the node before the worker, because the worker's own calls go through
+// the node, and runs the node only once the worker serves, because the node polls it.
 func (f *Fleet) startNode(m *Member, s Service) error {
 	l, err := listen.TCP(anyPort)
 	if err != nil {
@@ -207,12 +206,12 @@
 		return err
 	}
 	f.mu.Lock()
-	f.centres[m.Node.PeerAddress()] = m.DataCentre
+	f.centreByPeer[m.Node.PeerAddress()] = m.DataCentre
 	f.mu.Unlock()
 	f.Platform.PutInstance(model.Instance{ID: m.ID, Service: m.Service, DataCentre: m.DataCentre, PeerAddress: m.Node.PeerAddress(), State: model.StateLive})
 	ctx, cancel := context.WithCancel(context.Background())
 	m.stop = cancel
-	go func() { m.ended <- m.Node.Run(ctx) }()
+	go func() { m.exited <- m.Node.Run(ctx) }()
 	return nil
 }
 
@@ -269,33 +268,33 @@
 	}
 }
 
-// seeds returns the peer addresses of the running nodes when they are wanted.
+// seeds returns the peer addresses of the running nodes, or nil unless SeedPeers is set.
 func (f *Fleet) seeds() []string {
 	if !f.cfg.SeedPeers {
 		return nil
 	}
 	var out []string
 	for _, m := range f.Members() {
-		if !m.over.Load() {
+		if !m.stopped.Load() {
 			out = append(out, m.Node.PeerAddress())
 		}
 	}
 	return out
 }
 
-// dialer delays connections to other data centres.
+// dialer returns a dialer that delays connections to other data centres.
 func (f *Fleet) dialer(own model.DataCentre) delay.Dialer {
 	return delay.Dialer{OneWay: func(address string) time.Duration {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if other, known := f.centres[address]; known && other != own {
+		if other, known := f.centreByPeer[address]; known && other != own {
 			return f.cfg.CrossDelay
 		}
 		return 0
 	}}
 }
 
-// Members returns the members in the order of their start, ended ones included.
+// Members returns the members in the order in which they started, stopped ones included.
 func (f *Fleet) Members() []*Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -306,53 +305,54 @@
 func (f *Fleet) CallerAddresses() []string {
 	var out []string
 	for _, m := range f.Members() {
-		if !m.over.Load() {
+		if !m.stopped.Load() {
 			out = append(out, m.Node.CallerAddress())
 		}
 	}
 	return out
 }
 
-// Await polls until every running member satisfies ok, or ctx ends.
-func (f *Fleet) Await(ctx context.Context, ok func(*Member) bool) error {
+// Await polls until every running member satisfies condition, or ctx ends.
+func (f *Fleet) Await(ctx context.Context, condition func(*Member) bool) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
-		waiting := f.firstNot(ok)
-		if waiting == nil {
+		pending := f.firstUnsatisfied(condition)
+		if pending == nil {
 			return nil
 		}
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return fmt.Errorf("%s: %w", waiting.ID, ctx.Err())
+			return fmt.Errorf("%s does not satisfy the condition: %w", pending.ID, ctx.Err())
 		}
 	}
 }
 
-func (f *Fleet) firstNot(ok func(*Member) bool) *Member {
+func (f *Fleet) firstUnsatisfied(condition func(*Member) bool) *Member {
 	for _, m := range f.Members() {
-		if !m.over.Load() && !ok(m) {
+		if !m.stopped.Load() && !condition(m) {
 			return m
 		}
 	}
 	return nil
 }
 
-// Ready tells whether the member's node serves and its worker is live.
+// Ready reports whether the member's node is ready and its instance is live.
 func Ready(m *Member) bool {
 	board := m.Node.Core().Board
 	ready := board.Readiness.Get()
 	return ready != nil && ready.Ready && board.Self.Get().Instance.State == model.StateLive
 }
 
-// Warm tells whether the member's slow start is over: its owner runs as many
-// requests at once as slots allow.
+// Warm reports whether the member's slow start is complete: its owner admits as many
+// concurrent requests as there are slots.
 func (f *Fleet) Warm(m *Member) bool {
 	return Ready(m) && int(m.Node.Core().Owner.Report(time.Now()).Limit) >= f.cfg.Slots
 }
 
-// HasVersion tells whether the member has that version or a newer one in force.
+// HasVersion returns a condition that holds once the member uses that bundle version or a
+// newer one.
 func HasVersion(v model.BundleVersion) func(*Member) bool {
 	return func(m *Member) bool {
 		held := m.Node.Core().Board.Bundles.Get().Bundle(v.Name)
@@ -360,25 +360,25 @@
 	}
 }
 
-// Stop stops a member as planned: its node drains, then its worker stops. The
-// error is node.ErrCutOff when a request was cut off.
+// Stop performs a planned stop: the node drains, then its worker stops. The error is
+// node.ErrCutOff when a request was cut off.
 func (f *Fleet) Stop(m *Member) error {
 	m.stop()
-	err := <-m.ended
-	f.end(m)
+	err := <-m.exited
+	f.markStopped(m)
 	return err
 }
 
-// AwaitFailure waits until a member's node has ended by itself, and returns why; or until ctx
-// ends.
+// AwaitFailure waits until some member's node exits without having been stopped and
+// returns its error, or that of ctx.
 func (f *Fleet) AwaitFailure(ctx context.Context) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		for _, m := range f.Members() {
 			select {
-			case err := <-m.ended:
-				f.end(m)
+			case err := <-m.exited:
+				f.markStopped(m)
 				m.stop()
 				return err
 			default:
@@ -392,34 +392,35 @@
 	}
 }
 
-// Kill ends a member's node and worker at once.
+// Kill stops a member's node and worker immediately, without draining.
 func (f *Fleet) Kill(m *Member) {
 	m.Node.Kill()
-	f.end(m)
+	f.markStopped(m)
 	m.stop()
-	<-m.ended
+	<-m.exited
 }
 
-// KillWorker ends a member's worker at once, with all its connections; its node
-// goes on.
+// KillWorker stops a member's worker immediately and closes its connections; its node
+// keeps running.
 func (f *Fleet) KillWorker(m *Member) error {
 	if err := m.workerHTTP.Close(); err != nil {
-		return fmt.Errorf("%s: end worker: %w", m.ID, err)
+		return fmt.Errorf("%s: stop worker: %w", m.ID, err)
 	}
 	return nil
 }
 
-func (f *Fleet) end(m *Member) {
-	m.over.Store(true)
+// markStopped marks the member as stopped and closes its worker.
+func (f *Fleet) markStopped(m *Member) {
+	m.stopped.Store(true)
 	m.workerHTTP.Close()
 }
 
-// Close ends everything at once. The error joins those of nodes that could not
-// serve.
+// Close kills all members and stops the platform's stand-in. The error is that of closing
+// the stand-in; errors of nodes are dropped.
 func (f *Fleet) Close() error {
 	var errs []error
 	for _, m := range f.Members() {
-		if !m.over.Load() {
+		if !m.stopped.Load() {
 			f.Kill(m)
 		}
 	}
