--- a/internal/simulation/calls/call.go
+++ b/internal/simulation/calls/call.go
@@ -9,57 +9,59 @@
 	"gypsumstand/internal/owner"
 )
 
-// fleetCall is a caller's request with what it counts: a call and its hedge.
+// fleetCall is a caller's request with all its legs: the first engine call and its
+// hedges.
 type fleetCall struct {
 	fleet   *fleet
 	entry   *fleetEntry
 	legs    []*leg
-	began   time.Time
+	started time.Time
 	counted bool
-	over    bool
-	// returns is how often the caller still comes back after a refusal.
-	returns int
+	done    bool
+	// retriesLeft is the number of times that the caller still retries after a refusal.
+	retriesLeft int
 }
 
-// leg is one engine call in hand.
+// leg is one call of the entry engine.
 type leg struct {
 	*fleetCall
 	call *entry.Call
-	// step is the last one; sent tells whether its attempt is out.
-	step  entry.Step
-	sent  bool
-	ended bool
+	// step is the last step; inFlight is set while its attempt is in flight.
+	step     entry.Step
+	inFlight bool
+	ended    bool
 }
 
 func (f *fleet) begin(e *fleetEntry) {
-	x := &fleetCall{fleet: f, entry: e, began: f.now, counted: f.now.Sub(epoch) > fleetWarm, returns: f.returns}
-	x.ask()
+	x := &fleetCall{fleet: f, entry: e, started: f.now, counted: f.now.Sub(epoch) > fleetWarmUp, retriesLeft: f.callerRetries}
+	x.submit()
 }
 
-// ask sends the request, with the time that the caller has left.
-func (x *fleetCall) ask() {
+// submit sends the request with the caller's remaining time.
+func (x *fleetCall) submit() {
 	f := x.fleet
 	r := entry.Request{
 		ID:         "r1",
 		Target:     bundle.Target{Bundle: f.bundle, Service: &f.bundle.Services[0], Class: &f.bundle.Classes[0]},
-		Idempotent: true, Timeout: x.left(), RetryBudget: retryBudget, Replayable: true,
+		Idempotent: true, Timeout: x.remaining(), RetryBudget: retryBudget, Replayable: true,
 	}
 	x.add(x.entry.engine.Begin(f.now, r))
 }
 
-// left returns the time that the caller still waits.
-func (x *fleetCall) left() time.Duration { return x.fleet.timeout - x.fleet.now.Sub(x.began) }
+// remaining returns the rest of the caller's timeout.
+func (x *fleetCall) remaining() time.Duration { return x.fleet.timeout - x.fleet.now.Sub(x.started) }
 
-// comeBack lets a refused caller return as it was told; false when it does not.
-func (x *fleetCall) comeBack(s entry.Step) bool {
-	if s.Outcome != model.OutcomeNotRun || x.returns == 0 || s.RetryAfter >= x.left() {
+// retryLater schedules a caller retry after the step's Retry-After. It returns false when
+// the request was not refused, no retry is left, or the wait exceeds the remaining time.
+func (x *fleetCall) retryLater(s entry.Step) bool {
+	if s.Outcome != model.OutcomeNotRun || x.retriesLeft == 0 || s.RetryAfter >= x.remaining() {
 		return false
 	}
-	x.returns--
+	x.retriesLeft--
 	x.legs = nil
 	x.fleet.after(s.RetryAfter, func() {
-		x.over = false
-		x.ask()
+		x.done = false
+		x.submit()
 	})
 	return true
 }
@@ -72,7 +74,7 @@
 
 func (l *leg) next() {
 	f := l.fleet
-	if l.over {
+	if l.done {
 		return
 	}
 	l.step = l.call.Next(f.now)
@@ -83,20 +85,20 @@
 		f.after(s.Until.Sub(f.now), l.next)
 	case entry.StepEnd:
 		l.ended = true
-		l.end(s)
+		l.finishLeg(s)
 	}
 }
 
 func (l *leg) send(s entry.Step) {
 	f := l.fleet
 	l.count(&f.stats.sends)
-	l.sent = true
+	l.inFlight = true
 	f.after(fleetLink, func() {
-		f.awake(f.ownerOf(s.To.ID), func() { f.offer(l, &s.Attempt) })
+		f.whenRunning(f.ownerOf(s.To.ID), func() { f.offer(l, &s.Attempt) })
 	})
 	f.after(s.Until.Sub(f.now), func() {
-		if l.awaits(s.Attempt.ID) {
-			l.sent = false
+		if l.awaiting(s.Attempt.ID) {
+			l.inFlight = false
 			l.call.Interrupted(f.now, false)
 			l.next()
 		}
@@ -106,12 +108,12 @@
 	}
 }
 
-func (l *leg) awaits(id model.AttemptID) bool {
-	return !l.over && l.sent && l.step.Attempt.ID == id
+func (l *leg) awaiting(id model.AttemptID) bool {
+	return !l.done && l.inFlight && l.step.Attempt.ID == id
 }
 
 func (l *leg) hedge(id model.AttemptID) {
-	if !l.awaits(id) {
+	if !l.awaiting(id) {
 		return
 	}
 	if h, ok := l.call.Hedge(l.fleet.now); ok {
@@ -120,17 +122,17 @@
 	}
 }
 
-// offer gives an attempt to its owner and runs it when the owner starts it.
+// offer offers an attempt to its owner and runs it when the owner starts it.
 func (f *fleet) offer(l *leg, a *model.Attempt) {
 	o := f.ownerOf(a.Owner)
 	decided := func(v owner.DecisionKind, r model.Refusal) {
 		if v == owner.Refuse {
 			l.count(&f.stats.refusals)
-			f.report(l, o, a.ID, func() { l.call.Refused(f.now, r) })
+			f.deliverReport(l, o, a.ID, func() { l.call.Refused(f.now, r) })
 			return
 		}
 		l.count(&f.stats.runs)
-		f.work(l, o, a.ID)
+		f.runAttempt(l, o, a.ID)
 	}
 	v, r := o.owner.Offer(f.now, a, false)
 	if v == owner.Queue {
@@ -140,35 +142,36 @@
 	decided(v, r)
 }
 
-func (f *fleet) work(l *leg, o *fleetOwner, id model.AttemptID) {
-	took := f.exponential(fleetMean)
+func (f *fleet) runAttempt(l *leg, o *fleetOwner, id model.AttemptID) {
+	serviceTime := f.exponential(fleetMean)
 	if o == f.owners[0] {
-		took = time.Duration(float64(took) * f.slow)
+		serviceTime = time.Duration(float64(serviceTime) * f.slowFactor)
 	}
-	f.after(took, func() {
-		f.awake(o, func() {
-			o.deliver(o.owner.Finish(f.now, id, owner.Completion{ServiceTime: took, Status: 200}))
-			f.report(l, o, id, func() { l.call.Answered(f.now, false) })
+	f.after(serviceTime, func() {
+		f.whenRunning(o, func() {
+			o.deliver(o.owner.Finish(f.now, id, owner.Completion{ServiceTime: serviceTime, Status: 200}))
+			f.deliverReport(l, o, id, func() { l.call.Answered(f.now, false) })
 		})
 	})
 }
 
-// report hands the owner's word over, unless the attempt was given up.
-func (f *fleet) report(l *leg, o *fleetOwner, id model.AttemptID, word func()) {
+// deliverReport delivers the owner's report and applies the outcome, unless the attempt
+// was abandoned.
+func (f *fleet) deliverReport(l *leg, o *fleetOwner, id model.AttemptID, apply func()) {
 	r := o.owner.Report(f.now)
 	f.after(fleetLink, func() {
 		l.entry.table.Observe(f.now, r)
-		if l.awaits(id) {
-			l.sent = false
+		if l.awaiting(id) {
+			l.inFlight = false
 			l.call.Report(f.now, r)
-			word()
+			apply()
 			l.next()
 		}
 	})
 }
 
-// awake does something at an owner once it is not paused.
-func (f *fleet) awake(o *fleetOwner, do func()) {
+// whenRunning runs do at an owner as soon as the owner is not paused.
+func (f *fleet) whenRunning(o *fleetOwner, do func()) {
 	if o == f.owners[0] && f.now.Before(f.pausedUntil) {
 		f.after(f.pausedUntil.Sub(f.now), do)
 		return
@@ -186,8 +189,9 @@
 	}
 }
 
-// end takes a leg's end: an answer ends the request, and so does the last leg.
-func (x *fleetCall) end(s entry.Step) {
+// finishLeg handles the end of a leg. The request ends with the first answer or with the
+// last leg.
+func (x *fleetCall) finishLeg(s entry.Step) {
 	if s.Outcome != model.OutcomeAnswered {
 		for _, l := range x.legs {
 			if !l.ended {
@@ -196,46 +200,46 @@
 			s = entry.CombineOutcomes(s, l.step)
 		}
 	}
-	x.over = true
+	x.done = true
 	for _, l := range x.legs {
 		x.cancel(l)
 	}
-	if x.comeBack(s) {
+	if x.retryLater(s) {
 		return
 	}
 	if x.counted {
-		x.fleet.stats.end(x.fleet.now.Sub(x.began), s)
+		x.fleet.stats.record(x.fleet.now.Sub(x.started), s)
 	}
 }
 
-// cancel gives up a leg that lost.
+// cancel abandons a leg that is still open when the request ends.
 func (x *fleetCall) cancel(l *leg) {
 	if l.ended {
 		return
 	}
 	f := x.fleet
 	l.call.CallerCancelled(f.now)
-	if !l.sent {
+	if !l.inFlight {
 		return
 	}
 	f.after(fleetLink, func() {
 		o := f.ownerOf(l.step.To.ID)
-		f.awake(o, func() {
+		f.whenRunning(o, func() {
 			_, ds := o.owner.Cancel(f.now, l.step.Attempt.ID)
 			o.deliver(ds)
 		})
 	})
 }
 
-func (st *fleetStats) end(took time.Duration, s entry.Step) {
+func (st *fleetStats) record(latency time.Duration, s entry.Step) {
 	st.calls++
 	switch s.Outcome {
 	case model.OutcomeAnswered:
 		st.answered++
-		st.latencies = append(st.latencies, took)
+		st.latencies = append(st.latencies, latency)
 	case model.OutcomeNotRun:
 		st.notRun++
-		st.refusedAfter = append(st.refusedAfter, took)
+		st.refusedAfter = append(st.refusedAfter, latency)
 	default:
 		st.unknown++
 	}
--- a/internal/simulation/calls/fleet.go
+++ b/internal/simulation/calls/fleet.go
@@ -1,6 +1,6 @@
-// Package calls measures retries and hedges on a fake clock: entry nodes and owners
-// of one service with the product's routing, admission and retry budgets, under
-// load in bursts. Workers and links are times.
+// Package calls measures retries and hedges on a fake clock: entry nodes and owners of
+// one service with the product's routing, admission and retry budgets, under load with
+// bursts. Workers and links are simulated as delays.
 package calls
 
 import (
@@ -16,8 +16,7 @@
 	"gypsumstand/internal/route"
 )
 
-// Sizes of the measured fleet: one service of the brief's size, all in one data
-// centre.
+// Parameters of the measured fleet: one service in one data centre.
 const (
 	fleetOwners  = 4
 	fleetEntries = 8
@@ -29,22 +28,22 @@
 	// fleetRun is the length of a short run, fleetLong that of a measured one.
 	fleetRun                       = 2 * time.Second
 	fleetLong                      = 10 * time.Second
-	fleetWarm                      = 500 * time.Millisecond
+	fleetWarmUp                    = 500 * time.Millisecond
 	fleetService model.ServiceName = "payouts"
-	// retryRatio and retryBudget are the bundle's ratio and the path's budget.
+	// retryRatio is the bundle's retry ratio, retryBudget the retry budget per path.
 	retryRatio  = 0.2
 	retryBudget = 2
-	// burstEvery, burstLength and burstFactor shape the load's bursts.
+	// burstEvery, burstLength and burstFactor define the load's bursts.
 	burstEvery  = 200 * time.Millisecond
 	burstLength = 10 * time.Millisecond
 	burstFactor = 4
 )
 
-// epoch is the fake clock's start.
+// epoch is the start of the fake clock.
 var epoch = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
-// fleet runs entry nodes and owners with the product's routing and admission on
-// a fake clock; workers and links are times.
+// fleet runs entry nodes and owners with the product's routing and admission on a fake
+// clock. Workers and links are simulated as delays.
 type fleet struct {
 	now     time.Time
 	events  eventqueue.Queue[func()]
@@ -52,18 +51,18 @@
 	bundle  *bundle.Bundle
 	entries []*fleetEntry
 	owners  []*fleetOwner
-	// slow is a factor of the first owner's service times.
-	slow float64
-	// pausedUntil is when the first owner wakes up.
+	// slowFactor multiplies the first owner's service times.
+	slowFactor float64
+	// pausedUntil is the end of the first owner's pause.
 	pausedUntil time.Time
 	timeout     time.Duration
 	length      time.Duration
-	// returns is how often a refused caller comes back.
-	returns int
-	stats   fleetStats
+	// callerRetries is the number of times that a refused caller retries.
+	callerRetries int
+	stats         fleetStats
 }
 
-// fleetStats counts calls begun after the warm-up.
+// fleetStats counts the calls that start after the warm-up.
 type fleetStats struct {
 	calls, answered, notRun, unknown int
 	sends, refusals, runs, hedges    int
@@ -77,7 +76,8 @@
 
 type fleetOwner struct {
 	owner *owner.Owner
-	// waiting holds what is done once a queued attempt starts or is refused.
+	// waiting holds a callback for each queued attempt, which runs when the owner starts
+	// or refuses the attempt.
 	waiting map[model.AttemptID]func(owner.DecisionKind, model.Refusal)
 }
 
@@ -85,7 +85,7 @@
 	f.events.Add(f.now.Add(d), do)
 }
 
-// fleetBundle is the bundle of the one service.
+// fleetBundle returns the bundle of the one service.
 func fleetBundle() *bundle.Bundle {
 	return &bundle.Bundle{
 		Name: "inyange", Version: 9, Retry: bundle.Retry{PerPath: retryBudget, Ratio: retryRatio},
@@ -96,9 +96,9 @@
 	}
 }
 
-// newFleet returns a fleet whose load has not begun.
+// newFleet returns a fleet without load. run offers the load.
 func newFleet(seed uint64, t entry.Tuning) *fleet {
-	f := &fleet{now: epoch, random: rand.New(rand.NewPCG(seed, 1)).Uint64, slow: 1, timeout: fleetTimeout, length: fleetRun}
+	f := &fleet{now: epoch, random: rand.New(rand.NewPCG(seed, 1)).Uint64, slowFactor: 1, timeout: fleetTimeout, length: fleetRun}
 	f.bundle = fleetBundle()
 	view := &model.Fleet{Revision: 1}
 	for i := range fleetOwners {
@@ -146,18 +146,18 @@
 	}
 }
 
-// uniform returns a number in (0, 1].
+// uniform returns a random number in (0, 1].
 func (f *fleet) uniform() float64 { return (float64(f.random()>>11) + 1) / (1 << 53) }
 
 func (f *fleet) exponential(mean time.Duration) time.Duration {
 	return time.Duration(-math.Log(f.uniform()) * float64(mean))
 }
 
-// run offers share of the fleet's capacity with bursts for its length.
-func (f *fleet) run(share float64) {
+// run offers load, a share of the fleet's capacity, with bursts for the fleet's length.
+func (f *fleet) run(load float64) {
 	capacity := float64(fleetOwners*fleetSlots) / fleetMean.Seconds()
 	meanFactor := 1 + (burstFactor-1)*burstLength.Seconds()/burstEvery.Seconds()
-	rate := share * capacity / meanFactor
+	rate := load * capacity / meanFactor
 	var arrive func()
 	arrive = func() {
 		if f.now.Sub(epoch) > f.length {
--- a/internal/simulation/calls/write.go
+++ b/internal/simulation/calls/write.go
@@ -24,12 +24,12 @@
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-// header names the columns of a fleet's figures.
+// header is the format of the column headings.
 const header = "%-38s %9s %8s %9s %11s %11s %15s\n"
 
-// write prints a fleet's figures.
-func (s *fleetStats) write(out io.Writer, what string) error {
-	_, err := fmt.Fprintf(out, "%-38s %8.2f%% %8.2f %9.2f %11.3f %11.3f %15.2f\n", what,
+// write writes the figures of a run under a label.
+func (s *fleetStats) write(out io.Writer, label string) error {
+	_, err := fmt.Fprintf(out, "%-38s %8.2f%% %8.2f %9.2f %11.3f %11.3f %15.2f\n", label,
 		100*s.answeredShare(), ms(quantile(s.latencies, 0.99)), ms(quantile(s.latencies, 0.999)),
 		s.sendsPerCall(), float64(s.runs)/float64(s.answered), ms(quantile(s.refusedAfter, 0.99)))
 	return err
@@ -40,9 +40,10 @@
 	return err
 }
 
-// WriteRetries compares ways of placing refused attempts elsewhere at three loads.
+// WriteRetries compares strategies for retrying refused attempts at other owners, at
+// three loads.
 func WriteRetries(out io.Writer) error {
-	ways := []struct {
+	strategies := []struct {
 		name   string
 		tuning entry.Tuning
 	}{
@@ -54,11 +55,11 @@
 		return err
 	}
 	for _, share := range []float64{0.85, 1.1, 2} {
-		for _, way := range ways {
-			f := newFleet(5, way.tuning)
+		for _, strategy := range strategies {
+			f := newFleet(5, strategy.tuning)
 			f.length = fleetLong
 			f.run(share)
-			if err := f.stats.write(out, fmt.Sprintf("%.0f%%, %s", 100*share, way.name)); err != nil {
+			if err := f.stats.write(out, fmt.Sprintf("%.0f%%, %s", 100*share, strategy.name)); err != nil {
 				return err
 			}
 		}
@@ -66,21 +67,21 @@
 	return nil
 }
 
-// WriteHedges compares quantiles to hedge after, with one owner of four slowed
-// five times or paused a quarter of the time.
+// WriteHedges compares the quantiles after which a hedge is sent, with one of four owners
+// slowed five times or paused a quarter of the time.
 func WriteHedges(out io.Writer) error {
 	faults := []struct {
 		name string
 		set  func(*fleet)
-	}{{"slowed", func(f *fleet) { f.slow = 5 }}, {"paused", (*fleet).pausing}}
+	}{{"slowed", func(f *fleet) { f.slowFactor = 5 }}, {"paused", (*fleet).pauseRepeatedly}}
 	if err := writeHeader(out); err != nil {
 		return err
 	}
 	for _, fault := range faults {
 		for _, share := range []float64{0.6, 0.85} {
 			for _, after := range []float64{0, 0.95, 0.99} {
-				what := fmt.Sprintf("one %s, %.0f%%, after %.2f", fault.name, 100*share, after)
-				if err := medianOfSeeds(share, after, fault.set).write(out, what); err != nil {
+				label := fmt.Sprintf("one %s, %.0f%%, after %.2f", fault.name, 100*share, after)
+				if err := medianOfSeeds(share, after, fault.set).write(out, label); err != nil {
 					return err
 				}
 			}
@@ -89,8 +90,9 @@
 	return nil
 }
 
-// pausing stops the first owner for a quarter of the time.
-func (f *fleet) pausing() {
+// pauseRepeatedly pauses the first owner for 500 ms every two seconds, from the fourth
+// second on.
+func (f *fleet) pauseRepeatedly() {
 	var pause func()
 	pause = func() {
 		f.pausedUntil = f.now.Add(500 * time.Millisecond)
@@ -99,16 +101,16 @@
 	f.after(4*time.Second, pause)
 }
 
-// medianOfSeeds runs a fleet with several seeds and returns the figures of the
-// one with the median answered share.
-func medianOfSeeds(share, quantile float64, set func(*fleet)) *fleetStats {
+// medianOfSeeds runs a fleet with several seeds and returns the figures of the run with
+// the median answered share.
+func medianOfSeeds(share, quantile float64, inject func(*fleet)) *fleetStats {
 	const seeds = 7
 	var runs []*fleetStats
 	for seed := range uint64(seeds) {
 		f := newFleet(seed+1, entry.DefaultTuning())
 		f.bundle.Retry.HedgeAfterQuantile = quantile
 		f.length = fleetLong
-		set(f)
+		inject(f)
 		f.run(share)
 		runs = append(runs, &f.stats)
 	}
--- a/internal/simulation/contender.go
+++ b/internal/simulation/contender.go
@@ -7,11 +7,11 @@
 	"gypsumstand/internal/route"
 )
 
-// Contender is a way of routing.
+// Contender is a routing policy under comparison.
 type Contender struct {
 	Name   string
 	Policy route.Policy
-	// Adjust changes a part of the product's policy; nil changes none.
+	// Adjust modifies the tuning of the product's policy; nil keeps the defaults.
 	Adjust func(*route.Tuning)
 }
 
@@ -23,7 +23,7 @@
 	return &t
 }
 
-// Policies returns the product's policy first and then its baselines.
+// Policies returns the product's policy, followed by its baselines.
 func Policies() []Contender {
 	return []Contender{
 		{Name: "product", Policy: route.PolicyExpectedTime},
@@ -34,8 +34,8 @@
 	}
 }
 
-// Ablations returns the product's policy first and then the same with one part
-// changed each.
+// Ablations returns the product's policy, followed by variants of it that differ in one
+// part each.
 func Ablations() []Contender {
 	parts := []struct {
 		name   string
@@ -65,22 +65,22 @@
 	return out
 }
 
-// seeds is the number of runs behind each figure of Repeat.
-const seeds = 9
+// seedCount is the number of runs that Repeat aggregates.
+const seedCount = 9
 
-// Repeat plays a scenario on all seeds and returns the medians of the latencies
-// and the means of the shares.
+// Repeat runs a scenario with all seeds. It returns the medians of the latencies and the
+// means of the other figures.
 func Repeat(sc Scenario, c Contender) Outcome {
 	var p50, p99 []time.Duration
 	var sum Outcome
-	for seed := range uint64(seeds) {
+	for seed := range uint64(seedCount) {
 		o := Run(seed, sc, c)
 		p50, p99 = append(p50, o.P50), append(p99, o.P99)
-		sum.WithinDeadline += o.WithinDeadline / seeds
-		sum.Messages += o.Messages / seeds
+		sum.WithinDeadline += o.WithinDeadline / seedCount
+		sum.Messages += o.Messages / seedCount
 	}
 	slices.Sort(p50)
 	slices.Sort(p99)
-	sum.P50, sum.P99 = p50[seeds/2], p99[seeds/2]
+	sum.P50, sum.P99 = p50[seedCount/2], p99[seedCount/2]
 	return sum
 }
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -1,25 +1,25 @@
 package simulation
 
-// Fault is what happens to the first upstream once a run is warm.
+// Fault is a fault of the first upstream that starts after the warm-up.
 type Fault int
 
 // The faults.
 const (
 	NoFault Fault = iota
-	// Slowed takes five times as long.
+	// Slowed multiplies service times by five.
 	Slowed
-	// Failing answers fast and wrong.
+	// Failing fails every request, in a twentieth of the service time.
 	Failing
-	// Cold refuses for half a second and then warms up for a second.
+	// Cold refuses requests for 500 ms and then ramps up to all slots over a second.
 	Cold
-	// Paused stops for 200 ms in each half second.
+	// Paused stops the process for 200 ms in every 500 ms.
 	Paused
-	// SlowLink is behind a link that takes 15 ms more.
+	// SlowLink adds 15 ms to the upstream's link.
 	SlowLink
 )
 
-// capacity is the part of an upstream's capacity that a fault leaves.
-func (f Fault) capacity() float64 {
+// remainingCapacity is the share of an upstream's capacity that is left under the fault.
+func (f Fault) remainingCapacity() float64 {
 	switch f {
 	case Slowed:
 		return 0.2
@@ -31,7 +31,7 @@
 	return 1
 }
 
-// String returns the fault's name in a table.
+// String returns the fault's name as printed in tables.
 func (f Fault) String() string {
 	return [...]string{"steady", "slowed", "failing", "cold", "paused", "starved"}[f]
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -1,8 +1,8 @@
-// Package simulation compares policies of routing, and the parts of the product's,
-// on an event-driven model of one service: entry nodes with a table each,
-// upstreams with slots, a queue and an owner that refuses what cannot be done in
-// time, links with a delay, and load in bursts. Reports ride on answers and
-// refusals. It is no model of a cluster: package experiment measures one.
+// Package simulation compares routing policies, and variants of the product's policy, on
+// an event-driven model of one service: entry nodes with a routing table each, upstreams
+// with slots, a queue and an owner that refuses requests that cannot meet their deadline,
+// links with a delay, and load with bursts. Load reports are piggybacked on responses and
+// refusals. It does not model a cluster; package experiment measures one.
 package simulation
 
 import (
@@ -15,7 +15,7 @@
 	"gypsumstand/internal/route"
 )
 
-// Shape of the model.
+// Parameters of the model.
 const (
 	entryCount   = 11
 	slotCount    = 20
@@ -28,11 +28,11 @@
 	localDelay   = 100 * time.Microsecond
 	remoteDelay  = time.Millisecond
 	maxAttempts  = 4
-	// tailMeans is the service time in means that the owner keeps of the
-	// remaining time.
+	// tailMeans is the part of the remaining time that the owner reserves for the run
+	// itself, in mean service times.
 	tailMeans = 3
-	// Three tenths of the load come in bursts of 5 to 20 ms at one entry, 20 a
-	// second.
+	// burstShare of the load arrives in bursts of 5 to 20 ms at one entry each,
+	// burstsPerSecond on average.
 	burstShare      = 0.3
 	burstsPerSecond = 20
 	burstMean       = 12500 * time.Microsecond
@@ -41,38 +41,38 @@
 	serviceName     = "s"
 )
 
-// start is when a run begins, as the tables are told.
-var start = time.Unix(1_000_000, 0)
+// epoch is the start of every run on the fake clock.
+var epoch = time.Unix(1_000_000, 0)
 
-// Scenario is what a run plays.
+// Scenario describes a run.
 type Scenario struct {
 	Upstreams int
-	// Load is the offered share of the capacity that the fault leaves.
+	// Load is the offered load as a share of the capacity that the fault leaves.
 	Load  float64
 	Fault Fault
 }
 
-// Run plays a scenario with one contender. The same seed gives the same load to
-// every contender.
+// Run simulates a scenario with one contender. The same seed gives every contender the
+// same load.
 func Run(seed uint64, sc Scenario, c Contender) Outcome {
 	s := &sim{rng: rand.New(rand.NewPCG(seed, 1))}
 	fleet := s.addUpstreams(seed, sc)
 	s.addEntries(seed, fleet, c)
-	capacity := (float64(sc.Upstreams-1) + sc.Fault.capacity()) * slotCount / meanService.Seconds()
+	capacity := (float64(sc.Upstreams-1) + sc.Fault.remainingCapacity()) * slotCount / meanService.Seconds()
 	rate := sc.Load * capacity
-	s.arrivals((1-burstShare)*rate, runLength, s.anyEntry)
+	s.arrivals((1-burstShare)*rate, runLength, s.randomEntry)
 	s.bursts(burstShare * rate / (burstsPerSecond * burstMean.Seconds()))
 	s.run()
 	return s.outcome()
 }
 
-// addUpstreams adds the scenario's upstreams, the first with the fault, and
-// returns them as the entry nodes see them.
+// addUpstreams adds the scenario's upstreams, the first with the fault, and returns the
+// fleet that entry nodes see.
 func (s *sim) addUpstreams(seed uint64, sc Scenario) *model.Fleet {
 	fleet := &model.Fleet{}
 	for i := range sc.Upstreams {
 		u := &upstream{
-			sim: s, dc: i % dataCentres, id: model.InstanceID(rune('a' + i)), service: float64(meanService),
+			sim: s, dc: i % dataCentres, id: model.InstanceID(rune('a' + i)), meanServiceTime: float64(meanService),
 			rng: rand.New(rand.NewPCG(seed, uint64(10+i))),
 		}
 		if i == 0 {
@@ -86,7 +86,7 @@
 	return fleet
 }
 
-// addEntries adds the entry nodes, each with a table of the contender's kind.
+// addEntries adds the entry nodes, each with a table that uses the contender's policy.
 func (s *sim) addEntries(seed uint64, fleet *model.Fleet, c Contender) {
 	choice := rand.New(rand.NewPCG(seed, 2))
 	for i := range entryCount {
@@ -95,7 +95,7 @@
 			DataCentre: dataCentre(e.dc), LocalDelay: localDelay, RemoteDelay: remoteDelay,
 			Random: choice.Uint64, Policy: c.Policy, Tuning: c.tuning(),
 		})
-		e.table.Update(start, fleet, nil)
+		e.table.Update(epoch, fleet, nil)
 		s.entries = append(s.entries, e)
 		if c.Policy == route.PolicyPolledTwoChoices {
 			for _, u := range s.upstreams {
@@ -107,15 +107,15 @@
 
 func dataCentre(i int) model.DataCentre { return model.DataCentre(rune('0' + i)) }
 
-// sim is one run.
+// sim is the state of one run.
 type sim struct {
 	rng       *rand.Rand
 	now       time.Duration
 	events    eventqueue.Queue[func()]
 	entries   []*entryNode
 	upstreams []*upstream
-	// latencies of all requests that arrived after warmUp; those not answered
-	// count as the deadline.
+	// latencies holds all requests that arrived after warmUp. An unanswered one counts
+	// with its timeout.
 	latencies []time.Duration
 	answered  int
 	messages  int
@@ -123,32 +123,31 @@
 
 func (s *sim) after(d time.Duration, do func()) { s.events.Add(s.clock().Add(d), do) }
 
-// clock returns the time that the tables are told.
-func (s *sim) clock() time.Time { return start.Add(s.now) }
+// clock returns the current time of the fake clock.
+func (s *sim) clock() time.Time { return epoch.Add(s.now) }
 
 func (s *sim) run() {
-	for at, do := range s.events.Until(start.Add(runLength + timeout)) {
-		s.now = at.Sub(start)
+	for at, do := range s.events.Until(epoch.Add(runLength + timeout)) {
+		s.now = at.Sub(epoch)
 		do()
 	}
 }
 
-// Outcome is what one run measured.
+// Outcome holds the figures of one run.
 type Outcome struct {
-	// P50 and P99 are latencies; a call that was not answered counts as its
-	// deadline.
+	// P50 and P99 are latencies. An unanswered call counts with its timeout.
 	P50, P99 time.Duration
-	// WithinDeadline is the share of calls answered in deadline.
+	// WithinDeadline is the share of calls answered within the deadline.
 	WithinDeadline float64
-	// Messages is the number of measuring messages per answered call.
+	// Messages is the number of poll messages per answered call.
 	Messages float64
 }
 
-func (s *sim) finish(began time.Duration, ok bool) {
-	if began < warmUp {
+func (s *sim) record(started time.Duration, ok bool) {
+	if started < warmUp {
 		return
 	}
-	latency := s.now - began
+	latency := s.now - started
 	if !ok || latency > timeout {
 		latency = timeout
 	} else {
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -2,8 +2,7 @@
 
 import "testing"
 
-// TestProductBeatsBaselines repeats a part of the comparison of policies on one
-// seed.
+// TestProductBeatsBaselines runs a part of the policy comparison with one seed.
 func TestProductBeatsBaselines(t *testing.T) {
 	const seed = 1
 	policies := Policies()
--- a/internal/simulation/upstream.go
+++ b/internal/simulation/upstream.go
@@ -8,31 +8,32 @@
 	"gypsumstand/internal/route"
 )
 
-// upstream is a worker and its owner.
+// upstream is a worker with its owner.
 type upstream struct {
 	sim   *sim
 	dc    int
 	id    model.InstanceID
 	fault Fault
-	// rng draws service times, so that they do not change the load.
-	rng      *rand.Rand
-	inFlight int
-	queue    []*attempt
-	service  float64
-	failures float64
+	// rng draws service times. It is separate from the load's generator, so that routing
+	// does not change the load.
+	rng             *rand.Rand
+	inFlight        int
+	queue           []*attempt
+	meanServiceTime float64
+	failureRate     float64
 }
 
 type attempt struct {
 	arrived  time.Duration
 	deadline time.Duration
-	end      func(r route.Result, rep model.LoadReport)
+	done     func(r route.Result, rep model.LoadReport)
 }
 
-func (u *upstream) faulty() bool { return u.sim.now >= warmUp }
+func (u *upstream) faultActive() bool { return u.sim.now >= warmUp }
 
-// stopped tells whether the process is stopped: 200 ms in each half second.
-func (u *upstream) stopped() (until time.Duration, yes bool) {
-	if u.fault != Paused || !u.faulty() {
+// paused reports whether the process is stopped, and until when: 200 ms in every 500 ms.
+func (u *upstream) paused() (until time.Duration, ok bool) {
+	if u.fault != Paused || !u.faultActive() {
 		return 0, false
 	}
 	const cycle, stop = 500 * time.Millisecond, 200 * time.Millisecond
@@ -40,10 +41,10 @@
 	return u.sim.now - into + stop, into < stop
 }
 
-// limit is what the owner runs at once: a cold worker ramps up for a second
-// after half a second of cold.
+// limit returns the number of requests that run at once. A cold worker refuses for 500 ms
+// and then ramps up over a second.
 func (u *upstream) limit() int {
-	if u.fault != Cold || !u.faulty() {
+	if u.fault != Cold || !u.faultActive() {
 		return slotCount
 	}
 	warm := u.sim.now - warmUp - 500*time.Millisecond
@@ -54,7 +55,7 @@
 	r := model.LoadReport{
 		Owner: u.id, Incarnation: 1, Clock: u.sim.now + time.Second, State: model.StateLive,
 		Limit: uint16(max(0, u.limit())), InFlight: uint16(u.inFlight), Queued: uint16(len(u.queue)),
-		ServiceTime: time.Duration(u.service), FailureRate: uint16(1000 * u.failures),
+		ServiceTime: time.Duration(u.meanServiceTime), FailureRate: uint16(1000 * u.failureRate),
 	}
 	if u.limit() <= 0 {
 		r.State = model.StateCold
@@ -63,7 +64,7 @@
 }
 
 func (u *upstream) offer(a *attempt) {
-	if until, yes := u.stopped(); yes {
+	if until, ok := u.paused(); ok {
 		u.sim.after(until-u.sim.now, func() { u.offer(a) })
 		return
 	}
@@ -73,20 +74,20 @@
 		u.refuse(a, model.ReasonNotReady, 100*time.Millisecond)
 		return
 	}
-	wait := time.Duration(u.service) * time.Duration(max(0, u.inFlight+len(u.queue)+1-limit)) / time.Duration(limit)
-	if len(u.queue) >= queueLimit || wait+tailMeans*time.Duration(u.service) > a.deadline-u.sim.now {
+	wait := time.Duration(u.meanServiceTime) * time.Duration(max(0, u.inFlight+len(u.queue)+1-limit)) / time.Duration(limit)
+	if len(u.queue) >= queueLimit || wait+tailMeans*time.Duration(u.meanServiceTime) > a.deadline-u.sim.now {
 		u.refuse(a, model.ReasonOverloaded, wait/2)
 		return
 	}
 	u.queue = append(u.queue, a)
-	u.start()
+	u.startQueued()
 }
 
-func (u *upstream) refuse(a *attempt, why model.Reason, retry time.Duration) {
-	a.end(route.Result{Refused: why, RetryAfter: retry}, u.report())
+func (u *upstream) refuse(a *attempt, reason model.Reason, retry time.Duration) {
+	a.done(route.Result{Refused: reason, RetryAfter: retry}, u.report())
 }
 
-func (u *upstream) start() {
+func (u *upstream) startQueued() {
 	for len(u.queue) > 0 && u.inFlight < u.limit() {
 		a := u.queue[0]
 		u.queue = u.queue[1:]
@@ -102,7 +103,7 @@
 
 func (u *upstream) serviceTime() (d time.Duration, failed bool) {
 	d = time.Duration(u.rng.ExpFloat64() * float64(meanService))
-	if !u.faulty() {
+	if !u.faultActive() {
 		return d, false
 	}
 	switch u.fault {
@@ -115,7 +116,7 @@
 }
 
 func (u *upstream) finish(a *attempt, d time.Duration, failed bool) {
-	if until, yes := u.stopped(); yes {
+	if until, ok := u.paused(); ok {
 		u.sim.after(until-u.sim.now, func() { u.finish(a, d, failed) })
 		return
 	}
@@ -124,9 +125,9 @@
 	if failed {
 		share = 1
 	}
-	u.failures += gain * (share - u.failures)
-	u.service += gain * (float64(d) - u.service)
+	u.failureRate += gain * (share - u.failureRate)
+	u.meanServiceTime += gain * (float64(d) - u.meanServiceTime)
 	u.inFlight--
-	u.start()
-	a.end(route.Result{Failed: failed, OwnerTime: u.sim.now - a.arrived}, u.report())
+	u.startQueued()
+	a.done(route.Result{Failed: failed, OwnerTime: u.sim.now - a.arrived}, u.report())
 }
