--- a/internal/experiment/added.go
+++ b/internal/experiment/added.go
@@ -10,8 +10,8 @@
 	"gypsumstand/internal/pause"
 )
 
-// AddedLatency is the time that two nodes add to a call, beside the worker called
-// directly in the same run.
+// AddedLatency compares the latency of calls through two nodes with that of direct calls
+// to the worker in the same run.
 type AddedLatency struct {
 	RatePerSecond float64 `json:"rate_per_second"`
 	Repeat        int     `json:"repeat"`
@@ -24,14 +24,15 @@
 	ProxiedUnanswered int64 `json:"through_lost"`
 }
 
-// P50Ms and P99Ms are the differences of the quantiles.
+// P50Ms returns the latency that the nodes add at the median, in milliseconds.
 func (a *AddedLatency) P50Ms() float64 { return a.ProxiedP50Ms - a.DirectP50Ms }
 
-// P99Ms is the difference at the 99th percentile.
+// P99Ms returns the latency that the nodes add at the 99th percentile, in milliseconds.
 func (a *AddedLatency) P99Ms() float64 { return a.ProxiedP99Ms - a.DirectP99Ms }
 
-// addedBundle has one service that answers at once.
-const addedBundle = `
+// addedLatencyBundle has a service whose worker is called, and one whose node serves as
+// entry.
+const addedLatencyBundle = `
 name = "added"
 version = 1
 [[class]]
@@ -56,18 +57,18 @@
 class = "view"
 `
 
-// addedServiceMs is the constant service time of the worker: short, so that the
-// added time is seen, and constant, so that quantiles may be subtracted.
-const addedServiceMs = 2
+// addedLatencyServiceMs is the constant service time of the worker: short, so that the
+// added latency is visible, and constant, so that quantiles may be subtracted.
+const addedLatencyServiceMs = 2
 
-// MeasureAddedLatency calls a worker directly and through another node's caller port,
-// one after the other and repeated, each time at the same rate.
+// MeasureAddedLatency calls a worker directly and then through another node's caller
+// port, both at the same rate, and repeats this. d is the length of each run.
 func MeasureAddedLatency(ctx context.Context, rate float64, repeats int, d time.Duration) ([]AddedLatency, error) {
-	dep, err := deploy.New("added", []byte(addedBundle), []int{1, 1})
+	dep, err := deploy.New("added", []byte(addedLatencyBundle), []int{1, 1})
 	if err != nil {
 		return nil, err
 	}
-	dep.MeanMs = addedServiceMs
+	dep.MeanMs = addedLatencyServiceMs
 	cfg := dep.Fleet()
 	cfg.DataCentres = 1
 	cfg.CrossDelay = 0
@@ -77,17 +78,18 @@
 		return nil, err
 	}
 	defer fleet.Close()
-	// The entry is the node of another service, so that each call crosses two.
+	// The entry node belongs to another service, so that each call passes through two
+	// nodes.
 	entry := fleet.Members()[1]
-	ready, cancel := context.WithTimeout(ctx, readyTimeout)
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := fleet.Await(ready, fleet.Warm); err != nil {
+	if err := fleet.Await(readyCtx, fleet.Warm); err != nil {
 		return nil, err
 	}
 	pause.For(ctx, time.Second)
 	var out []AddedLatency
 	for i := range repeats {
-		a, err := addedOnce(ctx, fleet, entry, rate, d)
+		a, err := measureAddedOnce(ctx, fleet, entry, rate, d)
 		if err != nil {
 			return out, err
 		}
@@ -97,12 +99,12 @@
 	return out, nil
 }
 
-func addedOnce(ctx context.Context, fleet *local.Fleet, entry *local.Member, rate float64, d time.Duration) (AddedLatency, error) {
-	direct, err := addedRun(ctx, fleet.Members()[0].WorkerAddress(), true, rate, d)
+func measureAddedOnce(ctx context.Context, fleet *local.Fleet, entry *local.Member, rate float64, d time.Duration) (AddedLatency, error) {
+	direct, err := runAtRate(ctx, fleet.Members()[0].WorkerAddress(), true, rate, d)
 	if err != nil {
 		return AddedLatency{}, err
 	}
-	through, err := addedRun(ctx, entry.Node.CallerAddress(), false, rate, d)
+	proxied, err := runAtRate(ctx, entry.Node.CallerAddress(), false, rate, d)
 	if err != nil {
 		return AddedLatency{}, err
 	}
@@ -110,16 +112,16 @@
 		RatePerSecond:     rate,
 		DirectP50Ms:       float64(direct.FromSend.P50Us) / usPerMs,
 		DirectP99Ms:       float64(direct.FromSend.P99Us) / usPerMs,
-		ProxiedP50Ms:      float64(through.FromSend.P50Us) / usPerMs,
-		ProxiedP99Ms:      float64(through.FromSend.P99Us) / usPerMs,
+		ProxiedP50Ms:      float64(proxied.FromSend.P50Us) / usPerMs,
+		ProxiedP99Ms:      float64(proxied.FromSend.P99Us) / usPerMs,
 		DirectUnanswered:  direct.Counts.Sent - direct.Counts.Answered,
-		ProxiedUnanswered: through.Counts.Sent - through.Counts.Answered,
+		ProxiedUnanswered: proxied.Counts.Sent - proxied.Counts.Answered,
 	}, nil
 }
 
-// addedRun measures from the sending, without the generator's own lateness,
-// which is several times the time that is looked for.
-func addedRun(ctx context.Context, target string, direct bool, rate float64, d time.Duration) (load.Summary, error) {
+// runAtRate runs one stream against target. Its callers use FromSend, because the
+// generator's own lateness is several times the latency to be measured.
+func runAtRate(ctx context.Context, target string, direct bool, rate float64, d time.Duration) (load.Summary, error) {
 	p := load.NewPlan()
 	p.Targets = []string{target}
 	p.Direct = direct
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,7 +1,7 @@
-// Package experiment measures the example deployments on loopback: this
-// design's routing beside its baselines in the same run, at several loads, with
-// bursts and faults, and the time that two nodes add to a call. Every run is
-// bounded in time and count.
+// Package experiment measures the example deployments on loopback: the product's routing
+// against its baselines in the same run, at several loads, with bursts and faults, and
+// the latency that two nodes add to a call. Every run is limited in duration and number
+// of requests.
 package experiment
 
 import (
@@ -19,92 +19,93 @@
 	"gypsumstand/internal/route"
 )
 
-// Contender is a way of routing.
+// Contender is a routing policy under comparison.
 type Contender struct {
 	Name   string
 	Policy route.Policy
-	// ProbeAge is the age at which an upstream is probed; zero means the
-	// product's.
+	// ProbeAge is the age of a report at which its upstream is probed; zero means the
+	// product's default.
 	ProbeAge time.Duration
 	// MeasuringBudget replaces the bundle's measuring budget; zero keeps it. Polling
-	// needs more than a bundle would grant.
+	// needs more than a bundle grants.
 	MeasuringBudget float64
 }
 
-// pollBudget is what polling each upstream from every node takes, in messages
-// per second and upstream.
+// pollBudget is the measuring budget that polling each upstream from every node needs, in
+// messages per second and upstream.
 const pollBudget = 400
 
-// pollEvery is how often the polling baseline asks each upstream.
-const pollEvery = 100 * time.Millisecond
+// pollInterval is the interval at which the polling baseline polls each upstream.
+const pollInterval = 100 * time.Millisecond
 
-// Contenders returns this design first and then its baselines.
+// Contenders returns the product's policy, followed by its baselines.
 func Contenders() []Contender {
 	return []Contender{
 		{Name: "gypsumstand", Policy: route.PolicyExpectedTime},
 		{Name: "random", Policy: route.PolicyRandom},
 		{Name: "round robin", Policy: route.PolicyRoundRobin},
 		{Name: "least in flight", Policy: route.PolicyLeastInFlight},
-		{Name: "two choices, polled", Policy: route.PolicyPolledTwoChoices, ProbeAge: pollEvery, MeasuringBudget: pollBudget},
+		{Name: "two choices, polled", Policy: route.PolicyPolledTwoChoices, ProbeAge: pollInterval, MeasuringBudget: pollBudget},
 	}
 }
 
-// Options of a comparison.
+// Options configures a comparison.
 type Options struct {
 	Deployments []*deploy.Deployment
 	Contenders  []Contender
-	// LoadShares of capacity to offer.
+	// LoadShares are the offered loads as shares of capacity.
 	LoadShares []float64
-	// Repeats of each cell.
+	// Repeats is the number of runs for each combination of deployment, contender and
+	// load.
 	Repeats int
-	// Duration of the load of one run.
+	// Duration is how long each run offers load.
 	Duration time.Duration
-	// Progress takes a line per run; nil means none.
+	// Progress receives a line per run; nil disables it.
 	Progress io.Writer
 }
 
-// Run is one measured run.
+// Run holds the figures of one run.
 type Run struct {
 	Deployment string  `json:"deployment"`
 	Contender  string  `json:"contender"`
 	Share      float64 `json:"share"`
 	Repeat     int     `json:"repeat"`
-	// P50Ms and the others are latencies of right answers.
+	// P50Ms, P99Ms and P999Ms are latencies of correct responses.
 	P50Ms  float64 `json:"p50_ms"`
 	P99Ms  float64 `json:"p99_ms"`
 	P999Ms float64 `json:"p999_ms"`
-	// Worth is the share of the offered worth that was answered in deadline.
+	// Worth is the share of the offered worth that was answered within the deadline.
 	Worth float64 `json:"worth"`
-	// WorthP99Ms is the 99th percentile of the classes that have worth.
+	// WorthP99Ms is the highest 99th percentile of latency among the classes with worth.
 	WorthP99Ms float64 `json:"worth_p99_ms"`
 	// MeasuringPerAnswer is the number of measuring messages per answered call.
 	MeasuringPerAnswer float64 `json:"measuring_per_answer"`
 	Sent               int64   `json:"sent"`
 	NotRun             int64   `json:"not_run"`
 	Unknown            int64   `json:"unknown"`
-	// GuaranteesHeld tells whether no answer was wrong and no promise broken.
+	// GuaranteesHeld reports whether no response was wrong and no guarantee violated.
 	GuaranteesHeld bool `json:"kept"`
 	// LateP99Ms is the generator's own lateness at the 99th percentile.
 	LateP99Ms float64 `json:"late_p99_ms"`
 }
 
-// Bounds of a run.
+// Limits of a run.
 const (
 	readyTimeout = 60 * time.Second
 	settleTime   = 500 * time.Millisecond
-	// warmUpTime is over the examples' slow start (warmup_ms, 2000).
+	// warmUpTime exceeds the slow start of the examples (warmup_ms, 2000).
 	warmUpTime  = 2200 * time.Millisecond
 	maxInFlight = 4000
 	usPerMs     = 1000.0
 )
 
-// Compare measures every cell. Each contender has one fleet per deployment, on
-// which the loads follow one another.
+// Compare measures every combination of deployment, contender and load. Each contender
+// has one fleet per deployment, which runs the loads in sequence.
 func Compare(ctx context.Context, o Options) ([]Run, error) {
 	var out []Run
 	for _, dep := range o.Deployments {
 		for _, c := range o.Contenders {
-			runs, err := compareOne(ctx, dep, c, &o)
+			runs, err := compareContender(ctx, dep, c, &o)
 			out = append(out, runs...)
 			if err != nil {
 				return out, fmt.Errorf("%s, %s: %w", dep.Name, c.Name, err)
@@ -114,12 +115,12 @@
 	return out, nil
 }
 
-func compareOne(ctx context.Context, dep *deploy.Deployment, c Contender, o *Options) ([]Run, error) {
+func compareContender(ctx context.Context, dep *deploy.Deployment, c Contender, o *Options) ([]Run, error) {
 	cfg := dep.Fleet()
 	cfg.Policy = c.Policy
 	cfg.ProbeAge = c.ProbeAge
 	if c.MeasuringBudget > 0 {
-		cfg.Bundle = withBudget(dep.TOML, c.MeasuringBudget)
+		cfg.Bundle = withMeasuringBudget(dep.TOML, c.MeasuringBudget)
 	}
 	fleet, err := local.Start(cfg)
 	if err != nil {
@@ -129,7 +130,7 @@
 	var out []Run
 	for _, share := range o.LoadShares {
 		for i := range o.Repeats {
-			// A worker that was cold is given its slow start before the next run.
+			// A worker that was cold completes its slow start before the next run.
 			if err := awaitReady(ctx, fleet); err != nil {
 				return out, err
 			}
@@ -140,90 +141,91 @@
 			}
 			run.Contender, run.Repeat = c.Name, i
 			out = append(out, run)
-			report(o.Progress, run)
+			printRun(o.Progress, run)
 		}
 	}
 	return out, nil
 }
 
-// budgetLine and shareLine are the lines of a bundle that set its measuring budget.
+// budgetLine and shareLine match the lines of a bundle that set its measuring budget.
 var (
 	budgetLine = regexp.MustCompile(`(?m)^per_upstream_per_second *=.*$`)
 	shareLine  = regexp.MustCompile(`(?m)^poll_share *=.*$`)
 )
 
-// withBudget returns the bundle with another measuring budget, little of which is
-// kept for the owners' polls.
-func withBudget(toml []byte, budget float64) []byte {
+// withMeasuringBudget returns the bundle with another measuring budget, of which owners'
+// polls may use a tenth.
+func withMeasuringBudget(toml []byte, budget float64) []byte {
 	line := fmt.Sprintf("per_upstream_per_second = %.1f\npoll_share = 0.1", budget)
 	return budgetLine.ReplaceAll(shareLine.ReplaceAll(toml, nil), []byte(line))
 }
 
 func awaitReady(ctx context.Context, fleet *local.Fleet) error {
-	ready, cancel := context.WithTimeout(ctx, readyTimeout)
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	return fleet.Await(ready, local.Ready)
+	return fleet.Await(readyCtx, local.Ready)
 }
 
-func report(out io.Writer, r Run) {
+func printRun(out io.Writer, r Run) {
 	if out == nil {
 		return
 	}
-	fmt.Fprintf(out, "%-8s %-20s %3.0f%%  p50 %7.1f  p99 %7.1f  worth %6.2f%%  measuring %.4f  kept %v\n",
+	fmt.Fprintf(out, "%-8s %-20s %3.0f%%  p50 %7.1f  p99 %7.1f  worth %6.2f%%  measuring %.4f  guarantees held %v\n",
 		r.Deployment, r.Contender, 100*r.Share, r.P50Ms, r.P99Ms, 100*r.Worth, r.MeasuringPerAnswer, r.GuaranteesHeld)
 }
 
-// measure offers one load with shifting faults: in each third of the run another
-// worker is slow, fails fast or is cold.
+// measure offers one load with changing faults: in each third of the run another worker
+// is slow, fails fast or is cold.
 func measure(ctx context.Context, dep *deploy.Deployment, fleet *local.Fleet, share float64, d time.Duration, seed uint64) (Run, error) {
-	plan, err := plan(dep, fleet, share, d, seed)
+	plan, err := newPlan(dep, fleet, share, d, seed)
 	if err != nil {
 		return Run{}, err
 	}
-	before := measuring(fleet)
-	faults := startFaults(ctx, fleet, d)
+	before := measuringMessages(fleet)
+	stopFaults := startFaults(ctx, fleet, d)
 	result, err := load.Run(ctx, plan, load.Options{Oracle: load.LocalOracle{fleet.Ledger}})
-	faults()
+	stopFaults()
 	if err != nil {
 		return Run{}, err
 	}
 	pause.For(ctx, settleTime)
-	return summary(dep, share, result, measuring(fleet)-before), nil
+	return summarize(dep, share, result, measuringMessages(fleet)-before), nil
 }
 
-// burst is the users' load that shifts within milliseconds.
-var burst = load.Burst{EveryMs: 200, MinMs: 5, MaxMs: 20, Factor: 4}
+// burstShape is the shape of all streams' bursts: load that shifts within milliseconds.
+var burstShape = load.Burst{EveryMs: 200, MinMs: 5, MaxMs: 20, Factor: 4}
 
-// meanFactor is what the bursts make of the mean rate.
-func meanFactor() float64 {
-	share := float64(burst.MinMs+burst.MaxMs) / 2 / float64(burst.EveryMs)
-	return 1 + share*(burst.Factor-1)
+// burstRateFactor is the ratio of the mean rate with bursts to the rate outside them.
+func burstRateFactor() float64 {
+	share := float64(burstShape.MinMs+burstShape.MaxMs) / 2 / float64(burstShape.EveryMs)
+	return 1 + share*(burstShape.Factor-1)
 }
 
-func plan(dep *deploy.Deployment, fleet *local.Fleet, share float64, d time.Duration, seed uint64) (load.Plan, error) {
+func newPlan(dep *deploy.Deployment, fleet *local.Fleet, share float64, d time.Duration, seed uint64) (load.Plan, error) {
 	p := load.NewPlan()
 	p.Targets = fleet.CallerAddresses()
 	p.Pick = load.PickRandom
 	p.DurationMs = d.Milliseconds()
 	p.MaxInFlight = maxInFlight
 	p.Seed = seed + 1
-	p.Streams = dep.Streams(share / meanFactor())
+	p.Streams = dep.Streams(share / burstRateFactor())
 	for i := range p.Streams {
-		p.Streams[i].Burst = burst
+		p.Streams[i].Burst = burstShape
 	}
 	return load.CheckPlan(p)
 }
 
-// startFaults sets the faults and returns what ends them.
-func startFaults(ctx context.Context, fleet *local.Fleet, d time.Duration) (end func()) {
+// startFaults injects the faults in sequence. stop cuts the current and all later faults
+// short and returns when every worker is healthy.
+func startFaults(ctx context.Context, fleet *local.Fleet, d time.Duration) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for _, f := range faultsOf(fleet) {
-			set(f.worker, f.fault)
+		for _, f := range faultsFor(fleet) {
+			setFaults(f.worker, f.fault)
 			pause.For(ctx, d/faultCount)
-			set(f.worker, worker.Faults{})
+			setFaults(f.worker, worker.Faults{})
 		}
 	}()
 	return func() {
@@ -238,15 +240,15 @@
 	fault  worker.Faults
 }
 
-// Faults of a run.
+// Parameters of the faults.
 const (
 	faultCount = 3
 	slowFactor = 5
 )
 
-// faultsOf slows the first worker, lets the last fail fast and makes the middle
-// one cold, one after the other.
-func faultsOf(fleet *local.Fleet) []fault {
+// faultsFor returns, in sequence: the first worker slow, the last failing fast, the
+// middle one cold.
+func faultsFor(fleet *local.Fleet) []fault {
 	m := fleet.Members()
 	return []fault{
 		{m[0].Worker, worker.Faults{SlowFactor: slowFactor}},
@@ -255,16 +257,17 @@
 	}
 }
 
-// set puts faults in force; they are constants of this package that pass.
-func set(w *worker.Worker, f worker.Faults) {
+// setFaults replaces the faults of w. It panics on an invalid one, because all are
+// constants of this package.
+func setFaults(w *worker.Worker, f worker.Faults) {
 	if err := w.ChangeFaults(func(old *worker.Faults) { *old = f }); err != nil {
 		panic(err)
 	}
 }
 
-// measuring counts the measuring messages so far: polls that reached workers and
-// probes that were sent to owners.
-func measuring(fleet *local.Fleet) uint64 {
+// measuringMessages returns the number of measuring messages so far: polls received by
+// workers and probes sent to owners.
+func measuringMessages(fleet *local.Fleet) uint64 {
 	total := uint64(0)
 	for _, m := range fleet.Members() {
 		total += m.Worker.Counters().Measuring
@@ -273,7 +276,7 @@
 	return total
 }
 
-func summary(dep *deploy.Deployment, share float64, r *load.Result, measuring uint64) Run {
+func summarize(dep *deploy.Deployment, share float64, r *load.Result, messages uint64) Run {
 	t := r.Total
 	run := Run{
 		Deployment:     dep.Name,
@@ -291,7 +294,7 @@
 		run.Worth = t.Counts.Worth / t.Counts.WorthSent
 	}
 	if t.Counts.Answered > 0 {
-		run.MeasuringPerAnswer = float64(measuring) / float64(t.Counts.Answered)
+		run.MeasuringPerAnswer = float64(messages) / float64(t.Counts.Answered)
 	}
 	for _, c := range r.Classes {
 		if c.Counts.WorthSent > 0 {
--- a/internal/experiment/write.go
+++ b/internal/experiment/write.go
@@ -15,17 +15,18 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Measurements are all figures of one bench.
+// Measurements holds all figures of a bench.
 type Measurements struct {
 	Runs         []Run          `json:"runs"`
 	AddedLatency []AddedLatency `json:"added"`
 }
 
-// Files that Write makes.
+// Files that Write creates or reads.
 const (
 	figuresFile = "measurements.json"
 	pageFile    = "MEASUREMENTS.md"
-	// textFile holds figures of other commands; it ends the page when present.
+	// textFile holds figures of other commands. It is appended to the page when it
+	// exists.
 	textFile = "measurements.text.md"
 )
 
@@ -39,7 +40,7 @@
 func (m *Measurements) Write(folder string) error {
 	data, err := json.MarshalIndent(m, "", " ")
 	if err != nil {
-		return fmt.Errorf("figures: %w", err)
+		return fmt.Errorf("encode figures: %w", err)
 	}
 	if err := os.WriteFile(filepath.Join(folder, figuresFile), append(data, '\n'), 0o644); err != nil {
 		return err
@@ -53,13 +54,13 @@
 	}
 	for _, name := range m.deployments() {
 		if err := m.plot(name, filepath.Join(folder, plotFile(name))); err != nil {
-			return fmt.Errorf("plot of %s: %w", name, err)
+			return fmt.Errorf("plot of deployment %s: %w", name, err)
 		}
 	}
 	return nil
 }
 
-// Read reads the figures that Write left in a folder.
+// Read reads the figures that Write wrote to a folder.
 func Read(folder string) (*Measurements, error) {
 	data, err := os.ReadFile(filepath.Join(folder, figuresFile))
 	if err != nil {
@@ -67,14 +68,14 @@
 	}
 	m := &Measurements{}
 	if err := json.Unmarshal(data, m); err != nil {
-		return nil, fmt.Errorf("%s: %w", figuresFile, err)
+		return nil, fmt.Errorf("decode %s: %w", figuresFile, err)
 	}
 	return m, nil
 }
 
 func plotFile(deployment string) string { return "tail-" + deployment + ".svg" }
 
-// cell groups the repeats of one measurement.
+// cell identifies the repeats of one measurement.
 type cell struct {
 	deployment, contender string
 	share                 float64
@@ -94,7 +95,7 @@
 	return out
 }
 
-func (m *Measurements) runs(c cell) []Run {
+func (m *Measurements) runsOf(c cell) []Run {
 	var out []Run
 	for _, r := range m.Runs {
 		if c == (cell{r.Deployment, r.Contender, r.Share}) {
@@ -114,8 +115,8 @@
 	return out
 }
 
-// spread is a median with the least and the greatest value.
-type spread struct{ median, least, greatest float64 }
+// spread is a median with the minimum and the maximum.
+type spread struct{ median, min, max float64 }
 
 func spreadOf(runs []Run, value func(*Run) float64) spread {
 	values := make([]float64, len(runs))
@@ -126,31 +127,31 @@
 	return spread{median(values), values[0], values[len(values)-1]}
 }
 
-// median of sorted values.
+// median returns the median of sorted values.
 func median(sorted []float64) float64 {
 	n := len(sorted)
 	return (sorted[(n-1)/2] + sorted[n/2]) / 2
 }
 
-// format writes a spread with the given number of decimals.
+// format formats a spread with the given number of decimals.
 func (s spread) format(decimals int) string {
-	return fmt.Sprintf("%.*f (%.*f-%.*f)", decimals, s.median, decimals, s.least, decimals, s.greatest)
+	return fmt.Sprintf("%.*f (%.*f-%.*f)", decimals, s.median, decimals, s.min, decimals, s.max)
 }
 
 func (m *Measurements) page() string {
 	var b strings.Builder
 	b.WriteString("# Measurements\n\nWritten by `make bench`, on loopback in one process: nodes, stand-in workers and\n")
 	b.WriteString("callers share the machine, so the figures compare ways in one run and are not\nthose of a deployment. Medians of repeated runs, least and greatest in brackets.\n\n")
-	m.addedTable(&b)
+	m.writeAddedLatency(&b)
 	b.WriteString("## Routing beside its baselines\n\n")
 	b.WriteString("Poisson arrivals with bursts of 5-20 ms at four times the rate; in each third of a\nrun another worker is slowed five times, fails every request at once, or refuses\nconnections. Worth is the share of the offered worth that was answered in\ndeadline. Measuring counts polls of workers and probes of owners per answered call.\n\n")
 	for _, name := range m.deployments() {
-		m.table(&b, name)
+		m.writeComparison(&b, name)
 	}
 	return b.String()
 }
 
-func (m *Measurements) addedTable(b *strings.Builder) {
+func (m *Measurements) writeAddedLatency(b *strings.Builder) {
 	b.WriteString("## Time that two nodes add to a call\n\nThe worker (2 ms a request, constant) called directly, then through an entry and its\nowner, at one rate, measured from the sending of each call.\nLimit: 1.5 ms at the 99th percentile.\n\n")
 	b.WriteString("| calls/s | direct p50 ms | direct p99 ms | through p50 ms | through p99 ms | added p50 ms | added p99 ms | not answered, direct and through |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for i := range m.AddedLatency {
@@ -161,18 +162,18 @@
 	b.WriteString("\n")
 }
 
-func (m *Measurements) table(b *strings.Builder, deployment string) {
+func (m *Measurements) writeComparison(b *strings.Builder, deployment string) {
 	fmt.Fprintf(b, "### %s\n\n![tail latency](%s)\n\n", deployment, plotFile(deployment))
 	b.WriteString("| load | routing | p50 ms | p99 ms | p99 ms of worth | worth % | measuring per answer | promises kept |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, c := range m.cells() {
 		if c.deployment != deployment {
 			continue
 		}
-		runs := m.runs(c)
-		kept := 0
+		runs := m.runsOf(c)
+		held := 0
 		for _, r := range runs {
 			if r.GuaranteesHeld {
-				kept++
+				held++
 			}
 		}
 		fmt.Fprintf(b, "| %.0f%% | %s | %s | %s | %s | %s | %s | %d of %d |\n", 100*c.share, c.contender,
@@ -181,12 +182,12 @@
 			spreadOf(runs, func(r *Run) float64 { return r.WorthP99Ms }).format(1),
 			spreadOf(runs, func(r *Run) float64 { return 100 * r.Worth }).format(2),
 			spreadOf(runs, func(r *Run) float64 { return r.MeasuringPerAnswer }).format(4),
-			kept, len(runs))
+			held, len(runs))
 	}
 	b.WriteString("\n")
 }
 
-// plot draws p99 over load, a line per contender.
+// plot saves a plot of the 99th percentile against load, a line per contender.
 func (m *Measurements) plot(deployment, file string) error {
 	p := plot.New()
 	p.Title.Text = deployment + ": 99th percentile by load"
@@ -199,7 +200,7 @@
 		var points plotter.XYs
 		for _, c := range m.cells() {
 			if c.deployment == deployment && c.contender == name {
-				p99 := spreadOf(m.runs(c), func(r *Run) float64 { return r.P99Ms })
+				p99 := spreadOf(m.runsOf(c), func(r *Run) float64 { return r.P99Ms })
 				points = append(points, plotter.XY{X: 100 * c.share, Y: p99.median})
 			}
 		}
