--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// Shape says how a value grows with the fleet.
+// Shape is the way in which a value grows with the fleet.
 type Shape uint8
 
 // The shapes.
 const (
-	// Linear: a + b*n.
+	// Linear is a + b*n.
 	Linear Shape = iota
-	// Logarithmic: a + b*log10(n).
+	// Logarithmic is a + b*log10(n).
 	Logarithmic
 )
 
@@ -19,7 +19,8 @@
 	A, B  float64
 }
 
-// fit fits values at the points' sizes.
+// fit fits the values of points against their sizes. It is constant when all have one
+// size.
 func fit(shape Shape, points []Point, value func(*Point) float64) Fit {
 	n := float64(len(points))
 	var sx, sy, sxx, sxy float64
@@ -45,5 +46,5 @@
 	return n
 }
 
-// At returns the fitted value for a fleet of n.
+// At returns the fitted value for a fleet of n nodes.
 func (l Fit) At(n float64) float64 { return l.A + l.B*l.Shape.scale(n) }
--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -1,6 +1,6 @@
-// Package capacity measures what one node spends on control as the fleet grows:
-// decision cores joined by a queue of messages on a fake clock. It hands messages
-// over, with delay and loss, and plays the platform; it simulates nothing else.
+// Package capacity measures the cost of control per node as the fleet grows: decision
+// cores joined by a message queue on a fake clock. It delivers messages with delay and
+// loss and acts as the platform; nothing else is simulated.
 package capacity
 
 import (
@@ -17,15 +17,15 @@
 	"gypsumstand/internal/wire"
 )
 
-// Shape of the measured fleets, after the users' target: 10,000 workers in 630
-// services, nine data centres in four regions.
+// Shape of the measured fleets, after the target fleet: 10,000 workers in 630 services,
+// nine data centres in four regions.
 const (
-	perService  = 16
-	dataCentres = 9
-	// maxBundles bounds the bundles of a measured fleet, so that many cores fit
-	// into one process.
+	instancesPerService = 16
+	dataCentres         = 9
+	// maxBundles limits the bundles of a measured fleet, so that many cores fit into one
+	// process.
 	maxBundles = 20
-	// bundleBytes is about the size of each.
+	// bundleBytes is the approximate size of a bundle.
 	bundleBytes = 2 << 10
 )
 
@@ -35,24 +35,25 @@
 	maxDelay      = 60 * time.Millisecond
 	platformDelay = 5 * time.Millisecond
 	lossPercent   = 1
-	// frameBytes is what WebSocket, TCP and IP add to a message.
+	// frameBytes is the overhead of WebSocket, TCP and IP per message.
 	frameBytes = 60
-	// directBytes is what opening and closing a brief link adds to its message.
+	// directBytes is the overhead of opening and closing a short-lived link for one
+	// message.
 	directBytes = 1200
 )
 
-// farFrom is the first data centre of the region that a cut divides off.
-const farFrom = 6
+// firstFarCentre is the first data centre of the region that a partition separates.
+const firstFarCentre = 6
 
 // member is one core of the fleet.
 type member struct {
 	self model.Instance
-	// far is the part of the fleet that a cut divides from the platform.
+	// far is set in the region that a partition separates from the platform.
 	far   bool
 	core  *core.Node
 	links map[model.InstanceID]bool
-	// in and out count messages and bytes since the last reset.
-	in, out traffic
+	// received and sent count messages and bytes since the last resetTraffic.
+	received, sent traffic
 }
 
 type traffic struct{ messages, bytes int }
@@ -62,68 +63,69 @@
 	t.bytes += bytes
 }
 
-// fleet is the cores, the queue and the platform.
+// fleet is the cores, the message queue and the platform.
 type fleet struct {
-	now     time.Time
-	rng     *rand.Rand
-	members []*member
-	byID    map[model.InstanceID]*member
-	queue   eventqueue.Queue[func()]
-	ticks   time.Time
+	now      time.Time
+	rng      *rand.Rand
+	members  []*member
+	byID     map[model.InstanceID]*member
+	queue    eventqueue.Queue[func()]
+	nextTick time.Time
 
-	signer   bundle.Signer
-	key      ed25519.PrivateKey
-	versions map[model.BundleName]uint64
-	list     []model.Instance
-	reads    int
-	// readsIn counts calls by second, for the peak.
-	readsIn map[int64]int
-	// cut parts the fleet in two, of which only the first reaches the platform.
-	cut bool
-	// dropped counts messages that found no link.
+	signer        bundle.Signer
+	signingKey    ed25519.PrivateKey
+	versions      map[model.BundleName]uint64
+	list          []model.Instance
+	platformReads int
+	// readsBySecond counts platform reads by Unix second, for the peak.
+	readsBySecond map[int64]int
+	// partitioned is set while the far region can reach neither the rest nor the
+	// platform.
+	partitioned bool
+	// dropped counts messages to peers without a link.
 	dropped int
 }
 
-// newFleet makes n cores that know themselves and the platform only.
+// newFleet creates n cores that know only themselves and the platform.
 func newFleet(n int, seed uint64) (*fleet, error) {
 	public, private, err := ed25519.GenerateKey(nil)
 	if err != nil {
-		return nil, fmt.Errorf("make key: %w", err)
+		return nil, fmt.Errorf("generate signing key: %w", err)
 	}
 	start := time.Unix(1_700_000_000, 0)
 	f := &fleet{
-		now:      start,
-		ticks:    start,
-		rng:      rand.New(rand.NewPCG(seed, uint64(n))),
-		byID:     map[model.InstanceID]*member{},
-		signer:   bundle.Signer{Name: "capacity", Key: public},
-		key:      private,
-		versions: map[model.BundleName]uint64{},
-		readsIn:  map[int64]int{},
+		now:           start,
+		nextTick:      start,
+		rng:           rand.New(rand.NewPCG(seed, uint64(n))),
+		byID:          map[model.InstanceID]*member{},
+		signer:        bundle.Signer{Name: "capacity", Key: public},
+		signingKey:    private,
+		versions:      map[model.BundleName]uint64{},
+		readsBySecond: map[int64]int{},
 	}
-	for i := range bundles(n) {
+	for i := range bundleCount(n) {
 		f.versions[bundleName(i)] = 1
 	}
 	for i := range n {
-		f.add(i)
+		f.addMember(i)
 	}
 	return f, nil
 }
 
-// bundles is the number of bundles of a fleet of n.
-func bundles(n int) int { return min((n+perService-1)/perService, maxBundles) }
+// bundleCount returns the number of bundles of a fleet of n nodes.
+func bundleCount(n int) int { return min((n+instancesPerService-1)/instancesPerService, maxBundles) }
 
 func bundleName(i int) model.BundleName { return model.BundleName(fmt.Sprintf("service-%d", i)) }
 
-func (f *fleet) add(i int) {
+func (f *fleet) addMember(i int) {
 	self := model.Instance{
 		ID:          model.InstanceID(fmt.Sprintf("instance-%05d", i)),
-		Service:     model.ServiceName(fmt.Sprintf("service-%d", i/perService%maxBundles)),
+		Service:     model.ServiceName(fmt.Sprintf("service-%d", i/instancesPerService%maxBundles)),
 		DataCentre:  model.DataCentre(fmt.Sprintf("dc-%d", i%dataCentres)),
 		PeerAddress: fmt.Sprintf("10.%d.%d.%d:7000", i>>16, i>>8&0xff, i&0xff),
 		Incarnation: model.Incarnation(f.now.UnixMicro()),
 	}
-	m := &member{self: self, far: i%dataCentres >= farFrom, links: map[model.InstanceID]bool{}}
+	m := &member{self: self, far: i%dataCentres >= firstFarCentre, links: map[model.InstanceID]bool{}}
 	f.start(m, uint64(i))
 	f.members = append(f.members, m)
 	f.byID[self.ID] = m
@@ -133,7 +135,7 @@
 	f.list = append(f.list, listed)
 }
 
-// start gives a member a core that knows nothing.
+// start gives a member a core without any knowledge of the fleet.
 func (f *fleet) start(m *member, seed uint64) {
 	m.core = core.New(core.Config{
 		Self:    m.self,
@@ -144,7 +146,7 @@
 	})
 }
 
-// restart ends a member's process and starts another in its place.
+// restart replaces a member's process by a new one; its links go down.
 func (f *fleet) restart(m *member, seed uint64) {
 	for peer := range m.links {
 		delete(m.links, peer)
@@ -157,12 +159,12 @@
 	f.handle(m, control.SelfStateChanged{State: model.StateLive})
 }
 
-// after queues something.
+// after schedules do after d.
 func (f *fleet) after(d time.Duration, do func()) {
 	f.queue.Add(f.now.Add(d), do)
 }
 
-// delay draws a message's time under way: most peers are near, some far.
+// delay draws the network delay of a message: most peers are near, some are far.
 func (f *fleet) delay() time.Duration {
 	if f.rng.IntN(2) == 0 {
 		return minDelay + time.Duration(f.rng.Int64N(int64(2*time.Millisecond)))
@@ -170,14 +172,15 @@
 	return minDelay + time.Duration(f.rng.Int64N(int64(maxDelay)))
 }
 
-// run lets d pass; each core is ticked once an interval, spread over it.
+// run advances the clock by d. Each core is ticked once per interval; the ticks are
+// spread over the interval.
 func (f *fleet) run(d time.Duration) {
 	end := f.now.Add(d)
 	for f.now.Before(end) {
-		if !f.now.Before(f.ticks) {
+		if !f.now.Before(f.nextTick) {
 			f.scheduleTicks()
 		}
-		next := f.ticks
+		next := f.nextTick
 		if due, ok := f.queue.Next(); ok && due.Before(next) {
 			next = due
 		}
@@ -196,18 +199,18 @@
 		offset := control.TickInterval * time.Duration(i) / time.Duration(len(f.members))
 		f.after(offset, func() { f.handle(m, control.Tick{}) })
 	}
-	f.ticks = f.ticks.Add(control.TickInterval)
+	f.nextTick = f.nextTick.Add(control.TickInterval)
 }
 
-// handle feeds one core and carries its actions out.
+// handle passes an event to one core and performs the resulting actions.
 func (f *fleet) handle(m *member, ev control.Event) {
 	out := m.core.Handle(f.now, ev)
 	for _, a := range out.Actions {
-		f.act(m, a)
+		f.perform(m, a)
 	}
 }
 
-func (f *fleet) act(m *member, a control.Action) {
+func (f *fleet) perform(m *member, a control.Action) {
 	switch a := a.(type) {
 	case control.Send:
 		if m.links[a.To] {
@@ -222,27 +225,28 @@
 	case control.CloseLink:
 		f.close(m, a.Peer)
 	case control.ReadIndex:
-		f.read(m, f.index)
+		f.read(m, f.indexRead)
 	case control.ReadValue:
-		f.read(m, func() control.Event { return f.value(a.Name) })
+		f.read(m, func() control.Event { return f.valueRead(a.Name) })
 	case control.ReadList:
-		f.read(m, func() control.Event { return f.fullList(a.Since) })
+		f.read(m, func() control.Event { return f.listRead(a.Since) })
 	}
 }
 
-// send encodes a message, as its cost is part of what is measured.
+// send encodes and later decodes the message, because the cost of both is part of the
+// measurement.
 func (f *fleet) send(from *member, to model.InstanceID, msg wire.Message, extra int) {
 	data, err := wire.Encode(msg)
 	if err != nil {
 		panic(err)
 	}
-	from.out.add(len(data) + extra)
+	from.sent.add(len(data) + extra)
 	target := f.byID[to]
-	if target == nil || f.divided(from, target) || f.rng.IntN(100) < lossPercent {
+	if target == nil || f.separated(from, target) || f.rng.IntN(100) < lossPercent {
 		return
 	}
 	f.after(f.delay(), func() {
-		target.in.add(len(data) + extra)
+		target.received.add(len(data) + extra)
 		decoded, err := wire.Decode(data)
 		if err != nil {
 			panic(err)
@@ -251,12 +255,12 @@
 	})
 }
 
-// divided tells whether a cut lies between two members.
-func (f *fleet) divided(a, b *member) bool { return f.cut && a.far != b.far }
+// separated reports whether a partition lies between two members.
+func (f *fleet) separated(a, b *member) bool { return f.partitioned && a.far != b.far }
 
 func (f *fleet) open(m *member, peer model.InstanceID) {
 	other := f.byID[peer]
-	if other == nil || f.divided(m, other) {
+	if other == nil || f.separated(m, other) {
 		f.handle(m, control.LinkDown{Peer: peer, Failed: true})
 		return
 	}
@@ -279,11 +283,11 @@
 	f.after(f.delay(), func() { f.handle(other, control.LinkDown{Peer: m.self.ID, Failed: true}) })
 }
 
-// read is one call of the platform.
+// read simulates one read of the platform.
 func (f *fleet) read(m *member, answer func() control.Event) {
-	f.reads++
-	f.readsIn[f.now.Unix()]++
-	if f.cut && m.far {
+	f.platformReads++
+	f.readsBySecond[f.now.Unix()]++
+	if f.partitioned && m.far {
 		return
 	}
 	f.after(platformDelay, func() { f.handle(m, answer()) })
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -11,62 +11,64 @@
 	"gypsumstand/internal/model"
 )
 
-// Point is what was measured at one size of the fleet.
+// Point holds the figures measured at one size of the fleet.
 type Point struct {
 	Nodes int `json:"nodes"`
-	// ReadySeconds is the time until every node of a fleet that starts at one
-	// moment is ready.
+	// ReadySeconds is the time until every node of a fleet that starts at once is ready.
 	ReadySeconds float64 `json:"ready_seconds"`
-	// ReadyPeakReads is the most calls of the platform in one second meanwhile.
+	// ReadyPeakReads is the highest number of platform reads in one second of that start.
 	ReadyPeakReads int `json:"ready_peak_reads"`
-	// At rest, a node and second: bytes out, messages out, and processor time.
+	// Without changes, per node and second: bytes sent, messages sent, processor time.
 	RestBytes    float64 `json:"rest_bytes"`
 	RestMessages float64 `json:"rest_messages"`
 	RestCPUMicro float64 `json:"rest_cpu_us"`
-	// RestReads is all readers' calls of the platform a second, at rest.
+	// RestReads is the number of platform reads per second of the whole fleet, without
+	// changes.
 	RestReads float64 `json:"rest_reads"`
-	// One changed bundle: seconds until half and all of the nodes have it in
-	// force, bytes out and processor time per node.
+	// After one bundle changes: seconds until half and all of the nodes use it, bytes
+	// sent and processor time per node.
 	ChangeHalfSeconds float64 `json:"change_half_seconds"`
 	ChangeAllSeconds  float64 `json:"change_all_seconds"`
 	ChangeBytes       float64 `json:"change_bytes"`
 	ChangeCPUMicro    float64 `json:"change_cpu_us"`
-	// ChangeReads is the calls of the platform for one change, over all readers.
+	// ChangeReads is the number of platform reads of the whole fleet for one change.
 	ChangeReads float64 `json:"change_reads"`
-	// One instance that says it leaves: seconds until all know, bytes per node.
+	// After one instance announces that it leaves: seconds until all nodes know, bytes
+	// sent per node.
 	LeaveAllSeconds float64 `json:"leave_all_seconds"`
 	LeaveBytes      float64 `json:"leave_bytes"`
-	// After a region was cut off for a minute, with a bundle changed meanwhile:
-	// seconds until all have it in force, and bytes out per node in that time
-	// over those at rest.
+	// After a region is partitioned for a minute, with a bundle changed in between:
+	// seconds from the end of the partition until all nodes use it, and bytes sent per
+	// node in excess of those without changes.
 	HealSeconds float64 `json:"heal_seconds"`
 	HealBytes   float64 `json:"heal_bytes"`
-	// HealPeakReads is the most calls of the platform in one second meanwhile.
+	// HealPeakReads is the highest number of platform reads in one second of that
+	// recovery.
 	HealPeakReads int `json:"heal_peak_reads"`
-	// One of the nine data centres starts anew at one moment: seconds until its
-	// nodes are ready, the most calls of the platform in one second meanwhile, and
-	// bytes out per node of the whole fleet over those at rest.
+	// After one of the nine data centres restarts at once: seconds until its nodes are
+	// ready, the highest number of platform reads in one second, and bytes sent per node
+	// of the whole fleet in excess of those without changes.
 	CentreReadySeconds float64 `json:"centre_ready_seconds"`
 	CentrePeakReads    int     `json:"centre_peak_reads"`
 	CentreBytes        float64 `json:"centre_bytes"`
-	// HeapKB is the heap per node, fake clock and queue included.
+	// HeapKB is the heap per node, including the fake clock and its queue.
 	HeapKB float64 `json:"heap_kb"`
 }
 
-// Times of the measurement, on the fake clock.
+// Durations and counts of the measurement; durations are on the fake clock.
 const (
-	readyLimit = 60 * time.Second
-	warmUp     = 20 * time.Second
-	restTime   = 20 * time.Second
-	changes    = 8
-	leavers    = 4
-	stepTime   = 50 * time.Millisecond
-	stepLimit  = 30 * time.Second
-	cutTime    = time.Minute
-	healTime   = 10 * time.Second
+	readyTimeout  = 60 * time.Second
+	warmUp        = 20 * time.Second
+	restTime      = 20 * time.Second
+	changeCount   = 8
+	leaveCount    = 4
+	pollStep      = 50 * time.Millisecond
+	spreadTimeout = 30 * time.Second
+	partitionTime = time.Minute
+	healTime      = 10 * time.Second
 )
 
-// Measure measures a fleet of n nodes.
+// Measure measures a fleet of n nodes. It checks ctx only between phases.
 func Measure(ctx context.Context, n int, seed uint64) (Point, error) {
 	heap := heapBytes()
 	f, err := newFleet(n, seed)
@@ -77,24 +79,25 @@
 	for _, m := range f.members {
 		f.handle(m, control.SelfStateChanged{State: model.StateLive})
 	}
-	p.ReadySeconds = f.until(readyLimit, f.allReady).Seconds()
+	p.ReadySeconds = f.runUntil(readyTimeout, f.allReady).Seconds()
 	p.ReadyPeakReads = f.peakReads()
 	f.run(warmUp)
 	if err := ctx.Err(); err != nil {
 		return p, err
 	}
 	p.HeapKB = (heapBytes() - heap) / float64(n) / 1024
-	f.rest(&p)
+	f.measureRest(&p)
 	if err := ctx.Err(); err != nil {
 		return p, err
 	}
-	f.change(&p)
-	f.leave(&p)
-	f.heal(&p)
-	f.startCentre(&p)
+	f.measureChange(&p)
+	f.measureLeave(&p)
+	f.measureHeal(&p)
+	f.measureCentreStart(&p)
 	return p, nil
 }
 
+// heapBytes returns the heap in use after a garbage collection.
 func heapBytes() float64 {
 	runtime.GC()
 	var s runtime.MemStats
@@ -102,8 +105,8 @@
 	return float64(s.HeapAlloc)
 }
 
-// cpu returns the processor time of this process so far.
-func cpu() time.Duration {
+// cpuTime returns the processor time that this process has used.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -111,11 +114,12 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// until runs in steps until done, and returns the time that it took.
-func (f *fleet) until(limit time.Duration, done func() bool) time.Duration {
+// runUntil advances the clock in steps until done or limit, and returns the time that
+// passed.
+func (f *fleet) runUntil(limit time.Duration, done func() bool) time.Duration {
 	began := f.now
 	for f.now.Sub(began) < limit && !done() {
-		f.run(stepTime)
+		f.run(pollStep)
 	}
 	return f.now.Sub(began)
 }
@@ -129,48 +133,49 @@
 	return true
 }
 
-// reset empties the counts.
-func (f *fleet) reset() {
-	f.reads = 0
+// resetTraffic clears the traffic and read counts.
+func (f *fleet) resetTraffic() {
+	f.platformReads = 0
 	for _, m := range f.members {
-		m.in, m.out = traffic{}, traffic{}
+		m.received, m.sent = traffic{}, traffic{}
 	}
 }
 
-// sent sums what all nodes sent since the last reset.
-func (f *fleet) sent() traffic {
+// totalSent sums the traffic that all nodes sent since the last resetTraffic.
+func (f *fleet) totalSent() traffic {
 	var t traffic
 	for _, m := range f.members {
-		t.messages += m.out.messages
-		t.bytes += m.out.bytes
+		t.messages += m.sent.messages
+		t.bytes += m.sent.bytes
 	}
 	return t
 }
 
-func (f *fleet) rest(p *Point) {
-	f.reset()
-	began := cpu()
+// measureRest measures the cost of control without changes.
+func (f *fleet) measureRest(p *Point) {
+	f.resetTraffic()
+	began := cpuTime()
 	f.run(restTime)
-	spent := cpu() - began
+	spent := cpuTime() - began
 	nodeSeconds := float64(len(f.members)) * restTime.Seconds()
-	t := f.sent()
+	t := f.totalSent()
 	p.RestBytes = float64(t.bytes) / nodeSeconds
 	p.RestMessages = float64(t.messages) / nodeSeconds
 	p.RestCPUMicro = float64(spent.Microseconds()) / nodeSeconds
-	p.RestReads = float64(f.reads) / restTime.Seconds()
+	p.RestReads = float64(f.platformReads) / restTime.Seconds()
 }
 
-// change publishes versions one after the other and takes the median times; the
-// costs are less what the same time costs at rest.
-func (f *fleet) change(p *Point) {
+// measureChange publishes changeCount bundle versions in sequence and records the median
+// times. The costs exclude those of the same time without changes.
+func (f *fleet) measureChange(p *Point) {
 	var half, all []float64
-	f.reset()
-	began, start := cpu(), f.now
-	for i := range changes {
-		name := bundleName(i % bundles(len(f.members)))
+	f.resetTraffic()
+	began, start := cpuTime(), f.now
+	for i := range changeCount {
+		name := bundleName(i % bundleCount(len(f.members)))
 		f.versions[name]++
 		want := f.versions[name]
-		h, a := f.spread(func(m *member) bool {
+		h, a := f.awaitSpread(func(m *member) bool {
 			b := m.core.Board.Bundles.Get().Bundle(name)
 			return b != nil && b.Version >= want
 		})
@@ -179,14 +184,14 @@
 	took := f.now.Sub(start).Seconds()
 	n := float64(len(f.members))
 	p.ChangeHalfSeconds, p.ChangeAllSeconds = median(half), median(all)
-	p.ChangeBytes = max(0, float64(f.sent().bytes)/n-p.RestBytes*took) / changes
-	p.ChangeCPUMicro = max(0, float64((cpu()-began).Microseconds())/n-p.RestCPUMicro*took) / changes
-	p.ChangeReads = max(0, float64(f.reads)-p.RestReads*took) / changes
+	p.ChangeBytes = max(0, float64(f.totalSent().bytes)/n-p.RestBytes*took) / changeCount
+	p.ChangeCPUMicro = max(0, float64((cpuTime()-began).Microseconds())/n-p.RestCPUMicro*took) / changeCount
+	p.ChangeReads = max(0, float64(f.platformReads)-p.RestReads*took) / changeCount
 }
 
-// spread runs until all know and returns when half and all did, in seconds.
-func (f *fleet) spread(knows func(*member) bool) (half, all float64) {
-	took := f.until(stepLimit, func() bool {
+// awaitSpread runs until all members know and returns when half and all did, in seconds.
+func (f *fleet) awaitSpread(knows func(*member) bool) (half, all float64) {
+	took := f.runUntil(spreadTimeout, func() bool {
 		count := 0
 		for _, m := range f.members {
 			if knows(m) {
@@ -196,7 +201,7 @@
 		return 2*count >= len(f.members)
 	})
 	half = took.Seconds()
-	took += f.until(stepLimit, func() bool {
+	took += f.runUntil(spreadTimeout, func() bool {
 		for _, m := range f.members {
 			if !knows(m) {
 				return false
@@ -207,68 +212,72 @@
 	return half, took.Seconds()
 }
 
-func (f *fleet) leave(p *Point) {
+// measureLeave lets leaveCount instances leave in sequence and records the median time
+// until all nodes know.
+func (f *fleet) measureLeave(p *Point) {
 	var all []float64
-	f.reset()
+	f.resetTraffic()
 	start := f.now
-	for i := range leavers {
-		gone := f.members[(i+1)*len(f.members)/(leavers+1)]
-		f.handle(gone, control.SelfStateChanged{State: model.StateLeaving})
-		_, a := f.spread(func(m *member) bool { return leaving(m.core.Board.Fleet.Get(), gone.self.ID) })
+	for i := range leaveCount {
+		leaver := f.members[(i+1)*len(f.members)/(leaveCount+1)]
+		f.handle(leaver, control.SelfStateChanged{State: model.StateLeaving})
+		_, a := f.awaitSpread(func(m *member) bool { return isLeaving(m.core.Board.Fleet.Get(), leaver.self.ID) })
 		all = append(all, a)
 	}
 	took := f.now.Sub(start).Seconds()
 	n := float64(len(f.members))
 	p.LeaveAllSeconds = median(all)
-	p.LeaveBytes = max(0, float64(f.sent().bytes)/n-p.RestBytes*took) / leavers
+	p.LeaveBytes = max(0, float64(f.totalSent().bytes)/n-p.RestBytes*took) / leaveCount
 }
 
-// heal cuts a region off for a minute and joins it again.
-func (f *fleet) heal(p *Point) {
+// measureHeal partitions the far region for a minute, changes a bundle halfway, and
+// measures the recovery.
+func (f *fleet) measureHeal(p *Point) {
 	name := bundleName(0)
-	f.cut = true
-	f.run(cutTime / 2)
+	f.partitioned = true
+	f.run(partitionTime / 2)
 	f.versions[name]++
 	want := f.versions[name]
-	f.run(cutTime / 2)
-	f.cut = false
-	f.reset()
-	clear(f.readsIn)
+	f.run(partitionTime / 2)
+	f.partitioned = false
+	f.resetTraffic()
+	clear(f.readsBySecond)
 	start := f.now
-	_, p.HealSeconds = f.spread(func(m *member) bool {
+	_, p.HealSeconds = f.awaitSpread(func(m *member) bool {
 		b := m.core.Board.Bundles.Get().Bundle(name)
 		return b != nil && b.Version >= want
 	})
 	f.run(healTime)
 	took := f.now.Sub(start).Seconds()
-	p.HealBytes = max(0, float64(f.sent().bytes)/float64(len(f.members))-p.RestBytes*took)
+	p.HealBytes = max(0, float64(f.totalSent().bytes)/float64(len(f.members))-p.RestBytes*took)
 	p.HealPeakReads = f.peakReads()
 }
 
-// startCentre replaces all nodes of one data centre by fresh ones at one moment.
-func (f *fleet) startCentre(p *Point) {
-	f.reset()
-	clear(f.readsIn)
+// measureCentreStart restarts all nodes of one data centre at once.
+func (f *fleet) measureCentreStart(p *Point) {
+	f.resetTraffic()
+	clear(f.readsBySecond)
 	start := f.now
 	for i := 0; i < len(f.members); i += dataCentres {
 		f.restart(f.members[i], uint64(i))
 	}
-	p.CentreReadySeconds = f.until(readyLimit, f.allReady).Seconds()
+	p.CentreReadySeconds = f.runUntil(readyTimeout, f.allReady).Seconds()
 	p.CentrePeakReads = f.peakReads()
 	took := f.now.Sub(start).Seconds()
-	p.CentreBytes = max(0, float64(f.sent().bytes)/float64(len(f.members))-p.RestBytes*took)
+	p.CentreBytes = max(0, float64(f.totalSent().bytes)/float64(len(f.members))-p.RestBytes*took)
 }
 
-// peakReads returns the most calls of the platform in one second.
+// peakReads returns the highest number of platform reads in one second.
 func (f *fleet) peakReads() int {
 	peak := 0
-	for _, n := range f.readsIn {
+	for _, n := range f.readsBySecond {
 		peak = max(peak, n)
 	}
 	return peak
 }
 
-func leaving(fleet *model.Fleet, id model.InstanceID) bool {
+// isLeaving reports whether the instance is absent from the view or at least leaving.
+func isLeaving(fleet *model.Fleet, id model.InstanceID) bool {
 	i := sort.Search(len(fleet.Instances), func(i int) bool { return fleet.Instances[i].ID >= id })
 	if i == len(fleet.Instances) || fleet.Instances[i].ID != id {
 		return true
@@ -276,6 +285,7 @@
 	return fleet.Instances[i].State >= model.StateLeaving
 }
 
+// median sorts values and returns their median.
 func median(values []float64) float64 {
 	sort.Float64s(values)
 	n := len(values)
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// Measurements are all figures behind docs/CAPACITY.md.
+// Measurements holds all figures behind docs/CAPACITY.md.
 type Measurements struct {
 	Points     []Point    `json:"points"`
 	SingleNode SingleNode `json:"single"`
 }
 
-// The users' target and the limits of a node's control.
+// The target fleet and the limits of the control cost per node.
 const (
 	targetNodes      = 10_000.0
 	targetServices   = 630.0
@@ -27,14 +27,14 @@
 	limitMemoryMB    = 256.0
 	limitSpread      = 7.0
 	limitReads       = 2000.0
-	// bundleKB is the size of a bundle that the page reckons with.
+	// bundleKB is the bundle size that the page calculates with.
 	bundleKB = 8.0
 )
 
-// Files that Write makes.
+// Files that Write creates or reads.
 const (
 	figuresFile = "capacity.json"
-	tableFile   = "CAPACITY.md"
+	pageFile    = "CAPACITY.md"
 	textFile    = "capacity.text.md"
 )
 
@@ -42,7 +42,7 @@
 func (m *Measurements) Write(folder string) error {
 	data, err := json.MarshalIndent(m, "", " ")
 	if err != nil {
-		return fmt.Errorf("figures: %w", err)
+		return fmt.Errorf("encode figures: %w", err)
 	}
 	if err := os.WriteFile(filepath.Join(folder, figuresFile), append(data, '\n'), 0o644); err != nil {
 		return err
@@ -50,7 +50,7 @@
 	return WritePage(folder)
 }
 
-// WritePage writes the page anew from the figures that are in the folder.
+// WritePage rewrites the page from the figures in the folder.
 func WritePage(folder string) error {
 	data, err := os.ReadFile(filepath.Join(folder, figuresFile))
 	if err != nil {
@@ -58,19 +58,19 @@
 	}
 	var m Measurements
 	if err := json.Unmarshal(data, &m); err != nil {
-		return fmt.Errorf("%s: %w", figuresFile, err)
+		return fmt.Errorf("decode %s: %w", figuresFile, err)
 	}
 	text, err := os.ReadFile(filepath.Join(folder, textFile))
 	if err != nil {
 		return err
 	}
-	page := strings.ReplaceAll(string(text), "<!-- slopes -->\n", m.slopes())
-	page = strings.ReplaceAll(page, "<!-- target -->\n", m.target())
-	page = strings.ReplaceAll(page, "<!-- single -->\n", m.single())
-	return os.WriteFile(filepath.Join(folder, tableFile), []byte(page), 0o644)
+	page := strings.ReplaceAll(string(text), "<!-- slopes -->\n", m.scalingTable())
+	page = strings.ReplaceAll(page, "<!-- target -->\n", m.targetTable())
+	page = strings.ReplaceAll(page, "<!-- single -->\n", m.singleNodeTable())
+	return os.WriteFile(filepath.Join(folder, pageFile), []byte(page), 0o644)
 }
 
-// quantity is one measured value with how it grows.
+// quantity is one measured value and the way it grows.
 type quantity struct {
 	name     string
 	shape    Shape
@@ -102,8 +102,8 @@
 	}
 }
 
-// slopes is the table of measured points, fits and extrapolations.
-func (m *Measurements) slopes() string {
+// scalingTable returns the table of measured points, fits and extrapolations.
+func (m *Measurements) scalingTable() string {
 	var b strings.Builder
 	b.WriteString("| |")
 	for _, p := range m.Points {
@@ -123,7 +123,7 @@
 	return b.String()
 }
 
-// String writes the fit as a formula.
+// String returns the fit as a formula.
 func (l Fit) String() string {
 	if l.Shape == Logarithmic {
 		return fmt.Sprintf("%.3g %+.3g log10 n", l.A, l.B)
@@ -131,8 +131,8 @@
 	return fmt.Sprintf("%.3g %+.3g n", l.A, l.B)
 }
 
-// extrapolate returns the fitted value at the target, but no less than the
-// greatest measured one: a falling line is noise, not a mechanism.
+// extrapolate returns the fitted value at the target size, but at least the highest
+// measured one: a falling fit is noise, because no mechanism makes a cost fall with size.
 func (m *Measurements) extrapolate(q *quantity) float64 {
 	value := fit(q.shape, m.Points, q.value).At(targetNodes)
 	for i := range m.Points {
@@ -141,32 +141,32 @@
 	return value
 }
 
-func (m *Measurements) at(name string) float64 {
+func (m *Measurements) extrapolateByName(name string) float64 {
 	for _, q := range quantities() {
 		if q.name == name {
 			return m.extrapolate(&q)
 		}
 	}
-	panic("no quantity " + name)
+	panic("unknown quantity " + name)
 }
 
-// row is a limit of the target with what was worked out for it.
+// row compares a calculated value with a limit of the target.
 type row struct {
-	what, mechanism string
+	name, mechanism string
 	value, limit    float64
 	unit            string
 }
 
-// target works the limits out.
-func (m *Measurements) target() string {
+// targetTable returns the table of calculated values and limits.
+func (m *Measurements) targetTable() string {
 	var b strings.Builder
 	b.WriteString("| | worked out | limit | part of it | carried by |\n| --- | ---: | ---: | ---: | --- |\n")
 	for _, r := range m.rows() {
-		verdict := fmt.Sprintf("%.0f%%", 100*r.value/r.limit)
+		share := fmt.Sprintf("%.0f%%", 100*r.value/r.limit)
 		if r.value > r.limit {
-			verdict = "**missed: " + verdict + "**"
+			share = "**missed: " + share + "**"
 		}
-		fmt.Fprintf(&b, "| %s | %.3g %s | %.4g %s | %s | %s |\n", r.what, r.value, r.unit, r.limit, r.unit, verdict, r.mechanism)
+		fmt.Fprintf(&b, "| %s | %.3g %s | %.4g %s | %s | %s |\n", r.name, r.value, r.unit, r.limit, r.unit, share, r.mechanism)
 	}
 	return b.String()
 }
@@ -174,34 +174,34 @@
 func (m *Measurements) rows() []row {
 	changes := changesPerDay / secondsPerDay
 	joins := restartsPerDay / secondsPerDay
-	// A change sends the bundle on: measured with bundles of bundleBytes, scaled
-	// to bundleKB.
-	perChange := m.at("bundle changed: sent, B a node") * bundleKB * 1024 / bundleBytes
-	// A replacement is one leaving and one join, and a fresh node is sent all
-	// bundles and instances by its peers.
-	perJoin := 2 * m.at("leaving: sent, B a node")
+	// A change distributes the bundle; the cost is measured with bundles of bundleBytes
+	// and scaled to bundleKB.
+	perChange := m.extrapolateByName("bundle changed: sent, B a node") * bundleKB * 1024 / bundleBytes
+	// A replacement is one leave and one join. A fresh node receives all bundles and
+	// instances from its peers.
+	perJoin := 2 * m.extrapolateByName("leaving: sent, B a node")
 	freshKB := targetServices*bundleKB + targetNodes*recordBytes/1024
-	bytes := m.at("control sent at rest, B/s a node") + changes*perChange + joins*perJoin + joins*freshKB*1024/targetNodes
-	micro := m.at("processor time at rest, us/s a node") + changes*(m.at("bundle changed: processor time, us a node")+m.SingleNode.BundleMicro) +
+	bytes := m.extrapolateByName("control sent at rest, B/s a node") + changes*perChange + joins*perJoin + joins*freshKB*1024/targetNodes
+	cpuMicros := m.extrapolateByName("processor time at rest, us/s a node") + changes*(m.extrapolateByName("bundle changed: processor time, us a node")+m.SingleNode.BundleMicro) +
 		(changes+2*joins)*m.SingleNode.UpdateMicro
-	memory := m.at("heap, KB a node")/1024 + targetServices*m.SingleNode.BundleHeapKB/1024
-	reads := m.at("platform calls at rest, /s the fleet") + changes*m.at("bundle changed: platform calls, the fleet")
+	memory := m.extrapolateByName("heap, KB a node")/1024 + targetServices*m.SingleNode.BundleHeapKB/1024
+	reads := m.extrapolateByName("platform calls at rest, /s the fleet") + changes*m.extrapolateByName("bundle changed: platform calls, the fleet")
 	return []row{
 		{"control sent, a node", "bounded links, rumours, digests", bytes, limitBytes, "B/s"},
-		{"control's processor time, a node", "events only; tables rebuilt on change", micro / 1e4, limitCorePercent, "% of a core"},
+		{"control's processor time, a node", "events only; tables rebuilt on change", cpuMicros / 1e4, limitCorePercent, "% of a core"},
 		{"control's heap, a node", "one record an instance, bundles packed", memory, limitMemoryMB, "MB"},
-		{"a bundle in force everywhere", "suppressed readers, flooding", m.at("bundle changed: in force on all, s"), limitSpread, "s"},
+		{"a bundle in force everywhere", "suppressed readers, flooding", m.extrapolateByName("bundle changed: in force on all, s"), limitSpread, "s"},
 		{"platform calls, the fleet", "suppressed readers", reads, limitReads, "/s"},
-		{"platform calls as a data centre starts", "peers are asked first", m.at("a data centre starts: platform calls in a second"), limitReads, "/s"},
-		{"platform calls as the whole fleet starts", "a random wait of 1 s only", m.at("whole fleet starts: platform calls in a second"), limitReads, "/s"},
+		{"platform calls as a data centre starts", "peers are asked first", m.extrapolateByName("a data centre starts: platform calls in a second"), limitReads, "/s"},
+		{"platform calls as the whole fleet starts", "a random wait of 1 s only", m.extrapolateByName("whole fleet starts: platform calls in a second"), limitReads, "/s"},
 	}
 }
 
-// recordBytes is about what one instance's record takes in a snapshot.
+// recordBytes is the approximate size of one instance's record in a snapshot.
 const recordBytes = 80
 
-// single is the table of what was measured on one node.
-func (m *Measurements) single() string {
+// singleNodeTable returns the table of the figures of one node.
+func (m *Measurements) singleNodeTable() string {
 	s := &m.SingleNode
 	var b strings.Builder
 	b.WriteString("| one node | |\n| --- | ---: |\n")
--- a/internal/capacity/platform.go
+++ b/internal/capacity/platform.go
@@ -10,7 +10,7 @@
 	"gypsumstand/internal/model"
 )
 
-func (f *fleet) index() control.Event {
+func (f *fleet) indexRead() control.Event {
 	out := control.IndexRead{}
 	for name, version := range f.versions {
 		out.Versions = append(out.Versions, model.BundleVersion{Name: name, Version: version})
@@ -20,17 +20,17 @@
 	return out
 }
 
-func (f *fleet) value(name model.BundleName) control.Event {
-	text := bundleText(name, f.versions[name])
-	data, err := bundle.Sign(f.signer.Name, f.key, []byte(text)).Marshal()
+func (f *fleet) valueRead(name model.BundleName) control.Event {
+	text := paddedBundle(name, f.versions[name])
+	data, err := bundle.Sign(f.signer.Name, f.signingKey, []byte(text)).Marshal()
 	if err != nil {
 		panic(err)
 	}
 	return control.ValueRead{Name: name, Data: data}
 }
 
-// bundleHead is a small bundle of one service.
-func bundleHead(name model.BundleName, version uint64) string {
+// minimalBundle returns a small bundle of one service.
+func minimalBundle(name model.BundleName, version uint64) string {
 	return fmt.Sprintf(`
 name = "%[1]s"
 version = %[2]d
@@ -48,16 +48,16 @@
 `, name, version)
 }
 
-// bundleText is a bundle of one service, filled up to bundleBytes.
-func bundleText(name model.BundleName, version uint64) string {
-	text := bundleHead(name, version)
+// paddedBundle returns a bundle of one service, padded to bundleBytes.
+func paddedBundle(name model.BundleName, version uint64) string {
+	text := minimalBundle(name, version)
 	filler := max(0, bundleBytes-len(text)-len("comment = \"\"\n"))
 	return "comment = \"" + strings.Repeat("x", filler) + "\"\n" + text
 }
 
-// fullList answers a read of the list; nothing on it changes here, so that a
-// read since the present revision has no entries.
-func (f *fleet) fullList(since uint64) control.Event {
+// listRead answers a read of the list. The list never changes here, so a read since the
+// current revision returns no entries.
+func (f *fleet) listRead(since uint64) control.Event {
 	const revision = 1
 	if since == revision {
 		return control.ListRead{Revision: revision}
