--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -258,6 +258,7 @@
 // separated reports whether a partition lies between two members.
 func (f *fleet) separated(a, b *member) bool { return f.partitioned && a.far != b.far }
 
+// open establishes a link unless there is one, or reports its failure.
 func (f *fleet) open(m *member, peer model.InstanceID) {
 	other := f.byID[peer]
 	if other == nil || f.separated(m, other) {
@@ -272,6 +273,7 @@
 	f.handle(other, control.LinkUp{Peer: m.core.Board.Self.Get().Instance})
 }
 
+// close closes a link; the peer notices it after a network delay.
 func (f *fleet) close(m *member, peer model.InstanceID) {
 	if !m.links[peer] {
 		return
@@ -284,11 +286,11 @@
 }
 
 // read simulates one read of the platform.
-func (f *fleet) read(m *member, answer func() control.Event) {
+func (f *fleet) read(m *member, reply func() control.Event) {
 	f.platformReads++
 	f.readsBySecond[f.now.Unix()]++
 	if f.partitioned && m.far {
 		return
 	}
-	f.after(platformDelay, func() { f.handle(m, answer()) })
+	f.after(platformDelay, func() { f.handle(m, reply()) })
 }
--- a/internal/load/classify.go
+++ b/internal/load/classify.go
@@ -18,25 +18,25 @@
 type resultKind uint8
 
 const (
-	// resultAnswered: a complete response that belongs to this request.
+	// resultAnswered is a complete response that belongs to this request.
 	resultAnswered resultKind = iota
-	// resultWorkerError: an error of the worker itself, passed through.
+	// resultWorkerError is an error of the worker itself, passed through.
 	resultWorkerError
-	// resultNotRun: reported as not run.
+	// resultNotRun is the reported outcome not-run.
 	resultNotRun
-	// resultUnknown: reported as unknown.
+	// resultUnknown is the reported outcome unknown.
 	resultUnknown
-	// resultBroken: no response, or one that was visibly interrupted.
+	// resultBroken is a missing or visibly interrupted response.
 	resultBroken
-	// resultUnreachable: the connection could not be established.
+	// resultUnreachable is a connection that could not be established.
 	resultUnreachable
-	// resultWrong: the response belongs to another request or was altered.
+	// resultWrong is a response that belongs to another request or was altered.
 	resultWrong
-	// resultTruncated: the response ended early although its framing looks complete.
+	// resultTruncated is a response that ended early although its framing looks complete.
 	resultTruncated
-	// resultMalformed: the outcome is missing or contradicts the status.
+	// resultMalformed is a response whose outcome is missing or contradicts the status.
 	resultMalformed
-	// resultUnsent: the timeout expired before the request could be sent.
+	// resultUnsent is a request whose timeout expired before it could be sent.
 	resultUnsent
 
 	resultKindCount
@@ -73,6 +73,7 @@
 	return sendResult{kind: classifyBody(body, expected)}
 }
 
+// classifyBody checks the body of a successful response.
 func classifyBody(body []byte, expected answer.Request) resultKind {
 	err := answer.Check(body, expected)
 	switch {
@@ -101,6 +102,7 @@
 	return model.OutcomeUnknown, false
 }
 
+// directOutcome derives the outcome of a response that comes directly from a worker.
 func directOutcome(resp *http.Response) model.Outcome {
 	if resp.Header.Get(wire.HeaderNotRun) == "true" {
 		return model.OutcomeNotRun
@@ -108,6 +110,8 @@
 	return model.OutcomeAnswered
 }
 
+// parseRetryAfter returns the Retry-After in whole seconds, zero when it is missing or
+// not a number.
 func parseRetryAfter(h http.Header) time.Duration {
 	seconds, err := strconv.ParseUint(h.Get(wire.HeaderRetryAfter), 10, 16)
 	if err != nil {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -130,6 +130,8 @@
 	}
 }
 
+// newRequest returns the n-th request of the run. It has an id when its stream is keyed
+// or not idempotent.
 func (g *generator) newRequest(s *Stream, n int64, intended time.Time) *request {
 	r := &request{stream: s, nonce: g.noncePrefix + strconv.FormatInt(n, 36), intended: intended}
 	if s.Keyed || !s.idempotent() {
--- a/internal/simulation/calls/call.go
+++ b/internal/simulation/calls/call.go
@@ -72,6 +72,7 @@
 	l.next()
 }
 
+// next performs the next step of the engine call.
 func (l *leg) next() {
 	f := l.fleet
 	if l.done {
@@ -89,6 +90,8 @@
 	}
 }
 
+// send offers the attempt to its owner, interrupts it at the step's deadline and hedges it
+// at HedgeAt.
 func (l *leg) send(s entry.Step) {
 	f := l.fleet
 	l.count(&f.stats.sends)
@@ -108,6 +111,7 @@
 	}
 }
 
+// awaiting reports whether the attempt is in flight and its outcome still counts.
 func (l *leg) awaiting(id model.AttemptID) bool {
 	return !l.done && l.inFlight && l.step.Attempt.ID == id
 }
@@ -142,6 +146,7 @@
 	decided(v, r)
 }
 
+// runAttempt simulates the run of a started attempt and reports its completion.
 func (f *fleet) runAttempt(l *leg, o *fleetOwner, id model.AttemptID) {
 	serviceTime := f.exponential(fleetMean)
 	if o == f.owners[0] {
@@ -183,6 +188,7 @@
 	return f.owners[int(id[len(id)-1]-'a')]
 }
 
+// count increments n if the call started after the warm-up.
 func (x *fleetCall) count(n *int) {
 	if x.counted {
 		*n++
--- a/internal/simulation/calls/fleet.go
+++ b/internal/simulation/calls/fleet.go
@@ -136,6 +136,7 @@
 	f.entries = append(f.entries, &fleetEntry{engine: engine, table: table})
 }
 
+// deliver passes decisions to the callbacks of their attempts.
 func (o *fleetOwner) deliver(ds []owner.Decision) {
 	for _, d := range ds {
 		do := o.waiting[d.Attempt]
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -121,6 +121,7 @@
 	messages  int
 }
 
+// after schedules do after d.
 func (s *sim) after(d time.Duration, do func()) { s.events.Add(s.clock().Add(d), do) }
 
 // clock returns the current time of the fake clock.
@@ -143,6 +144,7 @@
 	Messages float64
 }
 
+// record counts a call that started at the given time of the run and ends now.
 func (s *sim) record(started time.Duration, ok bool) {
 	if started < warmUp {
 		return
--- a/internal/simulation/upstream.go
+++ b/internal/simulation/upstream.go
@@ -23,6 +23,7 @@
 	failureRate     float64
 }
 
+// attempt is one attempt at an upstream. done receives its result and a load report.
 type attempt struct {
 	arrived  time.Duration
 	deadline time.Duration
@@ -63,6 +64,8 @@
 	return r
 }
 
+// offer queues an attempt, or refuses it when the queue is full or the deadline cannot be
+// met. A paused upstream handles it after the pause.
 func (u *upstream) offer(a *attempt) {
 	if until, ok := u.paused(); ok {
 		u.sim.after(until-u.sim.now, func() { u.offer(a) })
@@ -87,6 +90,7 @@
 	a.done(route.Result{Refused: reason, RetryAfter: retry}, u.report())
 }
 
+// startQueued starts queued attempts up to the limit and refuses expired ones.
 func (u *upstream) startQueued() {
 	for len(u.queue) > 0 && u.inFlight < u.limit() {
 		a := u.queue[0]
@@ -101,6 +105,7 @@
 	}
 }
 
+// serviceTime draws a service time and whether the run fails, under the fault.
 func (u *upstream) serviceTime() (d time.Duration, failed bool) {
 	d = time.Duration(u.rng.ExpFloat64() * float64(meanService))
 	if !u.faultActive() {
@@ -115,6 +120,7 @@
 	return d, false
 }
 
+// finish completes a run and updates the moving averages that load reports carry.
 func (u *upstream) finish(a *attempt, d time.Duration, failed bool) {
 	if until, ok := u.paused(); ok {
 		u.sim.after(until-u.sim.now, func() { u.finish(a, d, failed) })
