--- a/cmd/gypsumbench/main.go
+++ b/cmd/gypsumbench/main.go
@@ -128,15 +128,15 @@
 const benchMeanMs = 60
 
 func bench(ctx context.Context, s *settings) error {
-	inyange, err := deploy.Load(s.examples, "inyange", deploy.InyangeWorkers)
+	inyange, err := deploy.LoadExample(s.examples, "inyange", deploy.InyangeWorkers)
 	if err != nil {
 		return err
 	}
-	brethyn, err := deploy.Load(s.examples, "brethyn", deploy.BrethynWorkers)
+	brethyn, err := deploy.LoadExample(s.examples, "brethyn", deploy.BrethynWorkers)
 	if err != nil {
 		return err
 	}
-	inyange.MeanMs, brethyn.MeanMs = benchMeanMs, benchMeanMs
+	inyange.MeanServiceMs, brethyn.MeanServiceMs = benchMeanMs, benchMeanMs
 	var m experiment.Measurements
 	m.AddedLatency, err = experiment.MeasureAddedLatency(ctx, s.rate, s.repeats, s.duration)
 	if err != nil {
--- a/cmd/gypsumdemo/main.go
+++ b/cmd/gypsumdemo/main.go
@@ -67,7 +67,7 @@
 	}
 	err = demo.Run(ctx, dep, demo.Options{Share: *share, Out: os.Stdout, Log: log})
 	switch {
-	case errors.Is(err, demo.ErrBroken):
+	case errors.Is(err, demo.ErrViolation):
 		fmt.Fprintln(os.Stderr, err)
 		return exitBroken
 	case err != nil:
@@ -95,6 +95,6 @@
 	if err != nil {
 		return nil, err
 	}
-	dep.MeanMs = demoMeanMs
+	dep.MeanServiceMs = demoMeanMs
 	return dep, nil
 }
--- a/internal/ctl/aside.go
+++ b/internal/ctl/aside.go
@@ -18,11 +18,11 @@
 asked for is shown where this node has seen it. All nodes know what is put aside, and
 those of a service what is suspect there.`,
 	examples: []string{"127.0.0.1:7003", "-json 127.0.0.1:7003"},
-	setup:    shows(status.AsidePath, writeAside),
+	setup:    shows(status.QuarantinePath, writeAside),
 }
 
-func writeAside(w io.Writer, a *status.Aside) error {
-	fmt.Fprintf(w, "This node's own worker ended %d times with requests in hand.\n", a.Ends)
+func writeAside(w io.Writer, a *status.Quarantine) error {
+	fmt.Fprintf(w, "This node's own worker ended %d times with requests in hand.\n", a.Crashes)
 	if len(a.Requests) == 0 {
 		fmt.Fprintln(w, "No request is suspect.")
 		return nil
@@ -32,13 +32,13 @@
 	row(t, "STATE", "SINCE", "NEXT TRIAL", "ENDED UNDER IT", "FINGERPRINT", "ASKED")
 	for i := range a.Requests {
 		r := &a.Requests[i]
-		row(t, suspectState(r), sinceWords(r), nextTrial(r), endList(r.Ends), text(r.Fingerprint), text(r.Asked))
+		row(t, suspectState(r), sinceWords(r), nextTrial(r), endList(r.Crashes), text(r.Fingerprint), text(r.Label))
 	}
 	return t.Flush()
 }
 
 func suspectState(r *status.SuspectRequest) string {
-	if r.PutAside {
+	if r.Quarantined {
 		return "put aside"
 	}
 	return "suspect"
@@ -53,7 +53,7 @@
 
 func nextTrial(r *status.SuspectRequest) string {
 	switch {
-	case !r.PutAside:
+	case !r.Quarantined:
 		return "-"
 	case r.NextTrial == nil:
 		return "none left"
@@ -61,7 +61,7 @@
 	return "in " + millis(*r.NextTrial)
 }
 
-func endList(ends []status.SuspectEnd) string {
+func endList(ends []status.WorkerCrash) string {
 	out := make([]string, len(ends))
 	for i, e := range ends {
 		age := e.Age
--- a/internal/ctl/aside_test.go
+++ b/internal/ctl/aside_test.go
@@ -10,15 +10,15 @@
 
 func TestAsideShowsWhatIsPutAsideAndWhy(t *testing.T) {
 	since, next := status.Ms(90*time.Second), status.Ms(20*time.Second)
-	address, asked := serve(t, http.StatusOK, mustJSON(t, status.Aside{
-		Ends: 2,
+	address, asked := serve(t, http.StatusOK, mustJSON(t, status.Quarantine{
+		Crashes: 2,
 		Requests: []status.SuspectRequest{
 			{
-				Fingerprint: "0a1b", Asked: "POST /payouts", PutAside: true, SinceAge: &since, NextTrial: &next,
-				Ends: []status.SuspectEnd{{Instance: "ledger-1", Age: 95_000}, {Instance: "ledger-2", Age: 92_000}},
+				Fingerprint: "0a1b", Label: "POST /payouts", Quarantined: true, SinceAge: &since, NextTrial: &next,
+				Crashes: []status.WorkerCrash{{Instance: "ledger-1", Age: 95_000}, {Instance: "ledger-2", Age: 92_000}},
 			},
-			{Fingerprint: "2c3d", PutAside: true, SinceAge: &since, Ends: []status.SuspectEnd{{Instance: "ledger-3", Age: 400}}},
-			{Fingerprint: "4e5f", Asked: "GET /vouchers/7\x1b[31m", Ends: []status.SuspectEnd{{Instance: "ledger-3", Age: 400}}},
+			{Fingerprint: "2c3d", Quarantined: true, SinceAge: &since, Crashes: []status.WorkerCrash{{Instance: "ledger-3", Age: 400}}},
+			{Fingerprint: "4e5f", Label: "GET /vouchers/7\x1b[31m", Crashes: []status.WorkerCrash{{Instance: "ledger-3", Age: 400}}},
 		},
 	}))
 	run("aside", address).check(t, result{out: `This node's own worker ended 2 times with requests in hand.
@@ -34,7 +34,7 @@
 }
 
 func TestAsideSaysThatNothingIsSuspect(t *testing.T) {
-	address, _ := serve(t, http.StatusOK, mustJSON(t, status.Aside{}))
+	address, _ := serve(t, http.StatusOK, mustJSON(t, status.Quarantine{}))
 	run("aside", address).check(t, result{out: `This node's own worker ended 0 times with requests in hand.
 No request is suspect.
 `})
--- a/internal/ctl/remote_test.go
+++ b/internal/ctl/remote_test.go
@@ -38,7 +38,7 @@
 	age := status.Ms(1200 * time.Millisecond)
 	address, asked := serve(t, http.StatusOK, mustJSON(t, status.Node{
 		Instance: "ledger-1", Service: "ledger", DataCentre: "kigali-a", State: "live", Incarnation: 42,
-		Ready: false, Missing: []string{"bundle", "list"},
+		Ready: false, NotReadyReasons: []string{"bundle", "list"},
 		Bundles:   []status.Bundle{{Name: "inyange", Version: 3}, {Name: "other", Version: 1}},
 		Fleet:     status.Fleet{Revision: 9, Services: []status.ServiceCount{{Service: "ledger", Live: 3, Leaving: 1}}},
 		Sources:   status.Sources{ConfigAge: &age, ConfigReads: 7},
@@ -73,7 +73,7 @@
 func TestStatusSaysHowFarBehindANodeIsAndWhy(t *testing.T) {
 	age := status.Ms(1700 * time.Millisecond)
 	n := status.Node{Directory: &status.Directory{
-		Revision: 41, Heard: 43, Age: &age, Late: true, Lag: "waits-for-peers", Listed: 10, Asked: 5, Failures: 2,
+		Revision: 41, NewestSeen: 43, Age: &age, Late: true, LagReason: "waits-for-peers", Listed: 10, PeerRequests: 5, ReadFailures: 2,
 	}}
 	const want = "\ndirectory      late: others are expected to read; revision 41 of 43 heard of, confirmed 1.7 s ago; 10 listed, 0 of 5 questions answered, 2 readings failed\n"
 	address, _ := serve(t, http.StatusOK, mustJSON(t, n))
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -93,8 +93,8 @@
 	if n.Ready {
 		return "yes"
 	}
-	missing := make([]string, len(n.Missing))
-	for i, m := range n.Missing {
+	missing := make([]string, len(n.NotReadyReasons))
+	for i, m := range n.NotReadyReasons {
 		missing[i] = text(m)
 	}
 	if len(missing) == 0 {
@@ -150,14 +150,14 @@
 }
 
 func directoryWords(d *status.Directory) string {
-	words, known := lagWords[d.Lag]
+	words, known := lagWords[d.LagReason]
 	if !known {
-		words = "late: " + text(d.Lag)
+		words = "late: " + text(d.LagReason)
 	}
 	age := "never confirmed"
 	if d.Age != nil {
 		age = "confirmed " + ago(d.Age)
 	}
 	return fmt.Sprintf("%s; revision %d of %d heard of, %s; %d listed, %d of %d questions answered, %d readings failed",
-		words, d.Revision, d.Heard, age, d.Listed, d.Answered, d.Asked, d.Failures)
+		words, d.Revision, d.NewestSeen, age, d.Listed, d.PeerReplies, d.PeerRequests, d.ReadFailures)
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -35,8 +35,8 @@
 	maxInFlight   = 2000
 )
 
-// ErrBroken says that a promise was broken.
-var ErrBroken = errors.New("a promise was broken")
+// ErrViolation says that a promise was broken.
+var ErrViolation = errors.New("a promise was broken")
 
 // Options of a demonstration.
 type Options struct {
@@ -60,10 +60,10 @@
 	broken          []string
 }
 
-// Run demonstrates dep. The error is ErrBroken when a promise was broken.
+// Run demonstrates dep. The error is ErrViolation when a promise was broken.
 func Run(ctx context.Context, dep *deploy.Deployment, opts Options) error {
 	r := &run{opts: opts, dep: dep, added: newAddedTimes()}
-	cfg := dep.Fleet()
+	cfg := dep.FleetConfig()
 	cfg.Log = opts.Log
 	cfg.OnCall = r.added.record
 	fleet, err := local.Start(cfg)
@@ -141,7 +141,7 @@
 	var err error
 	wg.Go(func() {
 		var p load.Plan
-		p, err = r.plan([]string{r.drained.Node.CallerAddress()}, drainShare, drainAt+r.dep.Fleet().LeaveGrace/2)
+		p, err = r.plan([]string{r.drained.Node.CallerAddress()}, drainShare, drainAt+r.dep.FleetConfig().LeaveGrace/2)
 		if err == nil {
 			result, err = load.Run(ctx, p, load.Options{})
 		}
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -7,7 +7,7 @@
 	"gypsumstand/internal/load"
 )
 
-// report prints the tables and returns ErrBroken when a promise was broken.
+// report prints the tables and returns ErrViolation when a promise was broken.
 func (r *run) report(result, drained *load.Result) error {
 	r.say("\n")
 	r.table(result)
@@ -21,7 +21,7 @@
 	for _, b := range r.broken {
 		r.say("BROKEN: %s\n", b)
 	}
-	return fmt.Errorf("%w: %d findings", ErrBroken, len(r.broken))
+	return fmt.Errorf("%w: %d findings", ErrViolation, len(r.broken))
 }
 
 func (r *run) table(result *load.Result) {
--- a/internal/deploy/deploy.go
+++ b/internal/deploy/deploy.go
@@ -25,8 +25,8 @@
 	Bundle *bundle.Bundle
 	// Workers counts the workers of each of the bundle's services, in its order.
 	Workers []int
-	// MeanMs is the workers' mean service time in milliseconds.
-	MeanMs float64
+	// MeanServiceMs is the workers' mean service time in milliseconds.
+	MeanServiceMs float64
 }
 
 // The examples' sizes (brief, "Sizes of today").
@@ -39,8 +39,8 @@
 
 // Both users run three data centres about 1 ms apart.
 const (
-	DataCentres = 3
-	CrossDelay  = time.Millisecond
+	DataCentres      = 3
+	InterCentreDelay = time.Millisecond
 )
 
 // Service times of the stand-in workers.
@@ -59,15 +59,15 @@
 	if len(b.Services) != len(workers) {
 		return nil, fmt.Errorf("%s: %d services, %d numbers of workers", name, len(b.Services), len(workers))
 	}
-	return &Deployment{Name: name, TOML: toml, Bundle: b, Workers: workers, MeanMs: defaultMeanMs}, nil
+	return &Deployment{Name: name, TOML: toml, Bundle: b, Workers: workers, MeanServiceMs: defaultMeanMs}, nil
 }
 
-// Fleet returns the configuration of its fleet on loopback.
-func (d *Deployment) Fleet() local.Config {
+// FleetConfig returns the configuration of its fleet on loopback.
+func (d *Deployment) FleetConfig() local.Config {
 	cfg := local.Config{
 		Bundle:      d.TOML,
 		DataCentres: DataCentres,
-		CrossDelay:  CrossDelay,
+		CrossDelay:  InterCentreDelay,
 		Slots:       d.Bundle.Services[0].Slots,
 		StopTimeout: 10 * time.Second,
 		LeaveGrace:  2 * time.Second,
@@ -85,7 +85,7 @@
 		out.Profiles = append(out.Profiles, worker.Profile{
 			Path:         r.Path,
 			Distribution: worker.Lognormal,
-			MeanMs:       d.MeanMs,
+			MeanMs:       d.MeanServiceMs,
 			Sigma:        sigma,
 			SizeBytes:    answerBytes,
 		})
@@ -96,7 +96,7 @@
 // Capacity returns the requests per second that a service's workers can answer.
 func (d *Deployment) Capacity(i int) float64 {
 	slots := float64(d.Bundle.Services[i].Slots * d.Workers[i])
-	return slots / d.MeanMs * float64(time.Second/time.Millisecond)
+	return slots / d.MeanServiceMs * float64(time.Second/time.Millisecond)
 }
 
 // Weights of a service's routes in its load.
@@ -165,8 +165,8 @@
 	return m != http.MethodPost && m != http.MethodPatch
 }
 
-// Load reads the bundle of an example from its folder.
-func Load(examples, name string, workers []int) (*Deployment, error) {
+// LoadExample reads the bundle of an example from its folder.
+func LoadExample(examples, name string, workers []int) (*Deployment, error) {
 	data, err := os.ReadFile(filepath.Join(examples, name, "bundle.toml"))
 	if err != nil {
 		return nil, fmt.Errorf("example %s: %w", name, err)
--- a/internal/experiment/added.go
+++ b/internal/experiment/added.go
@@ -68,8 +68,8 @@
 	if err != nil {
 		return nil, err
 	}
-	dep.MeanMs = addedLatencyServiceMs
-	cfg := dep.Fleet()
+	dep.MeanServiceMs = addedLatencyServiceMs
+	cfg := dep.FleetConfig()
 	cfg.DataCentres = 1
 	cfg.CrossDelay = 0
 	cfg.Services[0].Profiles[0].Distribution = "constant"
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -116,7 +116,7 @@
 }
 
 func compareContender(ctx context.Context, dep *deploy.Deployment, c Contender, o *Options) ([]Run, error) {
-	cfg := dep.Fleet()
+	cfg := dep.FleetConfig()
 	cfg.Policy = c.Policy
 	cfg.ProbeAge = c.ProbeAge
 	if c.MeasuringBudget > 0 {
--- a/internal/failure/deadly_test.go
+++ b/internal/failure/deadly_test.go
@@ -151,21 +151,21 @@
 			t.Errorf("%s shows nothing that is put aside", m.ID)
 			continue
 		}
-		if first := aside.Requests[0]; !first.PutAside || len(first.Ends) < 2 || first.NextTrial == nil {
+		if first := aside.Requests[0]; !first.Quarantined || len(first.Crashes) < 2 || first.NextTrial == nil {
 			t.Errorf("%s shows %+v first; want the deadly request", m.ID, first)
 		}
 	}
 }
 
 // asideAt reads what a node shows operators.
-func asideAt(t *testing.T, m *local.Member) status.Aside {
+func asideAt(t *testing.T, m *local.Member) status.Quarantine {
 	t.Helper()
-	resp, err := http.Get("http://" + m.Node.OperatorAddress() + status.AsidePath)
+	resp, err := http.Get("http://" + m.Node.OperatorAddress() + status.QuarantinePath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	var out status.Aside
+	var out status.Quarantine
 	if err := json.NewDecoder(resp.Body).Decode(&out); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -133,7 +133,7 @@
 	r.Path("/healthz").HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	r.Path("/readyz").HandlerFunc(n.serveReady)
 	r.Path(status.NodePath).Methods(http.MethodGet).HandlerFunc(n.serveStatus)
-	r.Path(status.AsidePath).Methods(http.MethodGet).HandlerFunc(n.serveAside)
+	r.Path(status.QuarantinePath).Methods(http.MethodGet).HandlerFunc(n.serveAside)
 	r.Path(status.ExplainPath).Methods(http.MethodGet).HandlerFunc(n.serveExplain)
 	return r
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -29,19 +29,19 @@
 func (n *Node) status(now time.Time) status.Node {
 	self := n.self()
 	out := status.Node{
-		Instance:    self.ID,
-		Service:     self.Service,
-		DataCentre:  self.DataCentre,
-		State:       self.State.String(),
-		Incarnation: self.Incarnation,
-		Missing:     []string{},
-		Bundles:     []status.Bundle{},
-		Owner:       status.LoadOf(n.core.Owner.Report(now)),
-		Links:       []status.Link{},
+		Instance:        self.ID,
+		Service:         self.Service,
+		DataCentre:      self.DataCentre,
+		State:           self.State.String(),
+		Incarnation:     self.Incarnation,
+		NotReadyReasons: []string{},
+		Bundles:         []status.Bundle{},
+		Owner:           status.LoadOf(n.core.Owner.Report(now)),
+		Links:           []status.Link{},
 	}
 	if r := n.core.Board.Readiness.Get(); r != nil {
 		out.Ready = r.Ready
-		out.Missing = append(out.Missing, r.Missing...)
+		out.NotReadyReasons = append(out.NotReadyReasons, r.Missing...)
 	}
 	for _, b := range n.core.Board.Bundles.Get().All() {
 		out.Bundles = append(out.Bundles, status.BundleOf(b.VersionID()))
@@ -100,13 +100,13 @@
 	}
 	v := s.Directory
 	out := &status.Directory{
-		Revision: v.Revision, Heard: v.NewestSeen, Age: status.Age(now, v.Confirmed),
-		Late: v.Status != directory.ViewCurrent, Lag: string(v.Status),
-		Listed: v.Listed, Asked: v.PeerRequests, Answered: v.PeerReplies, Failures: v.ReadFailures,
-		Readings: map[string]uint64{}, Evacuated: n.core.Board.Fleet.Get().Evacuated,
+		Revision: v.Revision, NewestSeen: v.NewestSeen, Age: status.Age(now, v.Confirmed),
+		Late: v.Status != directory.ViewCurrent, LagReason: string(v.Status),
+		Listed: v.Listed, PeerRequests: v.PeerRequests, PeerReplies: v.PeerReplies, ReadFailures: v.ReadFailures,
+		Reads: map[string]uint64{}, Evacuated: n.core.Board.Fleet.Get().Evacuated,
 	}
 	for cause, count := range v.Reads {
-		out.Readings[string(cause)] = count
+		out.Reads[string(cause)] = count
 	}
 	return out
 }
@@ -128,7 +128,7 @@
 // serveAside responds with the suspect requests.
 func (n *Node) serveAside(w http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
-	out := status.Aside{Requests: []status.SuspectRequest{}, Ends: n.core.Quarantine.Counts().Crashes}
+	out := status.Quarantine{Requests: []status.SuspectRequest{}, Crashes: n.core.Quarantine.Counts().Crashes}
 	for _, s := range n.core.Quarantine.Suspects() {
 		out.Requests = append(out.Requests, suspectStatus(now, &s))
 	}
@@ -137,15 +137,15 @@
 
 func suspectStatus(now time.Time, s *quarantine.SuspectRequest) status.SuspectRequest {
 	out := status.SuspectRequest{
-		Fingerprint: s.Content.String(), Asked: s.Label, PutAside: s.Quarantined,
-		SinceAge: status.Age(now, s.Since), Ends: []status.SuspectEnd{},
+		Fingerprint: s.Content.String(), Label: s.Label, Quarantined: s.Quarantined,
+		SinceAge: status.Age(now, s.Since), Crashes: []status.WorkerCrash{},
 	}
 	if !s.NextTrial.IsZero() {
 		in := status.Ms(max(s.NextTrial.Sub(now), 0))
 		out.NextTrial = &in
 	}
 	for _, e := range s.Crashes {
-		out.Ends = append(out.Ends, status.SuspectEnd{Instance: e.Owner, Age: status.Ms(now.Sub(e.At))})
+		out.Crashes = append(out.Crashes, status.WorkerCrash{Instance: e.Owner, Age: status.Ms(now.Sub(e.At))})
 	}
 	return out
 }
--- a/internal/server/callrunner_test.go
+++ b/internal/server/callrunner_test.go
@@ -82,7 +82,7 @@
 			c, step := panickingRunner(now, &log)
 			step.HedgeAt = hedgeAt
 			result, reported, err := c.attemptHedged(t.Context(), step)
-			var panicked *task.Panicked
+			var panicked *task.PanicError
 			if result.Response != nil || reported || !errors.As(err, &panicked) || panicked.Value != "the cause" {
 				t.Errorf("%+v, reported %v, error %v", result, reported, err)
 			}
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -12,9 +12,9 @@
 
 // Paths and query parameters of the operators' port.
 const (
-	NodePath    = "/status"
-	ExplainPath = "/explain"
-	AsidePath   = "/aside"
+	NodePath       = "/status"
+	ExplainPath    = "/explain"
+	QuarantinePath = "/aside"
 
 	ParamMethod = "method"
 	ParamPath   = "path"
@@ -53,11 +53,11 @@
 	State       string            `json:"state"`
 	Incarnation model.Incarnation `json:"incarnation"`
 	// Ready tells whether callers are served; Missing what is still waited for.
-	Ready   bool     `json:"ready"`
-	Missing []string `json:"missing"`
-	Bundles []Bundle `json:"bundles"`
-	Fleet   Fleet    `json:"fleet"`
-	Sources Sources  `json:"sources"`
+	Ready           bool     `json:"ready"`
+	NotReadyReasons []string `json:"missing"`
+	Bundles         []Bundle `json:"bundles"`
+	Fleet           Fleet    `json:"fleet"`
+	Sources         Sources  `json:"sources"`
 	// Directory is nil at a node that follows none.
 	Directory *Directory `json:"directory,omitempty"`
 	Owner     Load       `json:"owner"`
@@ -105,22 +105,22 @@
 // Directory tells how far behind a node's view of its directory is, and why.
 type Directory struct {
 	// Revision is the directory's that is known, Heard the greatest heard of.
-	Revision uint64 `json:"revision"`
-	Heard    uint64 `json:"heard"`
+	Revision   uint64 `json:"revision"`
+	NewestSeen uint64 `json:"heard"`
 	// Age counts from when the revision was last known to be the newest; nil for never.
 	Age *Milliseconds `json:"age_ms"`
 	// Late: a change may already have taken longer than it should. Lag says why.
-	Late bool   `json:"late"`
-	Lag  string `json:"lag"`
+	Late      bool   `json:"late"`
+	LagReason string `json:"lag"`
 	// Listed is the number of instances that the directory names. Of the latest Asked
 	// questions to them Answered were answered.
-	Listed   int `json:"listed"`
-	Asked    int `json:"asked"`
-	Answered int `json:"answered"`
-	// Failures counts the node's own failed readings since its last good one.
-	Failures int `json:"failures"`
-	// Readings counts the node's own readings by cause.
-	Readings map[string]uint64 `json:"readings"`
+	Listed       int `json:"listed"`
+	PeerRequests int `json:"asked"`
+	PeerReplies  int `json:"answered"`
+	// ReadFailures counts the node's own failed readings since its last good one.
+	ReadFailures int `json:"failures"`
+	// Reads counts the node's own readings by cause.
+	Reads map[string]uint64 `json:"readings"`
 	// Evacuated names the data centres to whose workers nothing is to be sent.
 	Evacuated []model.DataCentre `json:"evacuated,omitempty"`
 }
@@ -171,31 +171,31 @@
 	Refused uint64 `json:"refused"`
 }
 
-// Aside lists the requests under which workers ended, as a node knows of them: those that
+// Quarantine lists the requests under which workers ended, as a node knows of them: those that
 // are put aside first.
-type Aside struct {
+type Quarantine struct {
 	Requests []SuspectRequest `json:"requests"`
-	// Ends counts the ends of this node's own worker with requests in hand.
-	Ends uint64 `json:"ends"`
+	// Crashes counts the ends of this node's own worker with requests in hand.
+	Crashes uint64 `json:"ends"`
 }
 
 // SuspectRequest is one request under which workers ended.
 type SuspectRequest struct {
 	// Fingerprint is the same for every sending of the request; events 514 to 517 name it.
 	Fingerprint string `json:"fingerprint"`
-	// Asked is method, host and path; empty where this node has never seen the request.
-	Asked string `json:"asked"`
-	// PutAside: it reaches no worker. SinceAge is for how long at this node, NextTrial the
+	// Label is method, host and path; empty where this node has never seen the request.
+	Label string `json:"asked"`
+	// Quarantined: it reaches no worker. SinceAge is for how long at this node, NextTrial the
 	// time until it may run once; nil when it may not any more.
-	PutAside  bool          `json:"put_aside"`
-	SinceAge  *Milliseconds `json:"since_age_ms"`
-	NextTrial *Milliseconds `json:"next_trial_ms"`
-	// Ends are the ends of workers under it.
-	Ends []SuspectEnd `json:"ends"`
+	Quarantined bool          `json:"put_aside"`
+	SinceAge    *Milliseconds `json:"since_age_ms"`
+	NextTrial   *Milliseconds `json:"next_trial_ms"`
+	// Crashes are the ends of workers under it.
+	Crashes []WorkerCrash `json:"ends"`
 }
 
-// SuspectEnd is one end of a worker under a request.
-type SuspectEnd struct {
+// WorkerCrash is one end of a worker under a request.
+type WorkerCrash struct {
 	Instance model.InstanceID `json:"instance"`
 	Age      Milliseconds     `json:"age_ms"`
 }
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -14,7 +14,7 @@
 	age := Ms(1500 * time.Millisecond)
 	node := Node{
 		Instance: "ledger-1", Service: "ledger", DataCentre: "kigali-a", State: "live", Incarnation: 7,
-		Ready: true, Missing: []string{}, Bundles: []Bundle{BundleOf(model.BundleVersion{Name: "inyange", Version: 3})},
+		Ready: true, NotReadyReasons: []string{}, Bundles: []Bundle{BundleOf(model.BundleVersion{Name: "inyange", Version: 3})},
 		Fleet:     Fleet{Revision: 2, Services: []ServiceCount{{Service: "ledger", Live: 3}}},
 		Sources:   Sources{ConfigAge: &age, ConfigReads: 4},
 		Owner:     LoadOf(model.LoadReport{Limit: 20, InFlight: 3, Queued: 1, ServiceTime: 2500 * time.Microsecond, FailureRate: 250}),
--- a/internal/suspension/suspension.go
+++ b/internal/suspension/suspension.go
@@ -10,7 +10,7 @@
 
 // Total is for how long the machine has been suspended since its start: between Least and
 // Most, which lie apart by what passes between two readings of the clocks.
-type Total struct{ Least, Most time.Duration }
+type Total struct{ Min, Max time.Duration }
 
 // Now returns the total until now. The error is the system's, where it has no such clock.
 func Now() (Total, error) {
@@ -26,7 +26,7 @@
 	if err != nil {
 		return Total{}, err
 	}
-	return Total{Least: all - after, Most: all - before}, nil
+	return Total{Min: all - after, Max: all - before}, nil
 }
 
 func read(clock int32) (time.Duration, error) {
@@ -43,8 +43,8 @@
 // Since returns for how long the machine was suspended since an earlier total, zero where
 // that cannot be told from none.
 func (t Total) Since(earlier Total) time.Duration {
-	if d := t.Least - earlier.Most; d >= least {
-		return t.Most - earlier.Least
+	if d := t.Min - earlier.Max; d >= least {
+		return t.Max - earlier.Min
 	}
 	return 0
 }
--- a/internal/suspension/suspension_test.go
+++ b/internal/suspension/suspension_test.go
@@ -15,7 +15,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if now.Least > now.Most {
+		if now.Min > now.Max {
 			t.Fatalf("%+v", now)
 		}
 		if d := now.Since(first); d != 0 {
@@ -25,13 +25,13 @@
 }
 
 func TestASuspensionIsToldAtItsMost(t *testing.T) {
-	before := Total{Least: time.Second, Most: time.Second + time.Millisecond}
+	before := Total{Min: time.Second, Max: time.Second + time.Millisecond}
 	for _, tt := range []struct{ asleep, want time.Duration }{
 		{0, 0},
 		{least, 0},
 		{3 * time.Second, 3*time.Second + time.Millisecond},
 	} {
-		after := Total{Least: before.Least + tt.asleep, Most: before.Most + tt.asleep}
+		after := Total{Min: before.Min + tt.asleep, Max: before.Max + tt.asleep}
 		if got := after.Since(before); got != tt.want {
 			t.Errorf("%s: %s, want %s", tt.asleep, got, tt.want)
 		}
--- a/internal/task/task.go
+++ b/internal/task/task.go
@@ -15,21 +15,21 @@
 	maxStack = 4 << 10
 )
 
-// Panicked says that a function panicked.
-type Panicked struct {
+// PanicError says that a function panicked.
+type PanicError struct {
 	// Value is what it panicked with, and Stack where; both are cut at their bounds.
 	Value, Stack string
 }
 
 // Error implements error.
-func (p *Panicked) Error() string { return "panic: " + p.Value + "\n" + p.Stack }
+func (p *PanicError) Error() string { return "panic: " + p.Value + "\n" + p.Stack }
 
 // Do runs f; the error is a *Panicked, or nil when f did not panic. The functions that f
 // deferred have run then.
 func Do(f func()) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
-			err = &Panicked{Value: cut(fmt.Sprint(v), maxValue), Stack: cut(string(debug.Stack()), maxStack)}
+			err = &PanicError{Value: cut(fmt.Sprint(v), maxValue), Stack: cut(string(debug.Stack()), maxStack)}
 		}
 	}()
 	f()
--- a/internal/task/task_test.go
+++ b/internal/task/task_test.go
@@ -12,7 +12,7 @@
 		defer func() { cleaned = true }()
 		panic("the cause " + strings.Repeat("x", 2*maxValue))
 	})
-	var p *Panicked
+	var p *PanicError
 	if !errors.As(err, &p) || !strings.HasPrefix(p.Value, "the cause") || !strings.Contains(p.Stack, "task_test.go") {
 		t.Fatalf("error %v", err)
 	}
