--- a/internal/ctl/aside.go
+++ b/internal/ctl/aside.go
@@ -11,61 +11,67 @@
 var asideCommand = command{
 	name:      "aside",
 	arguments: "ADDRESS",
-	summary:   "show which requests workers ended under",
-	details: `Asks the operators' port of one node (IP number and port) for the requests under which
-workers ended: those that are put aside, which reach no worker, and those that are
-only suspect. A request is named by its fingerprint, as in events 514 to 517; what it
-asked for is shown where this node has seen it. All nodes know what is put aside, and
-those of a service what is suspect there.`,
+	summary:   "list requests during which workers crashed",
+	details: `Queries the operators' port of one node (IP number and port) for the requests during
+which workers crashed: quarantined requests, which reach no worker, and requests that
+are only suspect. A request is identified by its fingerprint, as in events 514 to 517;
+its method, host and path are shown if this node has seen it. Every node knows all
+quarantined requests; suspect requests are known to the nodes of their service.`,
 	examples: []string{"127.0.0.1:7003", "-json 127.0.0.1:7003"},
-	setup:    shows(status.QuarantinePath, writeAside),
+	setup:    remoteSetup(status.QuarantinePath, writeQuarantine),
 }
 
-func writeAside(w io.Writer, a *status.Quarantine) error {
-	fmt.Fprintf(w, "This node's own worker ended %d times with requests in hand.\n", a.Crashes)
+// writeQuarantine prints the suspect and quarantined requests as a table.
+func writeQuarantine(w io.Writer, a *status.Quarantine) error {
+	fmt.Fprintf(w, "This node's own worker crashed %d times with requests in flight.\n", a.Crashes)
 	if len(a.Requests) == 0 {
-		fmt.Fprintln(w, "No request is suspect.")
+		fmt.Fprintln(w, "No suspect requests.")
 		return nil
 	}
 	fmt.Fprintln(w)
 	t := newTable(w)
-	row(t, "STATE", "SINCE", "NEXT TRIAL", "ENDED UNDER IT", "FINGERPRINT", "ASKED")
+	writeRow(t, "STATE", "SINCE", "NEXT TRIAL", "CRASHES", "FINGERPRINT", "ASKED")
 	for i := range a.Requests {
 		r := &a.Requests[i]
-		row(t, suspectState(r), sinceWords(r), nextTrial(r), endList(r.Crashes), text(r.Fingerprint), text(r.Label))
+		writeRow(t, formatState(r), formatSince(r), formatNextTrial(r), formatCrashes(r.Crashes), orDash(r.Fingerprint), orDash(r.Label))
 	}
 	return t.Flush()
 }
 
-func suspectState(r *status.SuspectRequest) string {
+// formatState returns a request's state for the STATE column.
+func formatState(r *status.SuspectRequest) string {
 	if r.Quarantined {
-		return "put aside"
+		return "quarantined"
 	}
 	return "suspect"
 }
 
-func sinceWords(r *status.SuspectRequest) string {
+// formatSince returns how long ago the node quarantined the request, or a dash.
+func formatSince(r *status.SuspectRequest) string {
 	if r.SinceAge == nil {
 		return "-"
 	}
-	return ago(r.SinceAge)
+	return formatAgo(r.SinceAge)
 }
 
-func nextTrial(r *status.SuspectRequest) string {
+// formatNextTrial returns the time until a quarantined request may run once more, or a
+// dash for a request that is only suspect.
+func formatNextTrial(r *status.SuspectRequest) string {
 	switch {
 	case !r.Quarantined:
 		return "-"
 	case r.NextTrial == nil:
 		return "none left"
 	}
-	return "in " + millis(*r.NextTrial)
+	return "in " + formatMs(*r.NextTrial)
 }
 
-func endList(ends []status.WorkerCrash) string {
-	out := make([]string, len(ends))
-	for i, e := range ends {
+// formatCrashes lists the crashed instances and how long ago each crash happened.
+func formatCrashes(crashes []status.WorkerCrash) string {
+	out := make([]string, len(crashes))
+	for i, e := range crashes {
 		age := e.Age
-		out[i] = text(e.Instance) + " " + ago(&age)
+		out[i] = orDash(e.Instance) + " " + formatAgo(&age)
 	}
 	return strings.Join(out, ", ")
 }
--- a/internal/ctl/check.go
+++ b/internal/ctl/check.go
@@ -13,14 +13,14 @@
 var checkCommand = command{
 	name:      "check",
 	arguments: "FILE...",
-	summary:   "find every fault of bundles or settings",
-	details: `Reads bundles in TOML as a node would and prints every fault with file, line and
-key, one a line. Of several bundles it also finds what they contradict each other
-in: the same service, or the same path and method, in two of them. Give all bundles
-that are in force together.`,
+	summary:   "report every error in bundles or settings",
+	details: `Reads TOML bundles as a node does and prints every error with file, line and key, one
+per line. Given several bundles, it also reports conflicts between them: a service, or
+a path and method, that two bundles define. Pass all bundles that are in force
+together.`,
 	examples: []string{"bundle.toml", "bundles/*.toml", "-settings node.toml"},
 	setup: func(flags *flag.FlagSet) runner {
-		isSettings := flags.Bool("settings", false, "the files are nodes' settings")
+		isSettings := flags.Bool("settings", false, "check node settings files instead of bundles")
 		return func(_ context.Context, s *streams, args []string) error {
 			if len(args) == 0 {
 				return usagef("no FILE given")
@@ -33,47 +33,49 @@
 	},
 }
 
-// checkEach checks all files and fails when any does.
+// checkEach calls check for every file and returns the joined errors. Errors other than
+// findings are printed as warnings.
 func checkEach(s *streams, paths []string, check func(*streams, string) error) error {
-	var failed error
+	var joined error
 	for _, path := range paths {
-		err := s.report(check(s, path))
+		err := s.reportFindings(check(s, path))
 		if err != nil && !errors.Is(err, errFindings) {
 			s.warnf("%v", err)
 			err = errFindings
 		}
-		failed = errors.Join(failed, err)
+		joined = errors.Join(joined, err)
 	}
-	return failed
+	return joined
 }
 
+// checkSettings checks one settings file and prints a line if it is valid.
 func checkSettings(s *streams, path string) error {
 	node, err := settings.Load(path)
 	if err != nil {
 		return err
 	}
-	s.printf("%s: sound: instance %s of service %s in %s\n", path, node.Instance, node.Service, node.DataCentre)
+	s.printf("%s: valid: instance %s of service %s in %s\n", path, node.Instance, node.Service, node.DataCentre)
 	return nil
 }
 
+// checkBundles checks each bundle, then the valid ones for conflicts with each other.
 func checkBundles(s *streams, paths []string) error {
-	var sound []*source
-	failed := checkEach(s, paths, func(s *streams, path string) error {
+	var valid []*source
+	err := checkEach(s, paths, func(s *streams, path string) error {
 		src, err := readBundle(path)
 		if err != nil {
 			return err
 		}
-		sound = append(sound, src)
-		s.printf("%s: sound: %s, %d services, %d classes, %d tenants\n", path, src.bundle.VersionID(),
+		valid = append(valid, src)
+		s.printf("%s: valid: %s, %d services, %d classes, %d tenants\n", path, src.bundle.VersionID(),
 			len(src.bundle.Services), len(src.bundle.Classes), len(src.bundle.Tenants))
 		return nil
 	})
-	return errors.Join(failed, checkTogether(s, sound))
+	return errors.Join(err, checkConflicts(s, valid))
 }
 
-// checkTogether reports what the bundles contradict each other in, at the place
-// in the file.
-func checkTogether(s *streams, sources []*source) error {
+// checkConflicts reports conflicts between the bundles with file, line and column.
+func checkConflicts(s *streams, sources []*source) error {
 	bundles := make([]*bundle.Bundle, len(sources))
 	files := make(map[string]*source, len(sources))
 	for i, src := range sources {
@@ -88,5 +90,5 @@
 			f.Line, f.Column = tomlfile.Position(src.data, f.Key)
 		}
 	}
-	return s.report(findings.Err())
+	return s.reportFindings(findings.Err())
 }
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,5 +1,5 @@
-// Package ctl is the operators' tool behind cmd/gypsumctl. Each command has a
-// file of its own; Run chooses among them.
+// Package ctl implements gypsumctl, the operators' command-line tool. Each command is
+// defined in its own file; Run dispatches to them.
 package ctl
 
 import (
@@ -13,20 +13,20 @@
 
 // Exit codes of Run.
 const (
-	// ExitOK: done; check and verify found nothing wrong.
+	// ExitOK means success; check and verify found no error.
 	ExitOK = 0
-	// ExitFailure: findings, or the command could not be carried out.
+	// ExitFailure means that the command reported findings or could not complete.
 	ExitFailure = 1
-	// ExitUsage: the command line is wrong.
+	// ExitUsage means that the command line is invalid.
 	ExitUsage = 2
 )
 
 const program = "gypsumctl"
 
-// errFindings ends a command that has already printed what it found.
+// errFindings is returned by a command that has already printed its findings.
 var errFindings = errors.New("findings were printed")
 
-// usageError is a fault of the command line.
+// usageError describes an invalid command line.
 type usageError struct{ message string }
 
 func (e usageError) Error() string { return e.message }
@@ -35,7 +35,7 @@
 	return usageError{message: fmt.Sprintf(format, args...)}
 }
 
-// streams are where a command writes.
+// streams holds the output and error writers of a command.
 type streams struct {
 	out io.Writer
 	err io.Writer
@@ -47,17 +47,17 @@
 	fmt.Fprintf(s.err, program+": "+format+"\n", args...)
 }
 
-// runner carries a command out with the arguments that follow its flags.
+// runner executes a command with the arguments that follow its flags.
 type runner func(ctx context.Context, s *streams, args []string) error
 
-// command is one command with its help.
+// command is a subcommand with its help text.
 type command struct {
 	name      string
 	arguments string
 	summary   string
 	details   string
 	examples  []string
-	// setup defines the command's flags and returns what reads them.
+	// setup defines the command's flags and returns the runner that reads them.
 	setup func(flags *flag.FlagSet) runner
 }
 
@@ -68,8 +68,8 @@
 	}
 }
 
-// Run carries out one command line without the program's name and returns the
-// exit code.
+// Run executes a command line, given without the program's name, and returns the exit
+// code.
 func Run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	s := &streams{out: stdout, err: stderr}
 	if len(args) == 0 {
@@ -89,10 +89,11 @@
 			return c.run(ctx, s, rest)
 		}
 	}
-	s.warnf("there is no command %q; %q lists them", name, program+" help")
+	s.warnf("unknown command %q; run %q for a list", name, program+" help")
 	return ExitUsage
 }
 
+// run parses the command's flags, executes it and returns the exit code.
 func (c *command) run(ctx context.Context, s *streams, args []string) int {
 	flags := flag.NewFlagSet(c.name, flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
@@ -111,6 +112,8 @@
 	return c.exitCode(s, err)
 }
 
+// exitCode prints err, unless its findings are already printed, and maps it to an exit
+// code.
 func (c *command) exitCode(s *streams, err error) int {
 	var usage usageError
 	switch {
@@ -119,23 +122,25 @@
 	case errors.Is(err, errFindings):
 		return ExitFailure
 	case errors.As(err, &usage):
-		s.warnf("%s: %s; %q tells more", c.name, usage.message, program+" help "+c.name)
+		s.warnf("%s: %s; run %q for help", c.name, usage.message, program+" help "+c.name)
 		return ExitUsage
 	}
 	s.warnf("%s: %v", c.name, err)
 	return ExitFailure
 }
 
+// writeOverview prints the list of commands.
 func writeOverview(w io.Writer) {
-	fmt.Fprintf(w, "%s makes keys, checks, signs, verifies and compares bundles, and shows what a node\nknows. Nodes are steered by signed bundles only; no command changes a running node.\n\n", program)
+	fmt.Fprintf(w, "%s generates keys, checks, signs, verifies and compares bundles, and shows the state of\na node. Nodes are configured by signed bundles only; no command changes a running node.\n\n", program)
 	fmt.Fprintf(w, "Usage: %s COMMAND [FLAG...] [ARGUMENT...]\n\nCommands:\n", program)
 	for _, c := range commands() {
 		fmt.Fprintf(w, "  %-8s %s\n", c.name, c.summary)
 	}
-	fmt.Fprintf(w, "\n\"%s help COMMAND\" or \"%s COMMAND --help\" tells more.\n", program, program)
+	fmt.Fprintf(w, "\nRun \"%s help COMMAND\" or \"%s COMMAND --help\" for details.\n", program, program)
 	fmt.Fprint(w, "Exit codes: 0 success, 1 findings or failure, 2 wrong usage.\n")
 }
 
+// writeHelp prints the command's usage, flags and examples.
 func (c *command) writeHelp(w io.Writer, flags *flag.FlagSet) {
 	fmt.Fprintf(w, "Usage: %s %s [FLAG...] %s\n\n%s\n", program, c.name, c.arguments, strings.TrimSpace(c.details))
 	fmt.Fprint(w, "\nFlags:\n")
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -15,7 +15,7 @@
 	"gypsumstand/internal/keys"
 )
 
-const soundBundle = `name = "shop"
+const validBundle = `name = "shop"
 version = 1
 [[class]]
 name = "order"
@@ -29,7 +29,7 @@
 class = "order"
 `
 
-// result is what a command line gave.
+// result holds the exit code and output of a command line.
 type result struct {
 	code int
 	out  string
@@ -42,8 +42,8 @@
 	return result{code: code, out: out.String(), err: errOut.String()}
 }
 
-// in runs the test in an empty directory with the given files.
-func in(t *testing.T, files map[string]string) {
+// chdirTemp changes to a new directory that holds only the given files.
+func chdirTemp(t *testing.T, files map[string]string) {
 	t.Helper()
 	t.Chdir(t.TempDir())
 	for name, text := range files {
@@ -69,7 +69,7 @@
 		}
 		for _, c := range commands() {
 			if !strings.Contains(r.out, "  "+c.name+" ") {
-				t.Errorf("%v does not name %s", args, c.name)
+				t.Errorf("%v does not list %s", args, c.name)
 			}
 		}
 	}
@@ -81,8 +81,8 @@
 	}
 }
 
-func TestWrongUsageEndsWithTwo(t *testing.T) {
-	in(t, nil)
+func TestWrongUsageExitCode(t *testing.T) {
+	chdirTemp(t, nil)
 	tests := [][]string{
 		{}, {"start"}, {"help", "start"}, {"check"}, {"check", "-colour", "x"}, {"keygen"}, {"keygen", "-name", "A B"},
 		{"keygen", "-name", "a", "b"}, {"sign", "a.toml"}, {"sign", "-key", "k"}, {"sign", "-key", "k", "a", "b"},
@@ -96,9 +96,9 @@
 	}
 }
 
-func TestCheckPrintsEveryFaultOfEveryFile(t *testing.T) {
-	in(t, map[string]string{
-		"good.toml": soundBundle,
+func TestCheckPrintsEveryFault(t *testing.T) {
+	chdirTemp(t, map[string]string{
+		"good.toml": validBundle,
 		"bad.toml":  "name = \"BAD\"\nversion = 0\nspeed = 1\n",
 	})
 	run("check", "bad.toml", "good.toml", "absent.toml").check(t, result{
@@ -106,28 +106,28 @@
 		out: `bad.toml:1:1: name: "BAD" must be 1 to 64 characters of a-z, 0-9, '.', '_' and '-'
 bad.toml:2:1: version: must be at least 1
 bad.toml:3:1: speed: unknown key
-good.toml: sound: shop@1, 1 services, 1 classes, 0 tenants
+good.toml: valid: shop@1, 1 services, 1 classes, 0 tenants
 `,
 		err: "gypsumctl: open absent.toml: no such file or directory\n",
 	})
 }
 
-func TestCheckFindsContradictionsBetweenFiles(t *testing.T) {
-	in(t, map[string]string{
-		"a.toml": soundBundle,
-		"b.toml": strings.NewReplacer(`"shop"`, `"stall"`, `"orders"`, `"sales"`).Replace(soundBundle),
+func TestCheckFindsConflictsBetweenFiles(t *testing.T) {
+	chdirTemp(t, map[string]string{
+		"a.toml": validBundle,
+		"b.toml": strings.NewReplacer(`"shop"`, `"stall"`, `"orders"`, `"sales"`).Replace(validBundle),
 	})
 	run("check", "b.toml", "a.toml").check(t, result{
 		code: ExitFailure,
-		out: `b.toml: sound: stall@1, 1 services, 1 classes, 0 tenants
-a.toml: sound: shop@1, 1 services, 1 classes, 0 tenants
+		out: `b.toml: valid: stall@1, 1 services, 1 classes, 0 tenants
+a.toml: valid: shop@1, 1 services, 1 classes, 0 tenants
 b.toml:11:1: service[0].route[0].path: every method of /orders is also in shop@1, which wins
 `,
 	})
 }
 
 func TestCheckReadsSettings(t *testing.T) {
-	in(t, map[string]string{"node.toml": "instance = \"a\"\n"})
+	chdirTemp(t, map[string]string{"node.toml": "instance = \"a\"\n"})
 	r := run("check", "-settings", "node.toml")
 	if r.code != ExitFailure || !strings.Contains(r.out, "node.toml: service: missing\n") {
 		t.Errorf("%+v", r)
@@ -135,7 +135,7 @@
 }
 
 func TestKeygenSignVerify(t *testing.T) {
-	in(t, map[string]string{"shop.toml": soundBundle})
+	chdirTemp(t, map[string]string{"shop.toml": validBundle})
 	made := run("keygen", "-name", "aline")
 	if made.code != ExitOK || !strings.Contains(made.out, "[[signer]]\nname = \"aline\"\nkey = \"") {
 		t.Fatalf("keygen: %+v", made)
@@ -144,8 +144,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	run("sign", "-key", "aline.private.toml", "shop.toml").check(t, result{out: "shop.signed: shop@1 signed off by " + key.String() + "\n"})
-	run("verify", "-key", "aline.public.toml", "shop.signed").check(t, result{out: "shop.signed: shop@1, signed off by aline\n"})
+	run("sign", "-key", "aline.private.toml", "shop.toml").check(t, result{out: "shop.signed: shop@1 signed by " + key.String() + "\n"})
+	run("verify", "-key", "aline.public.toml", "shop.signed").check(t, result{out: "shop.signed: shop@1, signed by aline\n"})
 
 	again := run("keygen", "-name", "aline")
 	if again.code != ExitFailure || !strings.Contains(again.err, "file exists") {
@@ -153,21 +153,21 @@
 	}
 }
 
-func TestKeygenLeavesNoHalfBehind(t *testing.T) {
-	in(t, map[string]string{"aline.public.toml": "taken"})
+func TestKeygenFailureLeavesNoPrivateKey(t *testing.T) {
+	chdirTemp(t, map[string]string{"aline.public.toml": "taken"})
 	if r := run("keygen", "-name", "aline"); r.code != ExitFailure {
 		t.Errorf("%+v", r)
 	}
 	if _, err := os.Stat("aline.private.toml"); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("the private half was left: %v", err)
+		t.Errorf("the private key file was left: %v", err)
 	}
 }
 
-func TestSignRefuses(t *testing.T) {
-	in(t, map[string]string{
-		"good.toml":  soundBundle,
-		"bad.toml":   strings.Replace(soundBundle, "slots = 20", "slots = 0", 1),
-		"other.toml": strings.Replace(soundBundle, `"shop"`, `"stall"`, 1),
+func TestSignRejects(t *testing.T) {
+	chdirTemp(t, map[string]string{
+		"good.toml":  validBundle,
+		"bad.toml":   strings.Replace(validBundle, "slots = 20", "slots = 0", 1),
+		"other.toml": strings.Replace(validBundle, `"shop"`, `"stall"`, 1),
 	})
 	run("keygen", "-name", "aline")
 	tests := []struct {
@@ -182,7 +182,7 @@
 		{"a version that is not newer", []string{"-key", "aline.private.toml", "-previous", "good.toml", "good.toml"},
 			result{code: ExitFailure, err: "gypsumctl: sign: version 1 of good.toml is not newer than shop@1\n"}},
 		{"another bundle's successor", []string{"-key", "aline.private.toml", "-previous", "other.toml", "good.toml"},
-			result{code: ExitFailure, err: "gypsumctl: sign: other.toml is bundle stall, good.toml is bundle shop\n"}},
+			result{code: ExitFailure, err: "gypsumctl: sign: other.toml is bundle stall, but good.toml is bundle shop\n"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -194,10 +194,10 @@
 	}
 }
 
-func TestSignShowsWhatChangesAndWarnsOfAnExposedKey(t *testing.T) {
-	in(t, map[string]string{
-		"old.toml": soundBundle,
-		"new.toml": strings.NewReplacer("version = 1", "version = 2", "slots = 20", "slots = 10").Replace(soundBundle),
+func TestSignPrintsChangesAndWarnsOfReadableKey(t *testing.T) {
+	chdirTemp(t, map[string]string{
+		"old.toml": validBundle,
+		"new.toml": strings.NewReplacer("version = 1", "version = 2", "slots = 20", "slots = 10").Replace(validBundle),
 	})
 	run("keygen", "-name", "aline")
 	if err := os.Chmod("aline.private.toml", 0o644); err != nil {
@@ -206,13 +206,13 @@
 	run("sign", "-key", "aline.private.toml", "-out", "old.signed", "old.toml")
 	r := run("sign", "-key", "aline.private.toml", "-previous", "old.signed", "-out", "new.signed", "new.toml")
 	want := "Version 2 replaces version 1.\nEach upstream of service orders runs 10 requests at once instead of 20.\n"
-	if r.code != ExitOK || !strings.HasPrefix(r.out, want) || r.err != "gypsumctl: warning: others than its owner may read aline.private.toml\n" {
+	if r.code != ExitOK || !strings.HasPrefix(r.out, want) || r.err != "gypsumctl: warning: aline.private.toml is readable by users other than its owner\n" {
 		t.Errorf("%+v", r)
 	}
 }
 
-func TestVerifyRefusesWhatANodeWould(t *testing.T) {
-	in(t, map[string]string{"shop.toml": soundBundle})
+func TestVerifyRejectsUntrustedAndAlteredBundles(t *testing.T) {
+	chdirTemp(t, map[string]string{"shop.toml": validBundle})
 	run("keygen", "-name", "aline")
 	run("keygen", "-name", "beatha")
 	run("sign", "-key", "aline.private.toml", "shop.toml")
@@ -234,9 +234,9 @@
 }
 
 func TestDiffReadsSignedAndPlainBundles(t *testing.T) {
-	in(t, map[string]string{
-		"old.toml": soundBundle,
-		"new.toml": strings.Replace(soundBundle, "deadline_ms = 1000", "deadline_ms = 900\nmax_deadline_ms = 1000", 1),
+	chdirTemp(t, map[string]string{
+		"old.toml": validBundle,
+		"new.toml": strings.Replace(validBundle, "deadline_ms = 1000", "deadline_ms = 900\nmax_deadline_ms = 1000", 1),
 		"bad.toml": "name = 1",
 	})
 	run("keygen", "-name", "aline")
--- a/internal/ctl/diff.go
+++ b/internal/ctl/diff.go
@@ -11,30 +11,31 @@
 var diffCommand = command{
 	name:      "diff",
 	arguments: "OLD NEW",
-	summary:   "say what a new version of a bundle changes for whom",
-	details: `Compares two bundles, each signed or in TOML, and prints one sentence for each
-change. Signatures are not verified: use "verify". The exit code is 0 whether or not
-they differ.`,
+	summary:   "list the changes between two versions of a bundle",
+	details: `Compares two bundles, each signed or in TOML, and prints one sentence per change.
+Signatures are not verified: use "verify" for that. The exit code is 0 whether or not
+the bundles differ.`,
 	examples: []string{"last.signed bundle.toml", "-json last.signed next.signed"},
 	setup: func(flags *flag.FlagSet) runner {
 		asJSON := flags.Bool("json", false, "print the changes as a JSON list")
 		return func(_ context.Context, s *streams, args []string) error {
 			if len(args) != 2 {
-				return usagef("want OLD and NEW, found %d files", len(args))
+				return usagef("want two files, OLD and NEW, got %d", len(args))
 			}
 			return diff(s, args[0], args[1], *asJSON)
 		}
 	},
 }
 
+// diff prints the changes from oldPath to newPath.
 func diff(s *streams, oldPath, newPath string, asJSON bool) error {
-	old, err := readEither(oldPath)
+	old, err := readSignedOrTOML(oldPath)
 	if err != nil {
-		return s.report(err)
+		return s.reportFindings(err)
 	}
-	next, err := readEither(newPath)
+	next, err := readSignedOrTOML(newPath)
 	if err != nil {
-		return s.report(err)
+		return s.reportFindings(err)
 	}
 	if asJSON {
 		return writeChangesJSON(s, old, next)
@@ -53,7 +54,7 @@
 	}
 }
 
-// changeJSON is one change as tools read it.
+// changeJSON is the JSON form of one change.
 type changeJSON struct {
 	Subject   string `json:"subject"`
 	Operation string `json:"operation"`
--- a/internal/ctl/files.go
+++ b/internal/ctl/files.go
@@ -11,10 +11,10 @@
 	"gypsumstand/internal/finding"
 )
 
-// publishedMode is the mode of files that anyone may read.
-const publishedMode = 0o644
+// publicFileMode is the mode of files that every user may read.
+const publicFileMode = 0o644
 
-// readFile reads a file of at most limit bytes.
+// readFile reads a file and returns an error if it is larger than limit bytes.
 func readFile(path string, limit int) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -26,19 +26,20 @@
 		return nil, err
 	}
 	if len(data) > limit {
-		return nil, fmt.Errorf("%s: over the bound of %d bytes", path, limit)
+		return nil, fmt.Errorf("%s: file exceeds the limit of %d bytes", path, limit)
 	}
 	return data, nil
 }
 
-// writeFile replaces a file whole or not at all.
+// writeFile replaces a file atomically: it writes a temporary file in the same directory
+// and renames it.
 func writeFile(path string, data []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".gypsumctl-*")
 	if err != nil {
 		return err
 	}
 	_, err = f.Write(data)
-	err = errors.Join(err, f.Chmod(publishedMode), f.Sync(), f.Close())
+	err = errors.Join(err, f.Chmod(publicFileMode), f.Sync(), f.Close())
 	if err == nil {
 		err = os.Rename(f.Name(), path)
 	}
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// source is a bundle's TOML with where it came from.
+// source is a parsed bundle with its TOML text, its path and, if it was signed, its signer.
 type source struct {
 	path   string
 	data   []byte
@@ -56,7 +57,7 @@
 	bundle *bundle.Bundle
 }
 
-// readBundle reads and checks a bundle in TOML.
+// readBundle reads and checks a TOML bundle.
 func readBundle(path string) (*source, error) {
 	data, err := readFile(path, bundle.MaxBytes)
 	if err != nil {
@@ -69,9 +70,8 @@
 	return &source{path: path, data: data, bundle: b}, nil
 }
 
-// readEither reads a bundle in TOML or a signed one, whose signature is not
-// verified.
-func readEither(path string) (*source, error) {
+// readSignedOrTOML reads a signed bundle or a TOML bundle. It does not verify signatures.
+func readSignedOrTOML(path string) (*source, error) {
 	data, err := readFile(path, bundle.MaxBytes)
 	if err != nil {
 		return nil, err
@@ -87,9 +87,9 @@
 	return &source{path: path, data: signed.Bundle, signer: signed.Signer, bundle: b}, nil
 }
 
-// report prints the findings of err and returns errFindings; other errors are
-// returned as they are.
-func (s *streams) report(err error) error {
+// reportFindings prints the findings in err and returns errFindings. It returns any other
+// error unchanged.
+func (s *streams) reportFindings(err error) error {
 	var list finding.List
 	if !errors.As(err, &list) {
 		return err
@@ -100,9 +100,9 @@
 	return errFindings
 }
 
-// named adds the path to an error that does not name it; findings name their
-// file already.
-func named(path string, err error) error {
+// withPath prefixes err with the path. Findings already contain it and are returned
+// unchanged.
+func withPath(path string, err error) error {
 	var list finding.List
 	if errors.As(err, &list) {
 		return err
--- a/internal/ctl/keygen.go
+++ b/internal/ctl/keygen.go
@@ -11,7 +11,7 @@
 	"gypsumstand/internal/tomlfile"
 )
 
-// Ends of key file names.
+// Suffixes of key file names.
 const (
 	privateSuffix = ".private.toml"
 	publicSuffix  = ".public.toml"
@@ -20,15 +20,15 @@
 var keygenCommand = command{
 	name:      "keygen",
 	arguments: "",
-	summary:   "make a signer's key",
-	details: `Makes an Ed25519 key from the operating system's randomness and writes two files:
-NAME.private.toml, readable by its owner only, which signs bundles off, and
-NAME.public.toml. Prints the lines that nodes' settings need to trust the signer.
-Files that exist are never replaced.`,
+	summary:   "generate a key pair for a signer",
+	details: `Generates an Ed25519 key pair from the operating system's random source and writes two
+files: NAME.private.toml, which signs bundles and is readable by its owner only, and
+NAME.public.toml. Prints the settings lines that make nodes trust the signer. Existing
+files are never overwritten.`,
 	examples: []string{"-name aline.uwase", "-name aline.uwase -dir ~/keys"},
 	setup: func(flags *flag.FlagSet) runner {
 		name := flags.String("name", "", "the signer's `NAME`: a-z, 0-9, '.', '_' and '-'")
-		dir := flags.String("dir", ".", "the `DIRECTORY` to write to")
+		dir := flags.String("dir", ".", "the output `DIRECTORY`")
 		return func(_ context.Context, s *streams, args []string) error {
 			if len(args) > 0 {
 				return usagef("unexpected argument %q", args[0])
@@ -41,6 +41,8 @@
 	},
 }
 
+// keygen generates a key pair and writes both files. If the public file cannot be written,
+// it removes the private one.
 func keygen(s *streams, name, dir string) error {
 	key, err := keys.Generate(name, nil)
 	if err != nil {
@@ -55,6 +57,6 @@
 		return errors.Join(err, os.Remove(private))
 	}
 	s.printf("# %s\n# private key: %s (keep it secret)\n# public key: %s\n", key, private, public)
-	s.printf("# Nodes trust the signer with these lines in their settings:\n[[signer]]\nname = %q\nkey = %q\n", key.Name, keys.EncodePublic(key.Public))
+	s.printf("# Add these lines to the settings of nodes that trust the signer:\n[[signer]]\nname = %q\nkey = %q\n", key.Name, keys.EncodePublic(key.Public))
 	return nil
 }
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -12,15 +12,15 @@
 var statusCommand = command{
 	name:      "status",
 	arguments: "ADDRESS",
-	summary:   "show what a node knows",
-	details: `Asks the operators' port of one node (IP number and port) for its view: its state,
-the bundles in force, the fleet, how old its sources are, its own worker's load, its
-links and its measuring.`,
+	summary:   "show the state of a node",
+	details: `Queries the operators' port of one node (IP number and port) for its view: its state,
+the bundles in force, the fleet, the age of its sources, the load of its own worker, its
+links and its measuring messages.`,
 	examples: []string{"127.0.0.1:7003", "-json 127.0.0.1:7003"},
-	setup:    shows(status.NodePath, writeNode),
+	setup:    remoteSetup(status.NodePath, writeNode),
 }
 
-// Layout of tables.
+// Table layout.
 const (
 	columnGap = 2
 	padding   = ' '
@@ -30,21 +30,22 @@
 	return tabwriter.NewWriter(w, 0, 0, columnGap, padding, 0)
 }
 
+// writeNode prints a node's status, fleet and links.
 func writeNode(w io.Writer, n *status.Node) error {
 	t := newTable(w)
-	row(t, "instance", fmt.Sprintf("%s, incarnation %d", text(n.Instance), n.Incarnation))
-	row(t, "service", fmt.Sprintf("%s in %s", text(n.Service), text(n.DataCentre)))
-	row(t, "state", text(n.State))
-	row(t, "ready", readiness(n))
-	row(t, "bundles", bundleList(n.Bundles))
-	row(t, "configuration", sourceWords(n.Sources.ConfigAge, n.Sources.ConfigReads))
-	row(t, "list", sourceWords(n.Sources.ListAge, n.Sources.ListReads))
+	writeRow(t, "instance", fmt.Sprintf("%s, incarnation %d", orDash(n.Instance), n.Incarnation))
+	writeRow(t, "service", fmt.Sprintf("%s in %s", orDash(n.Service), orDash(n.DataCentre)))
+	writeRow(t, "state", orDash(n.State))
+	writeRow(t, "ready", formatReadiness(n))
+	writeRow(t, "bundles", formatBundles(n.Bundles))
+	writeRow(t, "configuration", formatSource(n.Sources.ConfigAge, n.Sources.ConfigReads))
+	writeRow(t, "list", formatSource(n.Sources.ListAge, n.Sources.ListReads))
 	if n.Directory != nil {
-		row(t, "directory", directoryWords(n.Directory))
+		writeRow(t, "directory", formatDirectory(n.Directory))
 	}
-	row(t, "own worker", fmt.Sprintf("%d of %d in flight, %d queued, %s a request, %.1f%% failed",
-		n.Owner.InFlight, n.Owner.Limit, n.Owner.Queued, millis(n.Owner.ServiceTime), n.Owner.FailureRate*100))
-	row(t, "measuring", fmt.Sprintf("budget %g/s; %d polls, %d probes sent, %d received, %d refused",
+	writeRow(t, "own worker", fmt.Sprintf("%d of %d in flight, %d queued, %s per request, %.1f%% failed",
+		n.Owner.InFlight, n.Owner.Limit, n.Owner.Queued, formatMs(n.Owner.ServiceTime), n.Owner.FailureRate*100))
+	writeRow(t, "measuring", fmt.Sprintf("budget %g/s; %d polls, %d probes sent, %d received, %d refused",
 		n.Measuring.BudgetPerSecond, n.Measuring.Polls, n.Measuring.Sent, n.Measuring.Received, n.Measuring.Refused))
 	if err := t.Flush(); err != nil {
 		return err
@@ -58,9 +59,9 @@
 func writeFleet(w io.Writer, f *status.Fleet) error {
 	fmt.Fprintf(w, "\nFleet, revision %d:\n", f.Revision)
 	t := newTable(w)
-	row(t, "SERVICE", "LIVE", "COLD", "LEAVING", "GONE")
+	writeRow(t, "SERVICE", "LIVE", "COLD", "LEAVING", "GONE")
 	for _, c := range f.Services {
-		row(t, text(c.Service), fmt.Sprint(c.Live), fmt.Sprint(c.Cold), fmt.Sprint(c.Leaving), fmt.Sprint(c.Gone))
+		writeRow(t, orDash(c.Service), fmt.Sprint(c.Live), fmt.Sprint(c.Cold), fmt.Sprint(c.Leaving), fmt.Sprint(c.Gone))
 	}
 	return t.Flush()
 }
@@ -68,96 +69,100 @@
 func writeLinks(w io.Writer, links []status.Link) error {
 	fmt.Fprintf(w, "\nLinks, %d:\n", len(links))
 	t := newTable(w)
-	row(t, "PEER", "DATA CENTRE", "OPENED BY", "AGE")
+	writeRow(t, "PEER", "DATA CENTRE", "OPENED BY", "AGE")
 	for _, l := range links {
 		by := "peer"
 		if l.Outgoing {
 			by = "this node"
 		}
-		row(t, text(l.Peer), text(l.DataCentre), by, millis(l.Age))
+		writeRow(t, orDash(l.Peer), orDash(l.DataCentre), by, formatMs(l.Age))
 	}
 	return t.Flush()
 }
 
-func row(w io.Writer, cells ...string) { fmt.Fprintln(w, strings.Join(cells, "\t")) }
+func writeRow(w io.Writer, cells ...string) { fmt.Fprintln(w, strings.Join(cells, "\t")) }
 
-// text shows a name from elsewhere, or a dash for none.
-func text[T ~string](s T) string {
+// orDash returns a sanitized name received from a node, or a dash if it is empty.
+func orDash[T ~string](s T) string {
 	if s == "" {
 		return "-"
 	}
-	return clean(string(s))
+	return sanitize(string(s))
 }
 
-func readiness(n *status.Node) string {
+// formatReadiness returns whether callers are served and, if not, what is missing.
+func formatReadiness(n *status.Node) string {
 	if n.Ready {
 		return "yes"
 	}
 	missing := make([]string, len(n.NotReadyReasons))
 	for i, m := range n.NotReadyReasons {
-		missing[i] = text(m)
+		missing[i] = orDash(m)
 	}
 	if len(missing) == 0 {
 		return "no"
 	}
-	return "no, waits for " + strings.Join(missing, ", ")
+	return "no, waiting for " + strings.Join(missing, ", ")
 }
 
-func bundleList(bundles []status.Bundle) string {
+func formatBundles(bundles []status.Bundle) string {
 	if len(bundles) == 0 {
 		return "none"
 	}
 	out := make([]string, len(bundles))
 	for i, b := range bundles {
-		out[i] = fmt.Sprintf("%s@%d", text(b.Name), b.Version)
+		out[i] = fmt.Sprintf("%s@%d", orDash(b.Name), b.Version)
 	}
 	return strings.Join(out, " ")
 }
 
-func sourceWords(age *status.Milliseconds, reads uint64) string {
+// formatSource returns how long ago a source was confirmed and how often this node read it.
+func formatSource(age *status.Milliseconds, reads uint64) string {
 	confirmed := "not confirmed"
 	if age != nil {
-		confirmed = "confirmed " + ago(age)
+		confirmed = "confirmed " + formatAgo(age)
 	}
-	return fmt.Sprintf("%s, read %d times by this node", confirmed, reads)
+	return fmt.Sprintf("%s, %d reads by this node", confirmed, reads)
 }
 
-func ago(age *status.Milliseconds) string {
+// formatAgo formats an age; nil means that the event never happened.
+func formatAgo(age *status.Milliseconds) string {
 	if age == nil {
 		return "never"
 	}
-	return millis(*age) + " ago"
+	return formatMs(*age) + " ago"
 }
 
-// secondMs is where times are shown in seconds.
-const secondMs = 1000
+const msPerSecond = 1000
 
-func millis(m status.Milliseconds) string {
-	if m >= secondMs {
-		return fmt.Sprintf("%.1f s", float64(m)/secondMs)
+// formatMs formats times from one second in seconds, shorter ones in milliseconds.
+func formatMs(m status.Milliseconds) string {
+	if m >= msPerSecond {
+		return fmt.Sprintf("%.1f s", float64(m)/msPerSecond)
 	}
 	return fmt.Sprintf("%.2f ms", float64(m))
 }
 
-// lagWords say why a view of the directory is late.
-var lagWords = map[string]string{
+// lagDescriptions maps status.Directory.LagReason to the reason why the view is late.
+var lagDescriptions = map[string]string{
 	"in-time":               "in time",
 	"never-read":            "never read",
-	"reading-fails":         "late: this node's readings fail, and no peer knows better",
-	"reading-slow":          "late: a reading is under way",
-	"configuration-refused": "late: the newest configuration cannot be decoded here (event 631)",
-	"waits-for-peers":       "late: others are expected to read",
+	"reading-fails":         "late: reads by this node fail, and no peer has a newer revision",
+	"reading-slow":          "late: a read is in progress",
+	"configuration-refused": "late: this node cannot decode the newest configuration (event 631)",
+	"waits-for-peers":       "late: waiting for peers to read",
 }
 
-func directoryWords(d *status.Directory) string {
-	words, known := lagWords[d.LagReason]
+// formatDirectory returns how far behind the node's view of its directory is, and why.
+func formatDirectory(d *status.Directory) string {
+	words, known := lagDescriptions[d.LagReason]
 	if !known {
-		words = "late: " + text(d.LagReason)
+		words = "late: " + orDash(d.LagReason)
 	}
 	age := "never confirmed"
 	if d.Age != nil {
-		age = "confirmed " + ago(d.Age)
+		age = "confirmed " + formatAgo(d.Age)
 	}
-	return fmt.Sprintf("%s; revision %d of %d heard of, %s; %d listed, %d of %d questions answered, %d readings failed",
+	return fmt.Sprintf("%s; revision %d, newest seen %d, %s; %d listed, %d of %d peer requests answered, %d reads failed",
 		words, d.Revision, d.NewestSeen, age, d.Listed, d.PeerReplies, d.PeerRequests, d.ReadFailures)
 }
