--- a/internal/daemon/logreader_test.go
+++ b/internal/daemon/brokenpipe_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// childVariable names the settings of a process that is started as a node by a test.
+// childVariable is the environment variable with the settings path. If it is set, the test
+// binary runs a node instead of the tests.
 const childVariable = "GYPSUMSTAND_TEST_DAEMON"
 
 func TestMain(m *testing.M) {
@@ -19,10 +20,10 @@
 	os.Exit(m.Run())
 }
 
-// A node whose log's reader went away was ended by its next line, with every request that it
-// had in hand, and without a word: a write to a broken pipe on standard output ends a process.
-// The evidence is the end of the child here, "signal: broken pipe".
-func TestALogWhoseReaderHasGoneEndsNoNode(t *testing.T) {
+// Guards against SIGPIPE: if the reader of a node's log exits, the next write to the broken
+// pipe on standard output kills the process with every request in flight. The child would
+// then exit with "signal: broken pipe".
+func TestBrokenLogPipeDoesNotKillNode(t *testing.T) {
 	settings := filepath.Join(t.TempDir(), "node.toml")
 	if err := os.WriteFile(settings, []byte("unknown = 1\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -40,6 +41,6 @@
 	child.Stdout = writer
 	var exit *exec.ExitError
 	if err := child.Run(); !errors.As(err, &exit) || exit.ExitCode() != ExitSettings {
-		t.Errorf("ended with %v, want exit code %d", err, ExitSettings)
+		t.Errorf("child exited with %v, want exit code %d", err, ExitSettings)
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon is gypsumd without its main: it reads the settings, runs a node
-// and obeys signals.
+// Package daemon implements the node programs (gypsumd and gypsumside): it reads the
+// settings, runs a node and handles signals.
 package daemon
 
 import (
@@ -26,18 +26,18 @@
 	"gypsumstand/internal/task"
 )
 
-// Exit codes of gypsumd.
+// Exit codes of the node programs.
 const (
 	ExitOK       = 0
 	ExitFailed   = 1
 	ExitUsage    = 2
 	ExitSettings = 3
-	// ExitCutOff: the stop's bound ended with requests in flight.
+	// ExitCutOff means that the time limit of a stop passed with requests in flight.
 	ExitCutOff = 4
 )
 
-// Main is a node program: it reads the command line and runs. settingsPath is used
-// where no flag names the file. It returns the exit code.
+// Main parses the command line, runs a node and returns the exit code. settingsPath is the
+// default of the flag -settings.
 func Main(usage, settingsPath string, out io.Writer, adapt Adapter) int {
 	path := flag.String("settings", settingsPath, "settings file (TOML)")
 	flag.Usage = func() {
@@ -52,53 +52,54 @@
 	return Run(context.Background(), *path, out, adapt)
 }
 
-// Adaptation is what a platform's adapter brings in place of the product's own.
+// Adaptation holds a platform's replacements for the default dialects and directory.
 type Adaptation struct {
 	Callers   dialect.Callers
 	Workers   dialect.Workers
 	Directory node.Directory
 }
 
-// Adapter makes the adaptation for checked settings; nil means the product's own.
+// Adapter returns the adaptation for checked settings. A nil Adapter keeps the defaults.
 type Adapter func(s *settings.Settings, log zerolog.Logger) (Adaptation, error)
 
-// Run reads the settings at path and serves until ctx ends or SIGTERM or SIGINT
-// comes, then stops gracefully. It returns the exit code.
+// Run reads the settings at path, serves until ctx ends or SIGTERM or SIGINT arrives, then
+// stops gracefully. It returns the exit code.
 func Run(ctx context.Context, path string, out io.Writer, adapt Adapter) int {
-	// net/http's transport prints unsolicited answers of a worker there, whole: what
-	// a caller was to read is not for the log.
+	// The transport of net/http prints unsolicited responses of a worker to the standard
+	// logger in full. They may hold callers' data, which must not reach a log.
 	stdlog.SetOutput(io.Discard)
-	// From the first moment to the last: by default a hang-up ends a process, also one
-	// that is finishing what it has.
-	hangUps := make(chan os.Signal, 1)
-	signal.Notify(hangUps, syscall.SIGHUP)
-	defer signal.Stop(hangUps)
-	// By default a write to a log whose reader has gone ends a process with all that it has
-	// in hand: the lines are lost instead.
+	// SIGHUP stays caught from start to exit: by default it kills the process, even during
+	// a graceful stop.
+	sighup := make(chan os.Signal, 1)
+	signal.Notify(sighup, syscall.SIGHUP)
+	defer signal.Stop(sighup)
+	// By default a write to standard output or standard error whose reader has exited kills
+	// the process, and every request in flight with it. Ignoring SIGPIPE loses only log lines.
 	signal.Ignore(syscall.SIGPIPE)
-	plain := zerolog.New(out).With().Timestamp().Logger()
+	log := zerolog.New(out).With().Timestamp().Logger()
 	s, err := settings.Load(path)
 	if err != nil {
-		refuse(&plain, err)
+		logSettingsErrors(&log, err)
 		return ExitSettings
 	}
 	logger := logging.New(out, s.Level(), s.RequestLogLines)
 	defer logger.Close()
-	return serve(ctx, path, s, logger, adapt, hangUps)
+	return serve(ctx, path, s, logger, adapt, sighup)
 }
 
-func serve(ctx context.Context, path string, s *settings.Settings, logger *logging.Logger, adapt Adapter, hangUps <-chan os.Signal) int {
+// serve builds the node from the settings and runs it until it stops.
+func serve(ctx context.Context, path string, s *settings.Settings, logger *logging.Logger, adapt Adapter, sighup <-chan os.Signal) int {
 	log := logger.Main
 	s.Log(&log)
-	cfg, err := config(s, log)
+	cfg, err := nodeConfig(s, log)
 	if err != nil {
-		refuse(&log, err)
+		logSettingsErrors(&log, err)
 		return ExitSettings
 	}
 	if adapt != nil {
 		adaptation, err := adapt(s, log)
 		if err != nil {
-			refuse(&log, err)
+			logSettingsErrors(&log, err)
 			return ExitSettings
 		}
 		cfg.Callers, cfg.Workers, cfg.Directory = adaptation.Callers, adaptation.Workers, adaptation.Directory
@@ -112,32 +113,35 @@
 		event.Log(&log, event.Fatal).Err(err).Send()
 		return ExitFailed
 	}
-	ended := make(chan struct{})
-	task.Go(func() { watchHangUps(hangUps, ended, path, s, &log) }, func(err error) {
+	done := make(chan struct{})
+	task.Go(func() { watchSIGHUP(sighup, done, path, s, &log) }, func(err error) {
 		event.Log(&log, event.ComponentFailed).Err(err).Send()
 	})
-	defer close(ended)
-	return code(n.Run(ctx))
+	defer close(done)
+	return exitCode(n.Run(ctx))
 }
 
-// heapShare is the part of the process's memory that the collector keeps the heap
-// within: stacks, connections' buffers and the runtime need the rest.
-const heapShare = 2
-
-// frugalPercent is the collector's growth of the heap (GOGC) where memory is bounded:
-// a quarter of what lives, in place of as much again. Live data are 2 to 4 MB, so it
-// saves about 3 MB of 15 a process, for under 0.1% of a core at 20 requests a second.
-const frugalPercent = 25
-
-// limitMemory makes the collector work harder before the process's bound is near.
-func limitMemory(bytes int64) {
-	if bytes > 0 {
-		debug.SetMemoryLimit(bytes / heapShare)
-		debug.SetGCPercent(frugalPercent)
+// heapDivisor divides the process's memory limit to give the soft limit of the Go heap.
+// Goroutine stacks, connection buffers and the runtime need the rest.
+const heapDivisor = 2
+
+// boundedGCPercent is GOGC for a process with a memory limit: the heap grows by a quarter
+// of the live data between collections instead of doubling. With 2 to 4 MB of live data
+// this saves about 3 of 15 MB per process and costs under 0.1% of a core at 20 requests per
+// second.
+const boundedGCPercent = 25
+
+// limitMemory tunes the garbage collector for a memory limit of the process in bytes. Zero
+// means no limit.
+func limitMemory(limit int64) {
+	if limit > 0 {
+		debug.SetMemoryLimit(limit / heapDivisor)
+		debug.SetGCPercent(boundedGCPercent)
 	}
 }
 
-func code(err error) int {
+// exitCode maps the result of node.Node.Run to an exit code.
+func exitCode(err error) int {
 	switch {
 	case err == nil:
 		return ExitOK
@@ -147,8 +151,8 @@
 	return ExitFailed
 }
 
-// refuse logs every finding of the settings, one a line.
-func refuse(log *zerolog.Logger, err error) {
+// logSettingsErrors logs one line per finding in the settings.
+func logSettingsErrors(log *zerolog.Logger, err error) {
 	var list finding.List
 	if !errors.As(err, &list) {
 		event.Log(log, event.SettingsRefused).Err(err).Send()
@@ -159,9 +163,9 @@
 	}
 }
 
-// config turns settings into the node's configuration.
-func config(s *settings.Settings, log zerolog.Logger) (node.Config, error) {
-	secured, err := s.TLS.Load()
+// nodeConfig converts settings to the node's configuration.
+func nodeConfig(s *settings.Settings, log zerolog.Logger) (node.Config, error) {
+	peerTLS, err := s.TLS.Load()
 	if err != nil {
 		return node.Config{}, err
 	}
@@ -179,7 +183,7 @@
 		PlatformTimeout:    s.Platform.Timeout(),
 		Seeds:              s.Peers,
 		Trusted:            s.TrustedSigners(),
-		PeerTLS:            secured,
+		PeerTLS:            peerTLS,
 		StopTimeout:        s.StopTimeout(),
 		LeaveGrace:         s.LeaveGrace(),
 		LocalDelay:         s.LocalDelay(),
@@ -191,30 +195,31 @@
 	}, nil
 }
 
-// watchHangUps checks the settings file anew at each SIGHUP and says whether it is
-// sound and differs from the settings in force. Nothing is changed: a node's own
-// settings take force by a planned stop and a start, so that no node runs on
-// half of an edit; all that changes while it runs is in the bundles.
-func watchHangUps(hangUps <-chan os.Signal, ended <-chan struct{}, path string, inForce *settings.Settings, log *zerolog.Logger) {
+// watchSIGHUP checks the settings file at each SIGHUP and logs whether it is valid and
+// differs from the current settings. It changes nothing: new settings take effect only by a
+// planned stop and a start, so that no node runs on a half-edited file. Everything that
+// changes while a node runs is in the bundles.
+func watchSIGHUP(sighup <-chan os.Signal, done <-chan struct{}, path string, current *settings.Settings, log *zerolog.Logger) {
 	for {
 		select {
-		case <-ended:
+		case <-done:
 			return
-		case <-hangUps:
-			checkAnew(path, inForce, log)
+		case <-sighup:
+			recheckSettings(path, current, log)
 		}
 	}
 }
 
-func checkAnew(path string, inForce *settings.Settings, log *zerolog.Logger) {
+// recheckSettings loads the settings file and logs how it compares to the current settings.
+func recheckSettings(path string, current *settings.Settings, log *zerolog.Logger) {
 	s, err := settings.Load(path)
 	if err != nil {
-		refuse(log, err)
+		logSettingsErrors(log, err)
 		return
 	}
-	word := "as in force"
-	if !reflect.DeepEqual(s, inForce) {
-		word = "sound, and differ from those in force: stop and start the node to use them"
+	result := "as in force"
+	if !reflect.DeepEqual(s, current) {
+		result = "valid, but differ from those in force: stop and start the node to apply them"
 	}
-	event.Log(log, event.SettingsChecked).Str("settings", word).Send()
+	event.Log(log, event.SettingsChecked).Str("settings", result).Send()
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -37,9 +37,9 @@
 key = "A6EHv/POEL4dcN0Y50vAmWfk1jCbpQ1fHdyGZBJVMbg="
 `
 
-// run writes settings, runs the daemon on them, and returns its exit code and
-// what its log says in the given field.
-func run(t *testing.T, field, instance, callers string, stopTimeoutMs int) (exit int, said []string) {
+// run writes settings and runs the daemon on them. It returns the exit code and the values
+// of the given field in all log lines.
+func run(t *testing.T, field, instance, callers string, stopTimeoutMs int) (exit int, values []string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "node.toml")
 	if err := os.WriteFile(path, fmt.Appendf(nil, testSettings, instance, callers, stopTimeoutMs), 0o600); err != nil {
@@ -53,13 +53,13 @@
 			t.Fatalf("%s: %v", line, err)
 		}
 		if text, ok := fields[field].(string); ok {
-			said = append(said, strings.TrimPrefix(text, path+":"))
+			values = append(values, strings.TrimPrefix(text, path+":"))
 		}
 	}
-	return exit, said
+	return exit, values
 }
 
-func TestEveryFaultOfTheSettingsIsLoggedInOnePass(t *testing.T) {
+func TestAllSettingsErrorsAreLogged(t *testing.T) {
 	exit, findings := run(t, "finding", "Ledger 1", "127.0.0.1", 1)
 	if exit != 3 {
 		t.Errorf("exit code %d, want 3", exit)
@@ -75,20 +75,20 @@
 	}
 }
 
-func TestAPortInUseEndsTheStart(t *testing.T) {
+func TestPortInUseFailsStart(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer taken.Close()
-	exit, said := run(t, "error", "ledger-1", taken.Addr().String(), 30_000)
-	if exit != 1 || len(said) != 1 {
-		t.Errorf("exit code %d, errors %q, want 1 and one error", exit, said)
+	exit, errs := run(t, "error", "ledger-1", taken.Addr().String(), 30_000)
+	if exit != 1 || len(errs) != 1 {
+		t.Errorf("exit code %d, errors %q, want 1 and one error", exit, errs)
 	}
 }
 
-// The codes are numbers here, as gypsumd's usage text promises them.
-func TestExitCodeTellsHowTheNodeEnded(t *testing.T) {
+// The exit codes are literal here because gypsumd's usage text documents the numbers.
+func TestExitCodes(t *testing.T) {
 	for _, tt := range []struct {
 		err  error
 		want int
@@ -97,15 +97,15 @@
 		{fmt.Errorf("stop: %w", node.ErrCutOff), 4},
 		{errors.New("port closed"), 1},
 	} {
-		if got := code(tt.err); got != tt.want {
+		if got := exitCode(tt.err); got != tt.want {
 			t.Errorf("%v: exit code %d, want %d", tt.err, got, tt.want)
 		}
 	}
 }
 
-// Found by seed 101 of the soak: a node that was told to stop, and then got a
-// hang-up, ended at once.
-func TestAHangUpDuringAStopEndsNothing(t *testing.T) {
+// Guards against a SIGHUP that kills a node during a graceful stop, when its handler is
+// removed as soon as the stop begins.
+func TestSIGHUPDuringStopIsHandled(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	path := filepath.Join(t.TempDir(), "node.toml")
@@ -133,8 +133,8 @@
 		case strings.Contains(lines.Text(), `"event":100,`):
 			stop()
 		case strings.Contains(lines.Text(), `"event":101,`):
-			// Whatever ends with the stop's beginning has ended then. Without a handler
-			// the signal ends the test's process.
+			// Waits until everything that ends when the stop begins has ended. Without a
+			// handler the signal then kills the test process.
 			pause.For(t.Context(), 300*time.Millisecond)
 			if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 				t.Fatal(err)
