--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,6 +1,6 @@
-// Package logging makes a program's logger: structured lines to one writer that is
-// never waited for, and a bound on the lines about single requests. What is left
-// out is counted and told once a second.
+// Package logging provides a structured logger that never blocks on its writer and limits
+// the rate of lines about single requests. Dropped lines are counted and reported once per
+// second.
 package logging
 
 import (
@@ -16,17 +16,17 @@
 )
 
 const (
-	// ringLines is the number of lines that wait for a slow reader, about 300 KB.
-	ringLines = 1024
-	// tellInterval is how often lines left out are told.
-	tellInterval = time.Second
+	// bufferLines is the number of lines buffered for a slow reader, about 300 KB.
+	bufferLines = 1024
+	// dropReportInterval is the interval between reports of dropped lines.
+	dropReportInterval = time.Second
 )
 
-// Logger is a program's logger with its bounded writer.
+// Logger holds a program's loggers and their shared non-blocking writer.
 type Logger struct {
-	// Main takes lines about the process and its beliefs.
+	// Main logs lines about the process and its view of the fleet. They are not rate-limited.
 	Main zerolog.Logger
-	// Requests takes lines about single requests, at most a bound a second.
+	// Requests logs lines about single requests, up to a limit per second.
 	Requests zerolog.Logger
 
 	writer  diode.Writer
@@ -36,69 +36,70 @@
 	done    chan struct{}
 }
 
-// New returns a logger that writes to out from a goroutine of its own; Close ends
-// it. requestLines bounds the lines a second about requests.
+// New returns a logger that writes to out from its own goroutine until Close. requestLines
+// is the maximum number of lines per second about requests.
 func New(out io.Writer, level zerolog.Level, requestLines int) *Logger {
 	l := &Logger{stop: make(chan struct{}), done: make(chan struct{})}
-	// A poll interval of zero wakes the writer by each line.
-	l.writer = diode.NewWriter(out, ringLines, 0, func(missed int) { l.missed.Add(int64(missed)) })
+	// A poll interval of zero makes every line wake the writer.
+	l.writer = diode.NewWriter(out, bufferLines, 0, func(missed int) { l.missed.Add(int64(missed)) })
 	l.Main = zerolog.New(l.writer).Level(level).With().Timestamp().Logger()
-	l.sampler = &sampler{burst: int64(requestLines)}
+	l.sampler = &sampler{limit: int64(requestLines)}
 	l.Requests = l.Main.Sample(l.sampler)
-	task.Go(l.tell, func(err error) { event.Log(&l.Main, event.ComponentFailed).Err(err).Send() })
+	task.Go(l.reportLoop, func(err error) { event.Log(&l.Main, event.ComponentFailed).Err(err).Send() })
 	return l
 }
 
-// tell says each second how many lines were left out.
-func (l *Logger) tell() {
+// reportLoop reports dropped lines every dropReportInterval and once more at Close.
+func (l *Logger) reportLoop() {
 	defer close(l.done)
-	ticker := time.NewTicker(tellInterval)
+	ticker := time.NewTicker(dropReportInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			l.tellOnce()
+			l.reportDropped()
 		case <-l.stop:
-			l.tellOnce()
+			l.reportDropped()
 			return
 		}
 	}
 }
 
-func (l *Logger) tellOnce() {
-	sampled, missed := l.sampler.renew(), l.missed.Swap(0)
+// reportDropped logs how many lines were dropped since the last report, if any.
+func (l *Logger) reportDropped() {
+	sampled, missed := l.sampler.reset(), l.missed.Swap(0)
 	if sampled == 0 && missed == 0 {
 		return
 	}
 	event.Log(&l.Main, event.LogLinesDropped).Int("over_the_bound", sampled).Int("reader_too_slow", missed).Send()
 }
 
-// Close writes what waits and ends the writer. Lines after it are lost.
+// Close flushes the buffer and stops the writer. Later lines are lost.
 func (l *Logger) Close() {
 	close(l.stop)
 	<-l.done
-	// The writer below is not closed by it; its error has no receiver.
+	// The diode writer does not close the writer below it. There is nowhere to report an error.
 	_ = l.writer.Close()
 }
 
-// sampler lets burst lines through between two renewals.
+// sampler passes up to limit lines between two resets and drops the rest.
 type sampler struct {
-	burst   int64
+	limit   int64
 	used    atomic.Int64
 	dropped atomic.Int64
 }
 
-// Sample implements zerolog.Sampler.
+// Sample implements zerolog.Sampler: it reports whether the line is logged.
 func (s *sampler) Sample(zerolog.Level) bool {
-	if s.used.Add(1) <= s.burst {
+	if s.used.Add(1) <= s.limit {
 		return true
 	}
 	s.dropped.Add(1)
 	return false
 }
 
-// renew begins the next interval and returns how many lines were dropped.
-func (s *sampler) renew() int64 {
+// reset begins a new interval and returns how many lines the last one dropped.
+func (s *sampler) reset() int64 {
 	s.used.Store(0)
 	return s.dropped.Swap(0)
 }
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -1,7 +1,6 @@
-// Package status holds the JSON that a node answers on its operators' port:
-// Node for /status and Explanation for /explain. Fields may be added; none is
-// renamed or given another meaning, since tools of another version read them.
-// Times are in milliseconds. The package has no behaviour beyond conversion.
+// Package status defines the JSON responses of a node's operators' port: Node for /status,
+// Explanation for /explain and Quarantine for /aside. Tools of other versions read them, so
+// fields may be added but never renamed or given another meaning. Times are in milliseconds.
 package status
 
 import (
@@ -22,21 +21,21 @@
 	ParamClass  = "class"
 )
 
-// Milliseconds is a duration in JSON.
+// Milliseconds is the JSON form of a duration.
 type Milliseconds float64
 
-// Ms converts a duration.
+// Ms converts a duration to milliseconds.
 func Ms(d time.Duration) Milliseconds {
 	return Milliseconds(float64(d) / float64(time.Millisecond))
 }
 
-// Duration converts back.
+// Duration converts milliseconds to a duration.
 func (m Milliseconds) Duration() time.Duration {
 	return time.Duration(float64(m) * float64(time.Millisecond))
 }
 
-// Age returns the time from then to now, or nil when then is the zero time:
-// it never happened.
+// Age returns the time from then to now, or nil if then is the zero time, which means that
+// the event never happened.
 func Age(now, then time.Time) *Milliseconds {
 	if then.IsZero() {
 		return nil
@@ -45,44 +44,44 @@
 	return &m
 }
 
-// Node is one node's blackboard and counts, at one moment.
+// Node is a snapshot of a node's view and counters.
 type Node struct {
 	Instance    model.InstanceID  `json:"instance"`
 	Service     model.ServiceName `json:"service"`
 	DataCentre  model.DataCentre  `json:"data_centre"`
 	State       string            `json:"state"`
 	Incarnation model.Incarnation `json:"incarnation"`
-	// Ready tells whether callers are served; Missing what is still waited for.
+	// Ready reports whether callers are served. NotReadyReasons lists what is still missing.
 	Ready           bool     `json:"ready"`
 	NotReadyReasons []string `json:"missing"`
 	Bundles         []Bundle `json:"bundles"`
 	Fleet           Fleet    `json:"fleet"`
 	Sources         Sources  `json:"sources"`
-	// Directory is nil at a node that follows none.
+	// Directory is nil on a node that follows no directory.
 	Directory *Directory `json:"directory,omitempty"`
 	Owner     Load       `json:"owner"`
 	Links     []Link     `json:"links"`
 	Measuring Measuring  `json:"measuring"`
 }
 
-// Bundle is a bundle in force.
+// Bundle identifies a bundle in force.
 type Bundle struct {
 	Name    model.BundleName `json:"name"`
 	Version uint64           `json:"version"`
 }
 
-// BundleOf converts a version.
+// BundleOf converts a bundle version.
 func BundleOf(v model.BundleVersion) Bundle { return Bundle{Name: v.Name, Version: v.Version} }
 
-// Fleet counts the known instances.
+// Fleet counts the known instances by service and state.
 type Fleet struct {
-	// Revision grows with every change of the node's view.
+	// Revision increases with every change of the node's view.
 	Revision uint64 `json:"revision"`
-	// Services in the order of their names.
+	// Services are sorted by name.
 	Services []ServiceCount `json:"services"`
 }
 
-// ServiceCount counts the instances of one service by state.
+// ServiceCount counts the instances of one service, by state.
 type ServiceCount struct {
 	Service model.ServiceName `json:"service"`
 	Cold    int               `json:"cold"`
@@ -91,10 +90,10 @@
 	Gone    int               `json:"gone"`
 }
 
-// Sources tells how old what was read from the platform is.
+// Sources states how old the data read from the platform is.
 type Sources struct {
-	// ConfigAge and ListAge count from the last confirmation, by this node's own
-	// reading or a peer's; nil means that there is none that still holds.
+	// ConfigAge and ListAge are the times since this node or a peer last confirmed the
+	// data by a read. They are nil without a confirmation that still holds.
 	ConfigAge *Milliseconds `json:"config_age_ms"`
 	ListAge   *Milliseconds `json:"list_age_ms"`
 	// ConfigReads and ListReads count this node's own reads since its start.
@@ -102,42 +101,43 @@
 	ListReads   uint64 `json:"list_reads"`
 }
 
-// Directory tells how far behind a node's view of its directory is, and why.
+// Directory states how far a node's view of its directory lags, and why.
 type Directory struct {
-	// Revision is the directory's that is known, Heard the greatest heard of.
+	// Revision is the known revision of the directory, NewestSeen the highest announced one.
 	Revision   uint64 `json:"revision"`
 	NewestSeen uint64 `json:"heard"`
-	// Age counts from when the revision was last known to be the newest; nil for never.
+	// Age is the time since the revision was last confirmed to be the newest; nil if never.
 	Age *Milliseconds `json:"age_ms"`
-	// Late: a change may already have taken longer than it should. Lag says why.
+	// Late reports whether a change may have taken longer than its target to arrive;
+	// LagReason states why.
 	Late      bool   `json:"late"`
 	LagReason string `json:"lag"`
-	// Listed is the number of instances that the directory names. Of the latest Asked
-	// questions to them Answered were answered.
+	// Listed is the number of instances in the directory. PeerRequests counts the recent
+	// requests to peers whose time to reply has passed, PeerReplies those answered.
 	Listed       int `json:"listed"`
 	PeerRequests int `json:"asked"`
 	PeerReplies  int `json:"answered"`
-	// ReadFailures counts the node's own failed readings since its last good one.
+	// ReadFailures counts this node's failed reads since its last successful one.
 	ReadFailures int `json:"failures"`
-	// Reads counts the node's own readings by cause.
+	// Reads counts this node's reads by cause.
 	Reads map[string]uint64 `json:"readings"`
-	// Evacuated names the data centres to whose workers nothing is to be sent.
+	// Evacuated names the data centres whose workers receive no requests.
 	Evacuated []model.DataCentre `json:"evacuated,omitempty"`
 }
 
-// Load is the owner's load.
+// Load is the load of the node's own worker, as its owner reports it.
 type Load struct {
 	Limit       int          `json:"limit"`
 	InFlight    int          `json:"in_flight"`
 	Queued      int          `json:"queued"`
 	ServiceTime Milliseconds `json:"service_ms"`
-	// FailureRate is the share of the worker's answers that failed, 0 to 1.
+	// FailureRate is the share of the worker's responses that failed, from 0 to 1.
 	FailureRate float64 `json:"failure_rate"`
-	// Warming is for how much longer the worker is warming; absent when it is not.
+	// Warming is the time until the worker has warmed up; absent if it is not warming.
 	Warming Milliseconds `json:"warming_ms,omitempty"`
 }
 
-// LoadOf converts a report.
+// LoadOf converts a load report.
 func LoadOf(r model.LoadReport) Load {
 	return Load{
 		Limit:       int(r.Limit),
@@ -153,88 +153,90 @@
 type Link struct {
 	Peer       model.InstanceID `json:"peer"`
 	DataCentre model.DataCentre `json:"data_centre"`
-	// Outgoing tells whether this node opened it.
+	// Outgoing reports whether this node opened the link.
 	Outgoing bool         `json:"outgoing"`
 	Age      Milliseconds `json:"age_ms"`
 }
 
-// Measuring counts measuring messages against the bundle's budget.
+// Measuring counts measuring messages (polls and probes) beside their budget.
 type Measuring struct {
-	// BudgetPerSecond is the budget of this node's own upstream.
+	// BudgetPerSecond is the bundle's budget of measuring messages for this node's worker.
 	BudgetPerSecond float64 `json:"budget_per_second"`
 	// Polls counts the polls of this node's own worker.
 	Polls uint64 `json:"polls"`
-	// Sent and Received count probes to other owners and from other entries.
+	// Sent counts probes to other owners, Received answered probes from other entries.
 	Sent     uint64 `json:"sent"`
 	Received uint64 `json:"received"`
-	// Refused counts probes that came over the budget.
+	// Refused counts received probes that exceeded the budget.
 	Refused uint64 `json:"refused"`
 }
 
-// Quarantine lists the requests under which workers ended, as a node knows of them: those that
-// are put aside first.
+// Quarantine lists the suspect requests that a node knows, quarantined ones first.
 type Quarantine struct {
 	Requests []SuspectRequest `json:"requests"`
-	// Crashes counts the ends of this node's own worker with requests in hand.
+	// Crashes counts the crashes of this node's own worker with requests in flight.
 	Crashes uint64 `json:"ends"`
 }
 
-// SuspectRequest is one request under which workers ended.
+// SuspectRequest is a request during which workers crashed.
 type SuspectRequest struct {
-	// Fingerprint is the same for every sending of the request; events 514 to 517 name it.
+	// Fingerprint is equal for all submissions of the request; events 514 to 517 contain it.
 	Fingerprint string `json:"fingerprint"`
-	// Label is method, host and path; empty where this node has never seen the request.
+	// Label is method, host and path; empty if this node has not seen the request.
 	Label string `json:"asked"`
-	// Quarantined: it reaches no worker. SinceAge is for how long at this node, NextTrial the
-	// time until it may run once; nil when it may not any more.
+	// Quarantined reports whether the request is kept from all workers. SinceAge is the time
+	// since this node quarantined it. NextTrial is the time until it may run once more; nil
+	// if no trial is left.
 	Quarantined bool          `json:"put_aside"`
 	SinceAge    *Milliseconds `json:"since_age_ms"`
 	NextTrial   *Milliseconds `json:"next_trial_ms"`
-	// Crashes are the ends of workers under it.
+	// Crashes lists the worker crashes during the request.
 	Crashes []WorkerCrash `json:"ends"`
 }
 
-// WorkerCrash is one end of a worker under a request.
+// WorkerCrash is one crash of a worker during a request.
 type WorkerCrash struct {
 	Instance model.InstanceID `json:"instance"`
 	Age      Milliseconds     `json:"age_ms"`
 }
 
-// Explanation tells why a request would go where at this moment.
+// Explanation states where a request would be sent now, and why.
 type Explanation struct {
-	// Method, Path, Tenant and Class are what was asked for.
+	// Method, Path and Tenant are those of the query.
 	Method string           `json:"method"`
 	Path   string           `json:"path"`
 	Tenant model.TenantName `json:"tenant"`
-	// Matched is false when the request leads to no service and class; Reason
-	// then says why.
+	// Matched reports whether the request has a service and class; if not, Reason states
+	// why.
 	Matched    bool              `json:"matched"`
 	Reason     string            `json:"reason"`
 	Bundle     Bundle            `json:"bundle"`
 	Service    model.ServiceName `json:"service"`
 	Class      model.ClassName   `json:"class"`
 	Idempotent bool              `json:"idempotent"`
-	// Candidates in the order of their expected time.
+	// Candidates are sorted by expected time.
 	Candidates []Candidate `json:"candidates"`
-	// Chosen is empty when there is none.
+	// Chosen is empty if there is no upstream.
 	Chosen model.InstanceID `json:"chosen"`
 }
 
-// Candidate is one upstream with the estimates that it was weighed by.
+// Candidate is an upstream with the estimates that it is ranked by.
 type Candidate struct {
 	Instance   model.InstanceID `json:"instance"`
 	DataCentre model.DataCentre `json:"data_centre"`
-	// Expected is the time to the whole answer; it is the sum of the next four.
+	// Expected is the time to the complete response: the sum of Wait, Service, Link and
+	// Penalty.
 	Expected Milliseconds `json:"expected_ms"`
 	Wait     Milliseconds `json:"wait_ms"`
 	Service  Milliseconds `json:"service_ms"`
 	Link     Milliseconds `json:"link_ms"`
-	// Penalty is the expected cost of failure.
+	// Penalty is the expected cost of a failure.
 	Penalty Milliseconds `json:"penalty_ms"`
-	// InFlight counts this entry's own attempts there.
+	// InFlight counts this entry's attempts in flight at the upstream.
 	InFlight int `json:"in_flight"`
-	// ReportAge is the age of the owner's last report; nil when none came.
+	// ReportAge is the age of the owner's last load report; nil without a report.
 	ReportAge *Milliseconds `json:"report_age_ms"`
-	// Note says what else was weighed, such as a refusal's Retry-After.
+	// Note states what else affects the choice, such as that the instance is leaving or
+	// warming.
 	Note string `json:"note"`
 }
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -10,7 +10,7 @@
 	"gypsumstand/internal/model"
 )
 
-func TestNodeKeepsItsJSONNames(t *testing.T) {
+func TestNodeJSONNames(t *testing.T) {
 	age := Ms(1500 * time.Millisecond)
 	node := Node{
 		Instance: "ledger-1", Service: "ledger", DataCentre: "kigali-a", State: "live", Incarnation: 7,
@@ -31,7 +31,7 @@
 	checkJSON(t, want, node)
 }
 
-func TestExplanationKeepsItsJSONNames(t *testing.T) {
+func TestExplanationJSONNames(t *testing.T) {
 	explanation := Explanation{
 		Method: "POST", Path: "/payouts", Tenant: "cooperative", Matched: true,
 		Bundle: Bundle{Name: "inyange", Version: 3}, Service: "ledger", Class: "payout",
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestAgeIsNilForWhatNeverHappened(t *testing.T) {
+func TestAgeOfZeroTimeIsNil(t *testing.T) {
 	now := time.Unix(100, 0)
 	if got := Age(now, time.Time{}); got != nil {
 		t.Errorf("Age = %v, want nil", *got)
