--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo runs an example deployment on loopback under load while a bundle
-// is rolled out, a worker is drained and another killed, and tells whether a
-// promise was broken. It is bounded in time.
+// Package demo runs an example deployment on loopback under load while it rolls out a
+// bundle, drains one worker and kills another, and checks that the product's guarantees
+// hold. A run takes a bounded time.
 package demo
 
 import (
@@ -23,46 +23,46 @@
 	"gypsumstand/internal/server"
 )
 
-// Times of the demonstration, from the start of the load.
+// Schedule, from the start of the load, and limits of a run.
 const (
 	readyTimeout = 30 * time.Second
-	loadFor      = 12 * time.Second
+	loadDuration = 12 * time.Second
 	rollOutAt    = 2 * time.Second
 	drainAt      = 4 * time.Second
 	killAt       = 8 * time.Second
-	// inForceWithin is the users' bound for a bundle on every process.
-	inForceWithin = 7 * time.Second
-	maxInFlight   = 2000
+	// rolloutTimeout is the required limit for a new bundle to be in force on every node.
+	rolloutTimeout = 7 * time.Second
+	maxInFlight    = 2000
 )
 
-// ErrViolation says that a promise was broken.
-var ErrViolation = errors.New("a promise was broken")
+// ErrViolation is returned if a guarantee was violated.
+var ErrViolation = errors.New("guarantee violated")
 
-// Options of a demonstration.
+// Options configures a run.
 type Options struct {
-	// Share of the workers' capacity that is offered, 0 to 1.
+	// Share is the offered load as a share of the workers' capacity; above 1 overloads them.
 	Share float64
-	// Out takes the report.
+	// Out receives the report.
 	Out io.Writer
-	// Log is the nodes' log.
+	// Log receives the nodes' log lines.
 	Log zerolog.Logger
 }
 
-// run is a demonstration under way.
+// run holds the state of one run.
 type run struct {
 	opts  Options
 	dep   *deploy.Deployment
 	fleet *local.Fleet
-	added *addedTimes
+	added *addedLatencies
 
-	drained, killed *local.Member
-	inForce         time.Duration
-	broken          []string
+	drainedNode, killedNode *local.Member
+	rolloutTime             time.Duration
+	violations              []string
 }
 
-// Run demonstrates dep. The error is ErrViolation when a promise was broken.
+// Run runs the demonstration of dep. The error is ErrViolation if a guarantee was violated.
 func Run(ctx context.Context, dep *deploy.Deployment, opts Options) error {
-	r := &run{opts: opts, dep: dep, added: newAddedTimes()}
+	r := &run{opts: opts, dep: dep, added: newAddedLatencies()}
 	cfg := dep.FleetConfig()
 	cfg.Log = opts.Log
 	cfg.OnCall = r.added.record
@@ -75,20 +75,22 @@
 	return errors.Join(err, fleet.Close())
 }
 
+// serve waits until the fleet is ready, applies load and events, and reports.
 func (r *run) serve(ctx context.Context) error {
-	r.say("starting %s: %d nodes and workers on loopback, %d data centres\n", r.dep.Name, len(r.fleet.Members()), deploy.DataCentres)
+	r.printf("starting %s: %d nodes and workers on loopback, %d data centres\n", r.dep.Name, len(r.fleet.Members()), deploy.DataCentres)
 	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if err := r.fleet.Await(ready, r.fleet.Warm); err != nil {
 		return fmt.Errorf("not ready: %w", err)
 	}
-	// The last worker of the first service drains, that of the last is killed.
+	// The last worker of the first service is drained, the last one of the last service
+	// killed.
 	members := r.fleet.Members()
-	r.drained, r.killed = members[r.dep.Workers[0]-1], members[len(members)-1]
+	r.drainedNode, r.killedNode = members[r.dep.Workers[0]-1], members[len(members)-1]
 	var wg sync.WaitGroup
-	wg.Go(func() { r.operate(ctx) })
-	drainResult, drainErr := r.loadDrained(ctx, &wg)
-	result, err := r.load(ctx)
+	wg.Go(func() { r.runEvents(ctx) })
+	drainResult, drainErr := r.loadDrainingNode(ctx, &wg)
+	result, err := r.loadOthers(ctx)
 	wg.Wait()
 	if err := errors.Join(err, *drainErr); err != nil {
 		return err
@@ -96,16 +98,16 @@
 	return r.report(result, *drainResult)
 }
 
-// say writes to the report; a report that cannot be written has no reader.
-func (r *run) say(format string, args ...any) { fmt.Fprintf(r.opts.Out, format, args...) }
+// printf writes to the report and ignores errors: without a report there is no reader.
+func (r *run) printf(format string, args ...any) { fmt.Fprintf(r.opts.Out, format, args...) }
 
-// breach notes a broken promise.
-func (r *run) breach(format string, args ...any) {
-	r.broken = append(r.broken, fmt.Sprintf(format, args...))
+// violate records the violation of a guarantee.
+func (r *run) violate(format string, args ...any) {
+	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// plan is load on all nodes but the two that end.
-func (r *run) plan(targets []string, share float64, d time.Duration) (load.Plan, error) {
+// newPlan returns a checked load plan for the nodes at targets.
+func (r *run) newPlan(targets []string, share float64, d time.Duration) (load.Plan, error) {
 	p := load.NewPlan()
 	p.Targets = targets
 	p.DurationMs = d.Milliseconds()
@@ -117,31 +119,32 @@
 	return load.CheckPlan(p)
 }
 
-func (r *run) load(ctx context.Context) (*load.Result, error) {
+// loadOthers applies load to all nodes but the drained and the killed one.
+func (r *run) loadOthers(ctx context.Context) (*load.Result, error) {
 	var targets []string
 	for _, m := range r.fleet.Members() {
-		if m != r.drained && m != r.killed {
+		if m != r.drainedNode && m != r.killedNode {
 			targets = append(targets, m.Node.CallerAddress())
 		}
 	}
-	p, err := r.plan(targets, r.opts.Share, loadFor)
+	p, err := r.newPlan(targets, r.opts.Share, loadDuration)
 	if err != nil {
 		return nil, err
 	}
 	return load.Run(ctx, p, load.Options{Oracle: load.LocalOracle{r.fleet.Ledger}})
 }
 
-// drainShare is the load on the node that drains.
+// drainShare is the load on the draining node, as a share of the workers' capacity.
 const drainShare = 0.02
 
-// loadDrained keeps callers at the node that drains until it has left: none of
-// their requests may be cut off.
-func (r *run) loadDrained(ctx context.Context, wg *sync.WaitGroup) (**load.Result, *error) {
+// loadDrainingNode sends load to the draining node until it has left. None of these
+// requests may be cut off. The results are valid once wg is done.
+func (r *run) loadDrainingNode(ctx context.Context, wg *sync.WaitGroup) (**load.Result, *error) {
 	var result *load.Result
 	var err error
 	wg.Go(func() {
 		var p load.Plan
-		p, err = r.plan([]string{r.drained.Node.CallerAddress()}, drainShare, drainAt+r.dep.FleetConfig().LeaveGrace/2)
+		p, err = r.newPlan([]string{r.drainedNode.Node.CallerAddress()}, drainShare, drainAt+r.dep.FleetConfig().LeaveGrace/2)
 		if err == nil {
 			result, err = load.Run(ctx, p, load.Options{})
 		}
@@ -149,55 +152,57 @@
 	return &result, &err
 }
 
-// operate does what operators and failures do, beside the load.
-func (r *run) operate(ctx context.Context) {
+// runEvents rolls out a bundle, drains one node and kills another while load runs.
+func (r *run) runEvents(ctx context.Context) {
 	began := time.Now()
 	pause.For(ctx, rollOutAt)
 	r.rollOut(ctx)
 	pause.For(ctx, drainAt-time.Since(began))
-	if err := r.fleet.Stop(r.drained); err != nil {
-		r.breach("the planned stop of %s cut requests off: %v", r.drained.ID, err)
+	if err := r.fleet.Stop(r.drainedNode); err != nil {
+		r.violate("graceful stop of %s cut off requests: %v", r.drainedNode.ID, err)
 	}
-	r.say("%5.1fs  drained %s\n", time.Since(began).Seconds(), r.drained.ID)
+	r.printf("%5.1fs  drained %s\n", time.Since(began).Seconds(), r.drainedNode.ID)
 	pause.For(ctx, killAt-time.Since(began))
-	r.fleet.Kill(r.killed)
-	r.say("%5.1fs  killed %s\n", time.Since(began).Seconds(), r.killed.ID)
+	r.fleet.Kill(r.killedNode)
+	r.printf("%5.1fs  killed %s\n", time.Since(began).Seconds(), r.killedNode.ID)
 }
 
-// rollOut signs the next version off and waits until it is in force everywhere.
+// rollOut publishes the next version and waits until it is in force on every node.
 func (r *run) rollOut(ctx context.Context) {
 	v := r.dep.Bundle.VersionID()
 	next := model.BundleVersion{Name: v.Name, Version: v.Version + 1}
-	old, new := fmt.Sprintf("version = %d", v.Version), fmt.Sprintf("version = %d", next.Version)
+	oldLine, newLine := fmt.Sprintf("version = %d", v.Version), fmt.Sprintf("version = %d", next.Version)
 	began := time.Now()
-	if err := r.fleet.Publish(bytes.Replace(r.dep.TOML, []byte(old), []byte(new), 1)); err != nil {
-		r.breach("sign-off of %v: %v", next, err)
+	if err := r.fleet.Publish(bytes.Replace(r.dep.TOML, []byte(oldLine), []byte(newLine), 1)); err != nil {
+		r.violate("publish %v: %v", next, err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, inForceWithin)
+	ctx, cancel := context.WithTimeout(ctx, rolloutTimeout)
 	defer cancel()
 	if err := r.fleet.Await(ctx, local.HasVersion(next)); err != nil {
-		r.breach("%v is not in force everywhere after %v: %v", next, inForceWithin, err)
+		r.violate("%v is not in force on every node after %v: %v", next, rolloutTimeout, err)
 		return
 	}
-	r.inForce = time.Since(began)
-	r.say("%5.1fs  %v in force on every node after %d ms\n", (rollOutAt + r.inForce).Seconds(), next, r.inForce.Milliseconds())
+	r.rolloutTime = time.Since(began)
+	r.printf("%5.1fs  %v in force on every node after %d ms\n", (rollOutAt + r.rolloutTime).Seconds(), next, r.rolloutTime.Milliseconds())
 }
 
-// addedTimes collects the time that the nodes added, by class.
-type addedTimes struct {
+// addedLatencies collects the latency added by the nodes, by class. It is safe for
+// concurrent use.
+type addedLatencies struct {
 	mu      sync.Mutex
 	byClass map[model.ClassName]*hdrhistogram.Histogram
 }
 
-func newAddedTimes() *addedTimes {
-	return &addedTimes{byClass: map[model.ClassName]*hdrhistogram.Histogram{}}
+func newAddedLatencies() *addedLatencies {
+	return &addedLatencies{byClass: map[model.ClassName]*hdrhistogram.Histogram{}}
 }
 
-// maxAdded bounds the histogram.
-const maxAdded = time.Minute
+// maxAddedLatency is the upper end of the histogram.
+const maxAddedLatency = time.Minute
 
-func (a *addedTimes) record(c server.CallRecord) {
+// record adds a call that was answered at its first attempt and skips all others.
+func (a *addedLatencies) record(c server.CallRecord) {
 	if c.Outcome != model.OutcomeAnswered || c.Attempts != 1 {
 		return
 	}
@@ -205,15 +210,15 @@
 	defer a.mu.Unlock()
 	h := a.byClass[c.Class]
 	if h == nil {
-		h = hdrhistogram.New(1, int64(maxAdded/time.Microsecond), 3)
+		h = hdrhistogram.New(1, int64(maxAddedLatency/time.Microsecond), 3)
 		a.byClass[c.Class] = h
 	}
-	// A value over a minute is out of the histogram's range and of any sense.
+	// Values above maxAddedLatency do not fit the histogram and are dropped.
 	_ = h.RecordValue(int64(max(c.Added, 0) / time.Microsecond))
 }
 
-// quantile returns the class's quantile in milliseconds.
-func (a *addedTimes) quantile(class model.ClassName, q float64) float64 {
+// quantile returns the added latency of a class at quantile q, 0 to 100, in milliseconds.
+func (a *addedLatencies) quantile(class model.ClassName, q float64) float64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	h := a.byClass[class]
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -7,24 +7,25 @@
 	"gypsumstand/internal/load"
 )
 
-// report prints the tables and returns ErrViolation when a promise was broken.
+// report prints the results and returns ErrViolation if a guarantee was violated.
 func (r *run) report(result, drained *load.Result) error {
-	r.say("\n")
-	r.table(result)
-	r.measuring(result)
-	r.say("\n%s\n", result.Oracle)
-	r.judge(result, drained)
-	if len(r.broken) == 0 {
-		r.say("\nall promises that this run can show were kept\n")
+	r.printf("\n")
+	r.printTable(result)
+	r.checkMeasuring(result)
+	r.printf("\n%s\n", result.Oracle)
+	r.checkGuarantees(result, drained)
+	if len(r.violations) == 0 {
+		r.printf("\nall guarantees checked by this run were kept\n")
 		return nil
 	}
-	for _, b := range r.broken {
-		r.say("BROKEN: %s\n", b)
+	for _, b := range r.violations {
+		r.printf("VIOLATION: %s\n", b)
 	}
-	return fmt.Errorf("%w: %d findings", ErrViolation, len(r.broken))
+	return fmt.Errorf("%w: %d violations", ErrViolation, len(r.violations))
 }
 
-func (r *run) table(result *load.Result) {
+// printTable prints counts and latencies by class.
+func (r *run) printTable(result *load.Result) {
 	w := tabwriter.NewWriter(r.opts.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "class\trate/s\tin deadline\tnot-run\tunknown\tp50 ms\tp99 ms\tp99.9 ms\tadded p50 ms\tadded p99 ms\t")
 	for _, m := range append(result.Classes, result.Total) {
@@ -41,8 +42,8 @@
 	w.Flush()
 }
 
-// measuring prints the load that measuring caused and checks the budget.
-func (r *run) measuring(result *load.Result) {
+// checkMeasuring prints the number of measuring messages and checks their budget.
+func (r *run) checkMeasuring(result *load.Result) {
 	total, peak := uint64(0), uint64(0)
 	for _, m := range r.fleet.Members() {
 		c := m.Worker.Counters()
@@ -51,25 +52,25 @@
 		peak = max(peak, c.MeasuringPeak)
 	}
 	budget := r.dep.Bundle.Measuring.PerUpstreamPerSecond
-	r.say("\nmeasuring: %d messages, %.4f per answered call; at most %d polls reached one worker in a second (budget %.1f)\n",
+	r.printf("\nmeasuring: %d messages, %.4f per answered call; at most %d polls reached one worker in a second (budget %.1f)\n",
 		total, ratio(int64(total), result.Total.Counts.Answered), peak, budget)
 	if float64(peak) > budget {
-		r.breach("%d measuring messages reached one worker in a second, the budget is %.1f", peak, budget)
+		r.violate("%d measuring messages reached one worker in a second, over the budget of %.1f", peak, budget)
 	}
 }
 
-// judge holds the results against the promises.
-func (r *run) judge(result, drained *load.Result) {
+// checkGuarantees checks the results against the guarantees.
+func (r *run) checkGuarantees(result, drained *load.Result) {
 	t := result.Total.Counts
 	if t.Wrong+t.Truncated+t.Malformed+t.Broken > 0 {
-		r.breach("%d wrong, %d cut, %d malformed, %d broken answers", t.Wrong, t.Truncated, t.Malformed, t.Broken)
+		r.violate("%d wrong, %d truncated, %d malformed, %d broken responses", t.Wrong, t.Truncated, t.Malformed, t.Broken)
 	}
 	if o := result.Oracle; !o.Consistent() {
-		r.breach("%s", o)
+		r.violate("%s", o)
 	}
 	d := drained.Total.Counts
 	if d.Wrong+d.Truncated+d.Malformed+d.Broken+d.Unreachable > 0 {
-		r.breach("callers of the drained node: %d wrong, %d cut, %d malformed, %d broken, %d unreachable",
+		r.violate("callers of the drained node: %d wrong, %d truncated, %d malformed, %d broken, %d unreachable",
 			d.Wrong, d.Truncated, d.Malformed, d.Broken, d.Unreachable)
 	}
 }
--- a/internal/deploy/deploy.go
+++ b/internal/deploy/deploy.go
@@ -1,7 +1,6 @@
-// Package deploy turns a bundle into a deployment on loopback and the load on
-// it: workers with service times for its routes, and a stream of requests per
-// route at a share of the workers' capacity. The demonstration and the
-// experiments run the two examples by it.
+// Package deploy derives a loopback deployment and its load from a bundle: workers with
+// service times for the routes, and one request stream per route at a share of the workers'
+// capacity. The demonstration and the experiments use it to run the two examples.
 package deploy
 
 import (
@@ -17,52 +16,55 @@
 	"gypsumstand/internal/local"
 )
 
-// Deployment is an example's bundle with the number of workers per service.
+// Deployment is a bundle with the number of workers per service.
 type Deployment struct {
 	Name string
-	// TOML is the bundle's text, and Bundle what it says.
+	// TOML is the bundle's text, Bundle its parsed form.
 	TOML   []byte
 	Bundle *bundle.Bundle
-	// Workers counts the workers of each of the bundle's services, in its order.
+	// Workers is the number of workers per service, in the order of the bundle's services.
 	Workers []int
 	// MeanServiceMs is the workers' mean service time in milliseconds.
 	MeanServiceMs float64
 }
 
-// The examples' sizes (brief, "Sizes of today").
+// Numbers of workers per service in the examples.
 var (
-	// InyangeWorkers: vouchers 4, ledger 3, statements 4.
+	// InyangeWorkers is 4 for vouchers, 3 for ledger and 4 for statements.
 	InyangeWorkers = []int{4, 3, 4}
-	// BrethynWorkers: catalogue 3, orders 3, schools 4.
+	// BrethynWorkers is 3 for catalogue, 3 for orders and 4 for schools.
 	BrethynWorkers = []int{3, 3, 4}
 )
 
-// Both users run three data centres about 1 ms apart.
+// Topology of both examples.
 const (
-	DataCentres      = 3
+	// DataCentres is the number of data centres.
+	DataCentres = 3
+	// InterCentreDelay is the one-way delay between two data centres.
 	InterCentreDelay = time.Millisecond
 )
 
-// Service times of the stand-in workers.
+// Log-normal service times (mean in milliseconds) and response size of stand-in workers.
 const (
-	defaultMeanMs = 10.0
-	sigma         = 0.5
-	answerBytes   = 2 << 10
+	defaultMeanServiceMs = 10.0
+	serviceTimeSigma     = 0.5
+	responseBytes        = 2 << 10
 )
 
-// New reads a deployment's bundle.
+// New parses a bundle and returns its deployment. name appears in errors. workers has one
+// number per service of the bundle.
 func New(name string, toml []byte, workers []int) (*Deployment, error) {
 	b, err := bundle.Parse(name, toml)
 	if err != nil {
 		return nil, err
 	}
 	if len(b.Services) != len(workers) {
-		return nil, fmt.Errorf("%s: %d services, %d numbers of workers", name, len(b.Services), len(workers))
+		return nil, fmt.Errorf("%s: %d services but %d worker counts", name, len(b.Services), len(workers))
 	}
-	return &Deployment{Name: name, TOML: toml, Bundle: b, Workers: workers, MeanServiceMs: defaultMeanMs}, nil
+	return &Deployment{Name: name, TOML: toml, Bundle: b, Workers: workers, MeanServiceMs: defaultMeanServiceMs}, nil
 }
 
-// FleetConfig returns the configuration of its fleet on loopback.
+// FleetConfig returns the configuration of the deployment's fleet on loopback.
 func (d *Deployment) FleetConfig() local.Config {
 	cfg := local.Config{
 		Bundle:      d.TOML,
@@ -73,12 +75,13 @@
 		LeaveGrace:  2 * time.Second,
 	}
 	for i := range d.Bundle.Services {
-		cfg.Services = append(cfg.Services, d.service(i))
+		cfg.Services = append(cfg.Services, d.serviceConfig(i))
 	}
 	return cfg
 }
 
-func (d *Deployment) service(i int) local.Service {
+// serviceConfig returns the workers and response profiles of the bundle's i-th service.
+func (d *Deployment) serviceConfig(i int) local.Service {
 	svc := &d.Bundle.Services[i]
 	out := local.Service{Name: svc.Name, Workers: d.Workers[i]}
 	for _, r := range svc.Routes {
@@ -86,29 +89,28 @@
 			Path:         r.Path,
 			Distribution: worker.Lognormal,
 			MeanMs:       d.MeanServiceMs,
-			Sigma:        sigma,
-			SizeBytes:    answerBytes,
+			Sigma:        serviceTimeSigma,
+			SizeBytes:    responseBytes,
 		})
 	}
 	return out
 }
 
-// Capacity returns the requests per second that a service's workers can answer.
+// Capacity returns the requests per second that the workers of the i-th service can answer.
 func (d *Deployment) Capacity(i int) float64 {
 	slots := float64(d.Bundle.Services[i].Slots * d.Workers[i])
 	return slots / d.MeanServiceMs * float64(time.Second/time.Millisecond)
 }
 
-// Weights of a service's routes in its load.
+// Weights that divide a service's load among its routes.
 const (
 	weightIdempotent    = 3.0
 	weightNotIdempotent = 1.0
 	weightNoWorth       = 1.0
 )
 
-// Streams returns one stream per route that together offer each service the
-// given share of its capacity. They name no tenant, so that no tenant's limit
-// bounds the load.
+// Streams returns one stream per route. Together they offer each service the given share of
+// its capacity. They have no tenant, so that no tenant limit reduces the load.
 func (d *Deployment) Streams(share float64) []load.Stream {
 	var out []load.Stream
 	for i := range d.Bundle.Services {
@@ -149,6 +151,7 @@
 	}
 }
 
+// method returns the method for requests to a route: its first one, or GET if it has none.
 func method(r *bundle.Route) string {
 	if len(r.Methods) > 0 {
 		return r.Methods[0]
@@ -156,7 +159,8 @@
 	return http.MethodGet
 }
 
-// idempotent applies the route's word, or RFC 9110's for its method.
+// idempotent returns the route's setting or, without one, whether RFC 9110 defines its
+// method as idempotent.
 func idempotent(r *bundle.Route) bool {
 	if r.Idempotent != nil {
 		return *r.Idempotent
@@ -165,7 +169,7 @@
 	return m != http.MethodPost && m != http.MethodPatch
 }
 
-// LoadExample reads the bundle of an example from its folder.
+// LoadExample returns the deployment of the example name in the folder examples.
 func LoadExample(examples, name string, workers []int) (*Deployment, error) {
 	data, err := os.ReadFile(filepath.Join(examples, name, "bundle.toml"))
 	if err != nil {
