--- a/cmd/gypsumbench/main.go
+++ b/cmd/gypsumbench/main.go
@@ -1,5 +1,5 @@
-// Command gypsumbench measures the example deployments on loopback and writes
-// the figures, a page and plots.
+// Command gypsumbench benchmarks the example deployments on loopback and writes the
+// results, a page and plots.
 package main
 
 import (
@@ -27,16 +27,17 @@
 
 const usage = `usage: gypsumbench [flags]
 
-Measures routing beside its baselines on the two examples, and the time that two
-nodes add to a call. Writes measurements.json, MEASUREMENTS.md and plots.
+Compares the product's routing with baseline policies on the two examples and measures
+the latency that two nodes add to a call. Writes measurements.json, MEASUREMENTS.md and
+plots.
 
   gypsumbench -examples examples -out docs
   gypsumbench -examples examples -out /some/folder -duration 2s -repeats 1
 
-With -simulate it prints instead what an event-driven model of one service gives:
-for each routing policy, for the product's with one part changed each, for ways
-of placing refused calls elsewhere, or for hedges. That takes up to a few minutes,
-opens no socket and gives the same figures each time.
+With -simulate it prints the results of a discrete-event model of one service instead:
+for each routing policy, for the product's policy with one part changed at a time, for
+ways to retry refused calls elsewhere, or for hedging. This takes up to a few minutes,
+opens no socket and gives the same figures on every run.
 
   gypsumbench -simulate policies
   gypsumbench -simulate parts
@@ -48,8 +49,8 @@
 flags:
 `
 
-// settings are the command line's.
-type settings struct {
+// options holds the flags.
+type options struct {
 	examples, out string
 	duration      time.Duration
 	repeats       int
@@ -58,7 +59,7 @@
 	simulate      string
 }
 
-// What -simulate compares.
+// Values of -simulate.
 const (
 	simulatePolicies = "policies"
 	simulateParts    = "parts"
@@ -69,14 +70,14 @@
 func main() { os.Exit(run()) }
 
 func run() int {
-	var s settings
+	var s options
 	flag.StringVar(&s.examples, "examples", "examples", "folder of the example deployments")
-	flag.StringVar(&s.out, "out", "docs", "folder to write to")
-	flag.DurationVar(&s.duration, "duration", 6*time.Second, "load of one run, 1s to 1m")
-	flag.IntVar(&s.repeats, "repeats", 3, "runs of each cell, 1 to 20")
-	flag.Float64Var(&s.rate, "rate", 2000, "calls a second for the added time, 1 to 20000")
-	flag.BoolVar(&s.page, "page", false, "write the page and plots only, from the figures in the folder")
-	flag.StringVar(&s.simulate, "simulate", "", "compare on the model only: policies, parts, retries or hedges")
+	flag.StringVar(&s.out, "out", "docs", "output folder")
+	flag.DurationVar(&s.duration, "duration", 6*time.Second, "duration of the load of one run, 1s to 1m")
+	flag.IntVar(&s.repeats, "repeats", 3, "runs per combination of deployment, policy and load, 1 to 20")
+	flag.Float64Var(&s.rate, "rate", 2000, "calls per second for the added latency, 1 to 20000")
+	flag.BoolVar(&s.page, "page", false, "write only the page and plots, from the figures in the output folder")
+	flag.StringVar(&s.simulate, "simulate", "", "run the model only: policies, parts, retries or hedges")
 	flag.Usage = func() {
 		fmt.Fprint(flag.CommandLine.Output(), usage)
 		flag.PrintDefaults()
@@ -95,14 +96,15 @@
 	return 0
 }
 
-func (s *settings) valid() bool {
+// valid reports whether all flags are within their bounds.
+func (s *options) valid() bool {
 	known := slices.Contains([]string{"", simulatePolicies, simulateParts, simulateRetries, simulateHedges}, s.simulate)
 	return known && s.duration >= time.Second && s.duration <= time.Minute &&
 		s.repeats >= 1 && s.repeats <= 20 && s.rate >= 1 && s.rate <= 20000
 }
 
-// run does what the command line asks for.
-func (s *settings) run(ctx context.Context) error {
+// run executes the mode that the flags select.
+func (s *options) run(ctx context.Context) error {
 	switch s.simulate {
 	case simulatePolicies:
 		return simulation.Write(os.Stdout, simulation.Policies())
@@ -120,14 +122,15 @@
 		}
 		return m.Write(s.out)
 	}
-	return bench(ctx, s)
+	return measure(ctx, s)
 }
 
-// benchMeanMs is the workers' mean service time: long enough that this machine
-// can offer more than the capacity.
-const benchMeanMs = 60
+// meanServiceMs is the workers' mean service time in milliseconds: long enough that the load
+// generator can offer more than the workers' capacity on one machine.
+const meanServiceMs = 60
 
-func bench(ctx context.Context, s *settings) error {
+// measure runs all benchmarks and writes the results.
+func measure(ctx context.Context, s *options) error {
 	inyange, err := deploy.LoadExample(s.examples, "inyange", deploy.InyangeWorkers)
 	if err != nil {
 		return err
@@ -136,11 +139,11 @@
 	if err != nil {
 		return err
 	}
-	inyange.MeanServiceMs, brethyn.MeanServiceMs = benchMeanMs, benchMeanMs
+	inyange.MeanServiceMs, brethyn.MeanServiceMs = meanServiceMs, meanServiceMs
 	var m experiment.Measurements
 	m.AddedLatency, err = experiment.MeasureAddedLatency(ctx, s.rate, s.repeats, s.duration)
 	if err != nil {
-		return fmt.Errorf("added time: %w", err)
+		return fmt.Errorf("measure added latency: %w", err)
 	}
 	m.Runs, err = experiment.Compare(ctx, experiment.Options{
 		Deployments: []*deploy.Deployment{inyange, brethyn},
@@ -150,6 +153,6 @@
 		Duration:    s.duration,
 		Progress:    os.Stdout,
 	})
-	// What was measured before a failure is kept.
+	// Results from before a failure are still written.
 	return errors.Join(err, m.Write(s.out))
 }
--- a/cmd/gypsumcap/main.go
+++ b/cmd/gypsumcap/main.go
@@ -1,4 +1,4 @@
-// Command gypsumcap measures what control costs a node as the fleet grows, and
+// Command gypsumcap measures the cost of the control plane per node as the fleet grows, and
 // writes docs/CAPACITY.md from the measurements.
 package main
 
@@ -21,17 +21,17 @@
 	exitUsage  = 2
 )
 
-// maxNodes bounds a measured fleet: its memory grows with the square.
+// maxNodes bounds the size of a measured fleet, whose memory grows with its square.
 const maxNodes = 3000
 
 const usage = `usage: gypsumcap [flags]
 
-Measures fleets of decision cores on a fake clock, fits slopes and works the
-target out. Writes capacity.json and CAPACITY.md, the latter from the text in
+Measures fleets of decision cores on a fake clock, fits slopes and extrapolates to the
+target size. Writes capacity.json and CAPACITY.md, the latter from the template
 capacity.text.md.
 
   gypsumcap -out docs                     measure and write
-  gypsumcap -out docs -page               write the page from capacity.json only
+  gypsumcap -out docs -page               write only the page, from capacity.json
   gypsumcap -out /some/folder -nodes 10,100
 
 Exit codes: 0 done, 1 failed, 2 usage.
@@ -42,15 +42,15 @@
 func main() { os.Exit(run()) }
 
 func run() int {
-	out := flag.String("out", "docs", "folder to write to")
-	list := flag.String("nodes", "10,30,100,300,1000", "sizes of the fleet, each 2 to 3000")
-	page := flag.Bool("page", false, "write the page only, from the figures in the folder")
+	out := flag.String("out", "docs", "output folder")
+	list := flag.String("nodes", "10,30,100,300,1000", "fleet sizes, separated by commas, each 2 to 3000")
+	page := flag.Bool("page", false, "write only the page, from the figures in the output folder")
 	flag.Usage = func() {
 		fmt.Fprint(flag.CommandLine.Output(), usage)
 		flag.PrintDefaults()
 	}
 	flag.Parse()
-	sizes, err := parse(*list)
+	sizes, err := parseSizes(*list)
 	if err != nil || flag.NArg() > 0 {
 		flag.Usage()
 		return exitUsage
@@ -69,25 +69,27 @@
 	return 0
 }
 
-func parse(list string) ([]int, error) {
+// parseSizes parses a comma-separated list of fleet sizes.
+func parseSizes(list string) ([]int, error) {
 	var sizes []int
 	for _, s := range strings.Split(list, ",") {
 		n, err := strconv.Atoi(s)
 		if err != nil || n < 2 || n > maxNodes {
-			return nil, fmt.Errorf("size %q", s)
+			return nil, fmt.Errorf("invalid fleet size %q", s)
 		}
 		sizes = append(sizes, n)
 	}
 	return sizes, nil
 }
 
-// seed makes the fleets repeatable.
+// seed is fixed so that the fleets are reproducible.
 const seed = 1
 
+// measure measures a single node and every fleet size, and writes the results.
 func measure(ctx context.Context, sizes []int, out string) error {
 	var m capacity.Measurements
 	var err error
-	// One node alone comes first: the fleets leave a large heap behind.
+	// The single node is measured first because the fleets leave a large heap behind.
 	m.SingleNode, err = capacity.MeasureSingleNode()
 	if err != nil {
 		return err
--- a/cmd/gypsumctl/main.go
+++ b/cmd/gypsumctl/main.go
@@ -1,6 +1,6 @@
-// Command gypsumctl is the operators' tool: it makes keys, checks, signs,
-// verifies and compares bundles, and shows what one node knows. It changes no
-// running node. "gypsumctl help" lists the commands.
+// Command gypsumctl is the operators' tool: it generates keys, checks, signs, verifies and
+// compares bundles, and shows the state of a node. It changes no running node. "gypsumctl
+// help" lists the commands.
 //
 // Exit codes: 0 success, 1 findings or failure, 2 wrong usage.
 package main
--- a/cmd/gypsumd/main.go
+++ b/cmd/gypsumd/main.go
@@ -1,5 +1,5 @@
-// Command gypsumd is the node: it runs beside one worker, owns it, and takes
-// callers' requests for all services.
+// Command gypsumd runs a node: it runs beside one worker, owns it, and accepts callers'
+// requests for all services.
 package main
 
 import (
@@ -10,17 +10,16 @@
 
 const usage = `usage: gypsumd -settings FILE
 
-Runs one node beside its worker until SIGTERM or SIGINT, which begin a graceful
-stop: peers are told, callers are still served elsewhere for leave_grace_ms, what
-is in flight is finished, bounded by stop_timeout_ms. SIGHUP checks the settings
-file anew and logs what it finds; nothing else changes. Logs are JSON lines on
-standard error, catalogued in docs/EVENTS.md.
+Runs one node beside its worker until SIGTERM or SIGINT, which start a graceful stop: the
+node notifies its peers, still routes callers' requests to other workers for
+leave_grace_ms, then completes the requests in flight within stop_timeout_ms. SIGHUP
+checks the settings file and logs the result; nothing else changes. Logs are JSON lines on
+standard error; docs/EVENTS.md lists the events.
 
   gypsumd -settings examples/inyange/node.toml
 
-Exit codes: 0 stopped gracefully, 1 could not serve or a part of it failed,
-2 usage, 3 faults in the settings (all are logged), 4 stopped with requests
-cut off.
+Exit codes: 0 stopped gracefully, 1 could not serve or a component failed, 2 usage,
+3 errors in the settings (all are logged), 4 stopped with requests cut off.
 
 flags:
 `
--- a/cmd/gypsumdemo/main.go
+++ b/cmd/gypsumdemo/main.go
@@ -1,5 +1,5 @@
-// Command gypsumdemo runs an example deployment on loopback under load, rolls a
-// bundle out, drains a worker, kills another, and reports.
+// Command gypsumdemo runs an example deployment on loopback under load, rolls out a bundle,
+// drains one worker, kills another, and reports whether the guarantees held.
 package main
 
 import (
@@ -20,22 +20,22 @@
 
 // Exit codes.
 const (
-	exitFailed = 1
-	exitUsage  = 2
-	exitBroken = 3
+	exitFailed    = 1
+	exitUsage     = 2
+	exitViolation = 3
 )
 
-// demoMeanMs is the workers' mean service time: so that callers, nodes and workers
-// fit on one machine at any share of the capacity.
-const demoMeanMs = 25
+// meanServiceMs is the workers' mean service time in milliseconds: long enough that callers,
+// nodes and workers fit on one machine at any share of the capacity.
+const meanServiceMs = 25
 
 const usage = `usage: gypsumdemo [flags] BUNDLE.toml WORKERS...
 
-Runs the bundle's services with the given numbers of workers, in its order.
+Runs the bundle's services with the given numbers of workers, in the order of the bundle.
 
   gypsumdemo examples/inyange/bundle.toml 4 3 4
 
-Exit codes: 0 all promises kept, 1 the run failed, 2 usage, 3 a promise was broken.
+Exit codes: 0 all guarantees kept, 1 the run failed, 2 usage, 3 a guarantee was violated.
 
 flags:
 `
@@ -43,7 +43,7 @@
 func main() { os.Exit(run()) }
 
 func run() int {
-	share := flag.Float64("share", 0.25, "share of the workers' capacity to offer, over 0 to 2")
+	share := flag.Float64("share", 0.25, "offered load as a share of the workers' capacity, above 0 and up to 2")
 	verbose := flag.Bool("v", false, "log the nodes' events to standard error")
 	flag.Usage = func() {
 		fmt.Fprint(flag.CommandLine.Output(), usage)
@@ -54,7 +54,7 @@
 		flag.Usage()
 		return exitUsage
 	}
-	dep, err := load(flag.Args())
+	dep, err := loadDeployment(flag.Args())
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailed
@@ -69,7 +69,7 @@
 	switch {
 	case errors.Is(err, demo.ErrViolation):
 		fmt.Fprintln(os.Stderr, err)
-		return exitBroken
+		return exitViolation
 	case err != nil:
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailed
@@ -77,8 +77,8 @@
 	return 0
 }
 
-// load reads the bundle and the numbers of workers.
-func load(args []string) (*deploy.Deployment, error) {
+// loadDeployment reads the bundle and the numbers of workers from the arguments.
+func loadDeployment(args []string) (*deploy.Deployment, error) {
 	data, err := os.ReadFile(args[0])
 	if err != nil {
 		return nil, err
@@ -87,7 +87,7 @@
 	for _, arg := range args[1:] {
 		n, err := strconv.Atoi(arg)
 		if err != nil || n < 1 {
-			return nil, fmt.Errorf("number of workers %q: want a whole number from 1", arg)
+			return nil, fmt.Errorf("number of workers %q: want an integer of at least 1", arg)
 		}
 		workers = append(workers, n)
 	}
@@ -95,6 +95,6 @@
 	if err != nil {
 		return nil, err
 	}
-	dep.MeanServiceMs = demoMeanMs
+	dep.MeanServiceMs = meanServiceMs
 	return dep, nil
 }
--- a/cmd/gypsumfake/flags.go
+++ b/cmd/gypsumfake/flags.go
@@ -11,18 +11,18 @@
 	"gypsumstand/internal/tomlfile"
 )
 
-// ports are the flags that both commands have.
-type ports struct {
+// addressFlags holds the flags that both commands have.
+type addressFlags struct {
 	listen  string
 	control string
 }
 
-func (p *ports) define(fs *flag.FlagSet, listen, control string) {
-	fs.StringVar(&p.listen, "listen", listen, "ip:port to serve at")
-	fs.StringVar(&p.control, "control", control, "ip:port to set faults at")
+func (p *addressFlags) define(fs *flag.FlagSet, listen, control string) {
+	fs.StringVar(&p.listen, "listen", listen, "ip:port to serve on")
+	fs.StringVar(&p.control, "control", control, "ip:port of the control server, which sets faults")
 }
 
-// parse reads flags; when it returns false, the command ends with the code.
+// parse parses the flags. If ok is false, the command exits with the code.
 func parse(fs *flag.FlagSet, args []string, stdout, stderr io.Writer) (code int, ok bool) {
 	fs.SetOutput(stderr)
 	fs.Usage = func() {}
@@ -45,19 +45,20 @@
 	return exitOK, true
 }
 
-// list is a flag that may be given several times.
-type list []string
+// stringList is a flag that may be repeated.
+type stringList []string
 
 // String implements flag.Value.
-func (l *list) String() string { return fmt.Sprint([]string(*l)) }
+func (l *stringList) String() string { return fmt.Sprint([]string(*l)) }
 
 // Set implements flag.Value.
-func (l *list) Set(value string) error {
+func (l *stringList) Set(value string) error {
 	*l = append(*l, value)
 	return nil
 }
 
-// readTOML reads a file strictly into v. The error is a finding.List.
+// readTOML decodes a file into v; unknown keys are findings of the document. The error is a
+// finding.List.
 func readTOML[T any](path string, v *T) (*tomlfile.Document, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/gypsumfake/main.go
+++ b/cmd/gypsumfake/main.go
@@ -1,5 +1,5 @@
-// Command gypsumfake runs a stand-in for the platform or for a worker, for tests
-// and demonstrations. Its faults are set over HTTP while it runs.
+// Command gypsumfake runs a stand-in for the platform or for a worker, for tests and
+// demonstrations. Faults are injected over HTTP while it runs.
 package main
 
 import (
@@ -32,12 +32,12 @@
   curl -X PATCH -d '{"slow_factor":5}' http://127.0.0.1:9001/faults
   curl -X POST 'http://127.0.0.1:9001/pause?ms=2000'
 
-It runs until SIGINT or SIGTERM, then finishes what is in flight.
+It runs until SIGINT or SIGTERM, then completes the requests in flight.
 
 Exit codes:
-  0  stopped when told to, or printed help
-  1  a port could not be opened or broke
-  2  bad flags or input files; every fault is named
+  0  stopped by a signal, or printed help
+  1  a port could not be opened, or a server failed
+  2  invalid flags or input files; every error is printed
 `
 
 func main() {
@@ -46,7 +46,7 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// run carries out the command and returns the exit code.
+// run executes the command and returns the exit code.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	if len(args) == 0 {
 		fmt.Fprint(stderr, usage)
--- a/cmd/gypsumfake/main_test.go
+++ b/cmd/gypsumfake/main_test.go
@@ -29,7 +29,7 @@
 	return path
 }
 
-func TestHelpAndBadUsageHaveTheirCodes(t *testing.T) {
+func TestHelpAndUsageExitCodes(t *testing.T) {
 	fleet := write(t, "fleet.toml", []byte("[[instance]]\nid = \"a\"\nservice = \"s\"\ndata_centre = \"k\"\npeer_address = \"here:1\"\nrack = 1\n"))
 	profiles := write(t, "profiles.toml", []byte("[[profile]]\npath = \"/a\"\n\n[[profile]]\npath = \"b\"\nsigma = -1\n"))
 	junk := write(t, "junk", []byte("junk"))
@@ -69,7 +69,8 @@
 	}
 }
 
-// start runs the command until stop is called, which returns the exit code.
+// start runs the command with free ports and returns their addresses. stop ends the command
+// and returns its exit code.
 func start(t *testing.T, args ...string) (listen, control string, stop func() int) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -91,7 +92,7 @@
 	}
 }
 
-func TestThePlatformServesWhatTheFlagsName(t *testing.T) {
+func TestPlatformServesListAndBundle(t *testing.T) {
 	_, key, err := ed25519.GenerateKey(bytes.NewReader(make([]byte, 64)))
 	if err != nil {
 		t.Fatal(err)
@@ -128,7 +129,7 @@
 	}
 }
 
-func TestAColdWorkerWarmsUpOverItsControlPort(t *testing.T) {
+func TestColdWorkerWarmsUpByControlPort(t *testing.T) {
 	listen, control, stop := start(t, "worker", "--cold", "refuse", "--mean", "1ms")
 	get := func() error {
 		resp, err := http.Get("http://" + listen + "/a")
@@ -138,7 +139,7 @@
 		return err
 	}
 	if get() == nil {
-		t.Error("a cold worker took a connection")
+		t.Error("a cold worker accepted a connection")
 	}
 	req, err := http.NewRequest(http.MethodPatch, "http://"+control+"/faults", strings.NewReader(`{"cold":"none"}`))
 	if err != nil {
@@ -150,7 +151,7 @@
 	}
 	_ = resp.Body.Close()
 	if err := get(); err != nil {
-		t.Errorf("warm: %v", err)
+		t.Errorf("request to the warm worker: %v", err)
 	}
 	http.DefaultClient.CloseIdleConnections()
 	if code := stop(); code != exitOK {
--- a/cmd/gypsumfake/serve.go
+++ b/cmd/gypsumfake/serve.go
@@ -15,18 +15,20 @@
 	"gypsumstand/internal/fake/worker"
 )
 
-// stopTimeout bounds a planned stop.
+// stopTimeout is the time limit of a graceful stop.
 const stopTimeout = 10 * time.Second
 
-// part is the stand-in to serve: a server, or a worker that needs its listener.
-type part struct {
+// standIn is the stand-in to serve: either a server, or a worker whose server is made once
+// its listener exists.
+type standIn struct {
 	server *http.Server
 	worker *worker.Worker
 	flags  *workerFlags
 }
 
-// bind gives the stand-in its listener.
-func (p *part) bind(l *listen.Listener) error {
+// attach configures the listener from the flags and creates the server of a worker. It does
+// nothing for other stand-ins.
+func (p *standIn) attach(l *listen.Listener) error {
 	if p.worker == nil {
 		return nil
 	}
@@ -36,19 +38,19 @@
 	return p.worker.ChangeFaults(func(f *worker.Faults) { f.Cold = p.flags.cold })
 }
 
-// serve serves both ports until ctx ends and returns the exit code.
-func serve(ctx context.Context, stderr io.Writer, name string, at ports, p part, control http.Handler) int {
+// serve serves the work and control ports until ctx ends and returns the exit code.
+func serve(ctx context.Context, stderr io.Writer, name string, addresses addressFlags, p standIn, control http.Handler) int {
 	log := zerolog.New(stderr).With().Timestamp().Str("stand_in", name).Logger()
-	work, err := listen.TCP(at.listen)
+	listener, err := listen.TCP(addresses.listen)
 	if err != nil {
 		event.Log(&log, event.StandInFailed).Err(err).Send()
 		return exitFailed
 	}
-	defer work.Close()
-	steer, err := net.Listen("tcp", at.control)
+	defer listener.Close()
+	controlListener, err := net.Listen("tcp", addresses.control)
 	if err == nil {
-		defer steer.Close()
-		err = p.bind(work)
+		defer controlListener.Close()
+		err = p.attach(listener)
 	}
 	if err != nil {
 		event.Log(&log, event.StandInFailed).Err(err).Send()
@@ -56,9 +58,9 @@
 	}
 	controlServer := &http.Server{Handler: control, ReadHeaderTimeout: stopTimeout}
 	failed := make(chan error, 2)
-	go func() { failed <- p.server.Serve(work) }()
-	go func() { failed <- controlServer.Serve(steer) }()
-	event.Log(&log, event.StandInStarted).Str("listen", work.Addr().String()).Str("control", steer.Addr().String()).Send()
+	go func() { failed <- p.server.Serve(listener) }()
+	go func() { failed <- controlServer.Serve(controlListener) }()
+	event.Log(&log, event.StandInStarted).Str("listen", listener.Addr().String()).Str("control", controlListener.Addr().String()).Send()
 	select {
 	case err := <-failed:
 		_ = p.server.Close()
@@ -71,7 +73,8 @@
 	return exitOK
 }
 
-// stop finishes what is in flight, within stopTimeout.
+// stop shuts the servers down gracefully; requests that take longer than stopTimeout are cut
+// off.
 func stop(log *zerolog.Logger, servers ...*http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
--- a/cmd/gypsumload/main.go
+++ b/cmd/gypsumload/main.go
@@ -1,5 +1,5 @@
-// Command gypsumload sends requests at a set rate, whatever becomes of them,
-// checks every answer, and prints what callers met.
+// Command gypsumload generates open-loop load: it sends requests at a fixed rate whatever
+// their outcome, checks every response, and prints the results that callers saw.
 package main
 
 import (
@@ -18,14 +18,14 @@
 
 // Exit codes.
 const (
-	exitOK     = 0
-	exitFailed = 1
-	exitUsage  = 2
-	exitBroken = 3
+	exitOK        = 0
+	exitFailed    = 1
+	exitUsage     = 2
+	exitViolation = 3
 )
 
-const usage = `gypsumload sends requests at a set rate, whatever becomes of them, checks that
-every answer is whole and its own request's, and prints a table.
+const usage = `gypsumload sends requests at a fixed rate whatever their outcome, checks that every
+response is complete and belongs to its request, and prints a table.
 
 Usage:
   gypsumload [flags]
@@ -51,11 +51,11 @@
   body = '{"slow_factor":5}'
 
 Exit codes:
-  0  measured; no promise was seen broken
+  0  measured; no violation of a guarantee was seen
   1  could not measure, or a step or the count of runs failed
-  2  bad flags or plan; every fault is named
-  3  a promise was broken: a wrong or cut answer, a request run twice, or one
-     that ran although its caller was told that it did not
+  2  invalid flags or plan; every error is printed
+  3  a guarantee was violated: a wrong or truncated response, a request run twice,
+     or one that ran although its caller was told that it did not
 `
 
 func main() {
@@ -64,7 +64,7 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// run carries out the command and returns the exit code.
+// run executes the command and returns the exit code.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	var f flags
 	fs := f.define(stderr)
@@ -84,7 +84,7 @@
 		fmt.Fprintln(stderr, err)
 		return exitUsage
 	}
-	result, err := load.Run(ctx, plan, load.Options{Oracle: f.runs()})
+	result, err := load.Run(ctx, plan, load.Options{Oracle: f.oracleOrNil()})
 	if result != nil {
 		if writeErr := write(stdout, result, f.json); writeErr != nil {
 			err = errors.Join(err, writeErr)
@@ -96,17 +96,19 @@
 	return exitCode(result, err)
 }
 
-// exitCode tells a broken promise before a failure of the measurement.
+// exitCode returns the exit code. A violated guarantee takes precedence over a failed
+// measurement.
 func exitCode(r *load.Result, err error) int {
 	switch {
 	case r != nil && !r.GuaranteesHeld():
-		return exitBroken
+		return exitViolation
 	case err != nil || !r.StepsSucceeded():
 		return exitFailed
 	}
 	return exitOK
 }
 
+// write prints the result as a table or as JSON.
 func write(out io.Writer, r *load.Result, asJSON bool) error {
 	if !asJSON {
 		return r.WriteTable(out)
--- a/cmd/gypsumload/main_test.go
+++ b/cmd/gypsumload/main_test.go
@@ -14,17 +14,17 @@
 	"gypsumstand/internal/load"
 )
 
-// stand is a worker on loopback with its control handler.
-func stand(t *testing.T) (w *worker.Worker, target, control string) {
+// startWorker starts a worker and its control server on loopback.
+func startWorker(t *testing.T) (w *worker.Worker, target, control string) {
 	t.Helper()
 	w, err := worker.New(worker.Config{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	work, steer := httptest.NewServer(w.Handler()), httptest.NewServer(w.Control())
+	work, controlServer := httptest.NewServer(w.Handler()), httptest.NewServer(w.Control())
 	t.Cleanup(work.Close)
-	t.Cleanup(steer.Close)
-	return w, strings.TrimPrefix(work.URL, "http://"), strings.TrimPrefix(steer.URL, "http://")
+	t.Cleanup(controlServer.Close)
+	return w, strings.TrimPrefix(work.URL, "http://"), strings.TrimPrefix(controlServer.URL, "http://")
 }
 
 func runCommand(t *testing.T, args ...string) (int, string) {
@@ -34,12 +34,12 @@
 	return code, out.String()
 }
 
-// short are the flags of a run of a tenth of a second.
-func short(target, control string, more ...string) []string {
+// shortRun returns the flags of a run of 100 ms.
+func shortRun(target, control string, more ...string) []string {
 	return append([]string{"--target", target, "--direct", "--duration", "100ms", "--settle", "1ms", "--rate", "200", "--timeout", "60s", "--oracle", control}, more...)
 }
 
-func TestHelpAndBadUsageHaveTheirCodes(t *testing.T) {
+func TestHelpAndUsageExitCodes(t *testing.T) {
 	plan := filepath.Join(t.TempDir(), "plan.toml")
 	if err := os.WriteFile(plan, []byte("target = 1\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -71,9 +71,9 @@
 	}
 }
 
-func TestARunPrintsJSON(t *testing.T) {
-	w, target, control := stand(t)
-	code, out := runCommand(t, short(target, control, "--json", "--method", "POST")...)
+func TestRunPrintsJSON(t *testing.T) {
+	w, target, control := startWorker(t)
+	code, out := runCommand(t, shortRun(target, control, "--json", "--method", "POST")...)
 	var got load.Result
 	if err := json.Unmarshal([]byte(out), &got); err != nil {
 		t.Fatalf("%v in\n%s", err, out)
@@ -83,25 +83,25 @@
 	}
 }
 
-func TestABrokenPromiseHasItsCode(t *testing.T) {
-	w, target, control := stand(t)
+func TestViolationExitCode(t *testing.T) {
+	w, target, control := startWorker(t)
 	if err := w.ChangeFaults(func(f *worker.Faults) { f.CrossedBodyShare = 1 }); err != nil {
 		t.Fatal(err)
 	}
-	if code, out := runCommand(t, short(target, control)...); code != exitBroken {
+	if code, out := runCommand(t, shortRun(target, control)...); code != exitViolation {
 		t.Errorf("code %d\n%s", code, out)
 	}
 }
 
-func TestAnOracleThatCannotBeAskedFailsTheRun(t *testing.T) {
-	_, target, _ := stand(t)
-	if code, out := runCommand(t, short(target, "127.0.0.1:1", "--method", "POST")...); code != exitFailed || !strings.Contains(out, "count runs") {
+func TestUnreachableOracleFailsRun(t *testing.T) {
+	_, target, _ := startWorker(t)
+	if code, out := runCommand(t, shortRun(target, "127.0.0.1:1", "--method", "POST")...); code != exitFailed || !strings.Contains(out, "count runs") {
 		t.Errorf("code %d\n%s", code, out)
 	}
 }
 
-func TestAPlanIsCarriedOut(t *testing.T) {
-	w, target, control := stand(t)
+func TestPlanFile(t *testing.T) {
+	w, target, control := startWorker(t)
 	text := `
 targets = ["127.0.0.1:1"]
 direct = true
--- a/cmd/gypsumproof/main.go
+++ b/cmd/gypsumproof/main.go
@@ -1,5 +1,5 @@
-// Command gypsumproof plays random plans of requests and faults against whole
-// decision cores on a fake clock and tells which promises broke.
+// Command gypsumproof runs random plans of requests and faults against complete decision
+// cores on a fake clock and reports violated guarantees.
 package main
 
 import (
@@ -18,9 +18,9 @@
 
 // Exit codes.
 const (
-	exitFailed = 1
-	exitUsage  = 2
-	exitBroken = 3
+	exitFailed    = 1
+	exitUsage     = 2
+	exitViolation = 3
 )
 
 // Bounds of the flags.
@@ -31,15 +31,15 @@
 
 const usage = `usage: gypsumproof [flags]
 
-Plays plans by their seeds, one after the other, and holds what happened against
-a ledger kept outside the nodes: docs/PROMISES.md tells the promises. Prints each
-breach with the seed of its plan, and what all plans brought about. It opens no
-socket; the same seed has the same course each time.
+Runs plans by seed, one after the other, and checks the results against a ledger kept
+outside the nodes. docs/PROMISES.md lists the guarantees. Prints each violation with the
+seed of its plan, and the counts of events over all plans. It opens no socket; a seed
+gives the same run every time.
 
   gypsumproof -plans 500
   gypsumproof -seed 77 -plans 1 -trace
 
-Exit codes: 0 promises kept, 1 stopped early, 2 usage, 3 a promise was broken.
+Exit codes: 0 guarantees kept, 1 stopped early, 2 usage, 3 a guarantee was violated.
 
 flags:
 `
@@ -49,12 +49,12 @@
 func run(args []string, out, diagnostics io.Writer) int {
 	flags := flag.NewFlagSet("gypsumproof", flag.ContinueOnError)
 	flags.SetOutput(diagnostics)
-	seed := flags.Uint64("seed", 1, "seed of the first plan; the next ones follow")
+	seed := flags.Uint64("seed", 1, "seed of the first plan; each next plan adds one")
 	plans := flags.Int("plans", 12, "number of plans, 1 to 1000000")
-	steps := flags.Int("steps", 40, "steps of each plan, 1 to 10000")
-	warming := flags.Bool("warming", false, "let workers bear little for a while, at any moment")
-	deadly := flags.Bool("deadly", true, "let callers send requests that end workers, too")
-	trace := flags.Bool("trace", false, "print what happens")
+	steps := flags.Int("steps", 40, "steps per plan, 1 to 10000")
+	warming := flags.Bool("warming", false, "include periods in which workers are warming and can take little load")
+	deadly := flags.Bool("deadly", true, "include requests that crash workers")
+	trace := flags.Bool("trace", false, "print each event")
 	flags.Usage = func() {
 		fmt.Fprint(diagnostics, usage)
 		flags.PrintDefaults()
@@ -72,37 +72,38 @@
 	if *trace {
 		p.Trace = out
 	}
-	broken, err := play(ctx, p, *plans, out)
+	violated, err := runPlans(ctx, p, *plans, out)
 	switch {
 	case err != nil:
 		fmt.Fprintln(diagnostics, err)
 		return exitFailed
-	case broken:
-		return exitBroken
+	case violated:
+		return exitViolation
 	}
 	return 0
 }
 
-// play plays the plans from the first on and prints what came of them.
-func play(ctx context.Context, first proof.Plan, plans int, out io.Writer) (broken bool, err error) {
+// runPlans runs plans with consecutive seeds, starting with first, and prints violations and
+// event counts. It reports whether a guarantee was violated.
+func runPlans(ctx context.Context, first proof.Plan, plans int, out io.Writer) (violated bool, err error) {
 	counts := map[string]int{}
 	for i := range plans {
 		p := first
 		p.Seed += uint64(i)
 		if err := ctx.Err(); err != nil {
-			return broken, fmt.Errorf("stopped after %d plans: %w", i, err)
+			return violated, fmt.Errorf("stopped after %d plans: %w", i, err)
 		}
 		r := proof.Run(p)
-		for _, breach := range r.Violations {
-			broken = true
-			fmt.Fprintf(out, "seed %d: %s\n", p.Seed, breach)
+		for _, violation := range r.Violations {
+			violated = true
+			fmt.Fprintf(out, "seed %d: %s\n", p.Seed, violation)
 		}
-		for what, n := range r.Counts {
-			counts[what] += n
+		for name, n := range r.Counts {
+			counts[name] += n
 		}
 	}
-	for _, what := range slices.Sorted(maps.Keys(counts)) {
-		fmt.Fprintf(out, "%8d %s\n", counts[what], what)
+	for _, name := range slices.Sorted(maps.Keys(counts)) {
+		fmt.Fprintf(out, "%8d %s\n", counts[name], name)
 	}
-	return broken, nil
+	return violated, nil
 }
--- a/cmd/gypsumside/main.go
+++ b/cmd/gypsumside/main.go
@@ -1,5 +1,5 @@
-// Command gypsumside is the node on machines that follow a directory: gypsumd with
-// the adapter of package platform.
+// Command gypsumside runs a node on machines that follow a directory: gypsumd with the
+// adapter of package platform.
 package main
 
 import (
@@ -11,15 +11,14 @@
 
 const usage = `usage: gypsumside [-settings FILE]
 
-Runs one node beside its worker on the users' machines until SIGTERM or SIGINT,
-which begin a graceful stop: readiness goes down first, callers are still served
-for leave_grace_ms, then what is in flight is finished, bounded by stop_timeout_ms.
-SIGHUP checks the settings file anew and logs what it finds. Logs are JSON lines on
-standard output, catalogued in docs/EVENTS.md. docs/PLATFORM.md says how it is run.
+Runs one node beside its worker, with the platform's adapter, until SIGTERM or SIGINT,
+which start a graceful stop: the readiness check fails first, callers are still served for
+leave_grace_ms, then the requests in flight complete within stop_timeout_ms. SIGHUP checks
+the settings file and logs the result. Logs are JSON lines on standard output;
+docs/EVENTS.md lists the events. docs/PLATFORM.md describes deployment.
 
-Exit codes: 0 stopped gracefully, 1 could not serve or a part of it failed,
-2 usage, 3 faults in the settings (all are logged), 4 stopped with requests
-cut off.
+Exit codes: 0 stopped gracefully, 1 could not serve or a component failed, 2 usage,
+3 errors in the settings (all are logged), 4 stopped with requests cut off.
 
 flags:
 `
--- a/cmd/gypsumsoak/main.go
+++ b/cmd/gypsumsoak/main.go
@@ -1,4 +1,5 @@
-// Command gypsumsoak harms a fleet of real node processes and checks the promises.
+// Command gypsumsoak injects faults into a fleet of real node processes and checks that the
+// guarantees hold.
 package main
 
 import (
@@ -16,16 +17,16 @@
 
 const usage = `usage: gypsumsoak -node FILE [flags]
 
-Runs nodes as separate processes on the loopback network, beside stand-ins of the
-store and of workers, and harms them: signals, wires that delay, reset, hold back or
-silence, a store that misbehaves, workers that drain, spoil answers or refuse. Clients
-check every answer; what they and the workers saw is held against the promises. A seed
-repeats the plan of troubles. The plan and the nodes' logs of a soak that found
-something are kept.
+Runs nodes as separate processes on the loopback network, beside stand-ins for the store
+and the workers, and injects faults: signals; connections that are delayed, reset, stalled
+or silent; a store that misbehaves; workers that drain, corrupt responses or refuse.
+Clients check every response, and the records of clients and workers are checked against
+the guarantees. A seed repeats the plan of faults. If a soak finds a violation, its plan
+and the nodes' logs are kept.
 
   gypsumsoak -node bin/gypsumside -seed 1 -seeds 50
 
-Exit codes: 0 nothing was found, 1 a promise was broken, 2 usage or no start.
+Exit codes: 0 no violation, 1 a guarantee was violated, 2 usage or failed start.
 
 flags:
 `
@@ -35,9 +36,9 @@
 	seed := flag.Uint64("seed", 1, "first seed")
 	seeds := flag.Int("seeds", 1, "number of seeds, one after the other")
 	machines := flag.Int("machines", 6, "number of nodes, up to 100")
-	length := flag.Duration("for", 24*time.Second, "length of one soak, at least 15s")
-	plan := flag.String("plan", string(soak.PlanNewest), "what the plan is drawn from: newest, spared (one machine and the store are spared, and that machine is left without peers), zones (mostly evacuations and cold workers), or first to fifth, by which older seeds repeat their plans")
-	keep := flag.String("keep", "", "folder for plans and logs of soaks that found something; by default a temporary one")
+	length := flag.Duration("for", 24*time.Second, "duration of one soak, at least 15s")
+	plan := flag.String("plan", string(soak.PlanNewest), "kind of plan: newest, spared (one machine and the store get no faults, and that machine is left without peers), zones (mostly evacuations and cold workers), or first to fifth, older generators for which older seeds repeat their plans")
+	keep := flag.String("keep", "", "folder for plans and logs of soaks with violations; default: the temporary folder")
 	flag.Usage = func() {
 		fmt.Fprint(flag.CommandLine.Output(), usage)
 		flag.PrintDefaults()
@@ -55,31 +56,31 @@
 		flag.Usage()
 		os.Exit(2)
 	}
-	os.Exit(play(ctx, cfg, *seed, *seeds, *keep))
+	os.Exit(runSeeds(ctx, cfg, *seed, *seeds, *keep))
 }
 
-// play plays the seeds and returns the exit code.
-func play(ctx context.Context, cfg soak.Config, first uint64, seeds int, keep string) int {
+// runSeeds runs one soak per seed and returns the exit code.
+func runSeeds(ctx context.Context, cfg soak.Config, first uint64, seeds int, keep string) int {
 	code := 0
 	for n := range uint64(seeds) {
 		if ctx.Err() != nil {
 			break
 		}
 		cfg.Seed = first + n
-		found, err := playOne(ctx, cfg, keep)
+		violated, err := runSeed(ctx, cfg, keep)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "gypsumsoak:", err)
 			return 2
 		}
-		if found {
+		if violated {
 			code = 1
 		}
 	}
 	return code
 }
 
-// playOne plays one seed and tells whether a promise was broken.
-func playOne(ctx context.Context, cfg soak.Config, keep string) (found bool, err error) {
+// runSeed runs one soak and reports whether a guarantee was violated.
+func runSeed(ctx context.Context, cfg soak.Config, keep string) (violated bool, err error) {
 	if keep == "" {
 		keep = os.TempDir()
 	}
--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -180,8 +180,8 @@
 	}
 }
 
-// TestPromisesNameTheirProof fails when a promise's section names no test.
-func TestPromisesNameTheirProof(t *testing.T) {
+// TestPromisesNameTests fails when a promise's section names no test.
+func TestPromisesNameTests(t *testing.T) {
 	_, rest, _ := strings.Cut(readPage(t, "PROMISES.md"), "\n## ")
 	parts := strings.Split(rest, "\n## ")
 	promises := 0
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestBundlesDoNotContradictEachOther(t *testing.T) {
+func TestBundlesDoNotConflict(t *testing.T) {
 	var all []*bundle.Bundle
 	for _, d := range deployments {
 		all = append(all, openBundle(t, d))
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestRoutesLeadWhereTheDeploymentsSay(t *testing.T) {
+func TestExampleRoutes(t *testing.T) {
 	type target struct {
 		Service    model.ServiceName
 		Class      model.ClassName
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestExampleKeyIsMarkedAndFits(t *testing.T) {
+func TestExampleKeysAreMarkedAndMatch(t *testing.T) {
 	const mark = "# EXAMPLE KEY."
 	for _, name := range []string{"example-only.private.toml", "example-only.public.toml"} {
 		if !bytes.HasPrefix(readFile(t, "keys", name), []byte(mark)) {
