--- a/docs/pages.go
+++ b/docs/pages.go
@@ -1,2 +1,2 @@
-// Package docs has no code; its tests keep the pages and the code together.
+// Package docs contains no code; its tests check that the pages match the code.
 package docs
--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -20,7 +20,7 @@
 	"gypsumstand/internal/settings"
 )
 
-// root is the module's folder as the tests see it.
+// root is the module's root folder, relative to the tests' folder.
 const root = ".."
 
 func readPage(t *testing.T, name string) string {
@@ -32,7 +32,7 @@
 	return string(data)
 }
 
-// section returns the part of a page under one heading of the second level.
+// section returns the text of a page under a second-level heading.
 func section(t *testing.T, page, heading string) string {
 	t.Helper()
 	_, rest, ok := strings.Cut(page, "\n## "+heading+"\n")
@@ -43,19 +43,20 @@
 	return part
 }
 
-// row finds the first cell of a table's row when it is one word in backticks.
-var row = regexp.MustCompile("(?m)^\\| `([^`]+)` \\|")
+// rowPattern matches the first cell of a table row that is one term in backticks.
+var rowPattern = regexp.MustCompile("(?m)^\\| `([^`]+)` \\|")
 
+// rowNames returns the sorted first cells of all matching table rows.
 func rowNames(text string) []string {
 	var out []string
-	for _, match := range row.FindAllStringSubmatch(text, -1) {
+	for _, match := range rowPattern.FindAllStringSubmatch(text, -1) {
 		out = append(out, match[1])
 	}
 	slices.Sort(out)
 	return out
 }
 
-// tomlKeys returns the dotted keys of a type's TOML form, sorted.
+// tomlKeys returns the sorted dotted TOML keys of a type.
 func tomlKeys(v any) []string {
 	var out []string
 	addKeys(&out, "", reflect.TypeOf(v))
@@ -63,16 +64,17 @@
 	return out
 }
 
+// addKeys appends the keys of typ and of its nested structs, with the prefix.
 func addKeys(out *[]string, prefix string, typ reflect.Type) {
 	for i := range typ.NumField() {
 		field := typ.Field(i)
 		key := prefix + field.Tag.Get("toml")
-		under := field.Type
-		for under.Kind() == reflect.Slice || under.Kind() == reflect.Pointer {
-			under = under.Elem()
+		elem := field.Type
+		for elem.Kind() == reflect.Slice || elem.Kind() == reflect.Pointer {
+			elem = elem.Elem()
 		}
-		if under.Kind() == reflect.Struct {
-			addKeys(out, key+".", under)
+		if elem.Kind() == reflect.Struct {
+			addKeys(out, key+".", elem)
 			continue
 		}
 		*out = append(*out, key)
@@ -104,6 +106,7 @@
 	}
 }
 
+// parseFile parses a Go file, given by its path from the module root.
 func parseFile(t *testing.T, path string) *ast.File {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), filepath.Join(root, path), nil, parser.SkipObjectResolution)
@@ -113,7 +116,8 @@
 	return file
 }
 
-// optionNames returns the metrics whose options a file names with "Name: ...".
+// optionNames returns the names of the metrics whose options have the form "Name: ..." in a
+// file.
 func optionNames(t *testing.T, path string) []string {
 	t.Helper()
 	var out []string
@@ -126,12 +130,12 @@
 		return true
 	})
 	if len(out) == 0 {
-		t.Fatalf("%s names no metric in the form that this test reads", path)
+		t.Fatalf("%s contains no metric in the form that this test parses", path)
 	}
 	return out
 }
 
-// describedNames returns the metrics that a file makes with describe.
+// describedNames returns the names of the metrics that a file creates with describe.
 func describedNames(t *testing.T, path string) []string {
 	t.Helper()
 	var out []string
@@ -144,16 +148,17 @@
 		return true
 	})
 	if len(out) == 0 {
-		t.Fatalf("%s describes no metric in the form that this test reads", path)
+		t.Fatalf("%s describes no metric in the form that this test parses", path)
 	}
 	return out
 }
 
+// literal returns the value of a string literal.
 func literal(t *testing.T, e ast.Expr) string {
 	t.Helper()
 	lit, ok := e.(*ast.BasicLit)
 	if !ok {
-		t.Fatalf("a metric's name is no literal: %T", e)
+		t.Fatalf("metric name is not a literal: %T", e)
 	}
 	s, err := strconv.Unquote(lit.Value)
 	if err != nil {
@@ -162,8 +167,8 @@
 	return s
 }
 
-// testName finds names of tests, fuzz targets and benchmarks.
-var testName = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z][A-Za-z0-9_]*`)
+// testNamePattern matches names of tests, fuzz targets and benchmarks.
+var testNamePattern = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z][A-Za-z0-9_]*`)
 
 func TestPagesNameOnlyTestsThatExist(t *testing.T) {
 	known := declaredTests(t)
@@ -172,7 +177,7 @@
 		t.Fatalf("no pages found: %v", err)
 	}
 	for _, page := range pages {
-		for _, name := range testName.FindAllString(readPage(t, page), -1) {
+		for _, name := range testNamePattern.FindAllString(readPage(t, page), -1) {
 			if !known[name] {
 				t.Errorf("%s names %s, which no test file declares", page, name)
 			}
@@ -180,18 +185,18 @@
 	}
 }
 
-// TestPromisesNameTests fails when a promise's section names no test.
+// TestPromisesNameTests fails if the section of a promise names no test.
 func TestPromisesNameTests(t *testing.T) {
 	_, rest, _ := strings.Cut(readPage(t, "PROMISES.md"), "\n## ")
-	parts := strings.Split(rest, "\n## ")
+	sections := strings.Split(rest, "\n## ")
 	promises := 0
-	for _, part := range parts {
-		if part[0] < '0' || part[0] > '9' {
+	for _, section := range sections {
+		if section[0] < '0' || section[0] > '9' {
 			continue
 		}
 		promises++
-		if !testName.MatchString(part) {
-			t.Errorf("no test is named under %q", strings.SplitN(part, "\n", 2)[0])
+		if !testNamePattern.MatchString(section) {
+			t.Errorf("no test is named under %q", strings.SplitN(section, "\n", 2)[0])
 		}
 	}
 	if promises != 7 {
@@ -199,35 +204,36 @@
 	}
 }
 
-// reference finds a section of DESIGN.md that a comment names, across lines.
-var reference = regexp.MustCompile(`DESIGN\.md,\s+"([^"]+)"(?:\s+and\s+"([^"]+)")?`)
+// sectionReference matches a reference in a comment to a section of DESIGN.md; it may span
+// lines.
+var sectionReference = regexp.MustCompile(`DESIGN\.md,\s+"([^"]+)"(?:\s+and\s+"([^"]+)")?`)
 
-// commentMark joins a comment's lines.
-var commentMark = regexp.MustCompile(`\n\s*// ?`)
+// commentPrefix matches a line break within a comment; replacing it joins the lines.
+var commentPrefix = regexp.MustCompile(`\n\s*// ?`)
 
 func TestCommentsNameSectionsOfDesignThatExist(t *testing.T) {
 	page := readPage(t, "DESIGN.md")
 	found := 0
 	eachGoFile(t, func(path string) {
-		text := commentMark.ReplaceAllString(readPage(t, path), " ")
-		for _, match := range reference.FindAllStringSubmatch(text, -1) {
+		text := commentPrefix.ReplaceAllString(readPage(t, path), " ")
+		for _, match := range sectionReference.FindAllStringSubmatch(text, -1) {
 			for _, name := range match[1:] {
 				if name == "" {
 					continue
 				}
 				found++
 				if !strings.Contains(page, "\n## "+name+"\n") {
-					t.Errorf("%s names the section %q, which DESIGN.md lacks", path, name)
+					t.Errorf("%s refers to the section %q, which is missing from DESIGN.md", path, name)
 				}
 			}
 		}
 	})
 	if found == 0 {
-		t.Error("no comment names a section in the form that this test reads")
+		t.Error("no comment refers to a section in the form that this test parses")
 	}
 }
 
-// eachGoFile calls f with the path of each Go file of the module.
+// eachGoFile calls f with the path of each Go file in the module.
 func eachGoFile(t *testing.T, f func(path string)) {
 	t.Helper()
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -241,7 +247,7 @@
 	}
 }
 
-// declaredTests returns the names of the functions of all test files.
+// declaredTests returns the names of all functions in test files.
 func declaredTests(t *testing.T) map[string]bool {
 	t.Helper()
 	known := map[string]bool{}
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -1,4 +1,4 @@
-// Package examples has no code; its test keeps the examples sound.
+// Package examples contains no code; its tests check that the examples are valid.
 package examples
 
 import (
@@ -49,20 +49,20 @@
 		t.Run(d, func(t *testing.T) {
 			b := openBundle(t, d)
 			if string(b.Name) != d {
-				t.Errorf("bundle is named %s", b.Name)
+				t.Errorf("bundle name is %s", b.Name)
 			}
 			signed, err := bundle.Unmarshal(readFile(t, d, "bundle.signed"))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if !bytes.Equal(signed.Bundle, readFile(t, d, "bundle.toml")) {
-				t.Error("bundle.signed does not hold bundle.toml: sign it again as README.md says")
+				t.Error("bundle.signed does not contain bundle.toml: sign it again as described in README.md")
 			}
 		})
 	}
 }
 
-func TestNodesServeAServiceOfTheirBundle(t *testing.T) {
+func TestNodeServiceIsInBundle(t *testing.T) {
 	for _, d := range deployments {
 		if node := loadNode(t, d); openBundle(t, d).Service(node.Service) == nil {
 			t.Errorf("%s: the bundle has no service %s", d, node.Service)
@@ -137,11 +137,11 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(private.Public, public.Public) {
-		t.Error("the two files hold keys of two pairs")
+		t.Error("the private and the public key file do not match")
 	}
 }
 
-func TestEveryNodesSettingsLoadAndFitTheBundle(t *testing.T) {
+func TestNodeSettingsMatchBundle(t *testing.T) {
 	want := map[string]int{"inyange": 11, "brethyn": 10}
 	for _, d := range deployments {
 		files, err := filepath.Glob(filepath.Join(d, "nodes", "*.toml"))
--- a/internal/fetch/fetch.go
+++ b/internal/fetch/fetch.go
@@ -1,4 +1,4 @@
-// Package fetch reads bounded answers of services by GET.
+// Package fetch sends GET requests and reads responses of limited size.
 package fetch
 
 import (
@@ -9,16 +9,17 @@
 	"net/http"
 )
 
-// ErrTooLarge says that an answer is over its bound.
-var ErrTooLarge = errors.New("answer is over its bound")
+// ErrTooLarge is returned if a response is larger than its limit.
+var ErrTooLarge = errors.New("response exceeds its limit")
 
-// maxDrainedBytes is the most of a refusal that is read so that its connection can be used
-// again: some times a usual error page. A longer one costs a new connection instead.
-const maxDrainedBytes = 4 << 10
+// maxDrainBytes is the maximum number of bytes of an error response that are read so that its
+// connection can be reused, a few times the size of a typical error page. A longer response
+// costs a new connection instead.
+const maxDrainBytes = 4 << 10
 
-// Get returns the body of the answer to a GET of url, of at most bound bytes. An answer
-// with another status than 200 is an error, which refusal gives for its status.
-func Get(ctx context.Context, client *http.Client, url string, bound int64, refusal func(status int) error) ([]byte, error) {
+// Get sends a GET request for url and returns the response body of at most limit bytes. For
+// any status other than 200 it returns the error that statusError gives for it.
+func Get(ctx context.Context, client *http.Client, url string, limit int64, statusError func(status int) error) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
@@ -29,23 +30,23 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		// A connection that fails here is not used again.
-		_, _ = io.CopyN(io.Discard, resp.Body, maxDrainedBytes)
-		return nil, refusal(resp.StatusCode)
+		// An error is ignored: the transport does not reuse a connection that fails.
+		_, _ = io.CopyN(io.Discard, resp.Body, maxDrainBytes)
+		return nil, statusError(resp.StatusCode)
 	}
-	return readBounded(resp, bound)
+	return readLimited(resp, limit)
 }
 
-func readBounded(resp *http.Response, bound int64) ([]byte, error) {
-	if resp.ContentLength > bound {
-		return nil, fmt.Errorf("%w of %d bytes", ErrTooLarge, bound)
+func readLimited(resp *http.Response, limit int64) ([]byte, error) {
+	if resp.ContentLength > limit {
+		return nil, fmt.Errorf("%w of %d bytes", ErrTooLarge, limit)
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, bound+1))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
 		return nil, err
 	}
-	if int64(len(data)) > bound {
-		return nil, fmt.Errorf("%w of %d bytes", ErrTooLarge, bound)
+	if int64(len(data)) > limit {
+		return nil, fmt.Errorf("%w of %d bytes", ErrTooLarge, limit)
 	}
 	return data, nil
 }
--- a/internal/fetch/fetch_test.go
+++ b/internal/fetch/fetch_test.go
@@ -13,9 +13,9 @@
 
 var errRefused = errors.New("refused")
 
-func refusal(status int) error { return fmt.Errorf("%w: %d", errRefused, status) }
+func statusError(status int) error { return fmt.Errorf("%w: %d", errRefused, status) }
 
-func TestARefusedCallKeepsItsConnection(t *testing.T) {
+func TestErrorResponseKeepsConnection(t *testing.T) {
 	var connections atomic.Int32
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, strings.Repeat("busy ", 200), http.StatusServiceUnavailable)
@@ -28,16 +28,16 @@
 	s.Start()
 	defer s.Close()
 	for range 3 {
-		if _, err := Get(t.Context(), s.Client(), s.URL, 100, refusal); !errors.Is(err, errRefused) {
+		if _, err := Get(t.Context(), s.Client(), s.URL, 100, statusError); !errors.Is(err, errRefused) {
 			t.Errorf("got %v, want %v", err, errRefused)
 		}
 	}
 	if n := connections.Load(); n != 1 {
-		t.Errorf("%d connections for 3 calls", n)
+		t.Errorf("%d connections for 3 calls, want 1", n)
 	}
 }
 
-func TestAnAnswerIsBounded(t *testing.T) {
+func TestResponseSizeLimit(t *testing.T) {
 	const bound = 100
 	for _, declared := range []bool{true, false} {
 		for _, size := range []int{0, bound, bound + 1} {
@@ -47,7 +47,7 @@
 				}
 				fmt.Fprint(w, strings.Repeat("a", size))
 			}))
-			data, err := Get(t.Context(), s.Client(), s.URL, bound, refusal)
+			data, err := Get(t.Context(), s.Client(), s.URL, bound, statusError)
 			s.Close()
 			if size > bound && !errors.Is(err, ErrTooLarge) || size <= bound && (err != nil || len(data) != size) {
 				t.Errorf("%d bytes, declared %v: got %d bytes, %v", size, declared, len(data), err)
--- a/internal/packed/packed.go
+++ b/internal/packed/packed.go
@@ -1,5 +1,5 @@
-// Package packed compresses what operators write, for passing on between nodes:
-// signed bundles and a directory's configuration.
+// Package packed compresses signed bundles and directory configurations for the transfer
+// between nodes.
 package packed
 
 import (
@@ -11,11 +11,12 @@
 	"gypsumstand/internal/bundle"
 )
 
-// MaxBytes bounds one packed body: incompressible bytes grow a little.
+// MaxBytes is the maximum size of a packed body. It exceeds bundle.MaxBytes because
+// incompressible data grows a little.
 const MaxBytes = bundle.MaxBytes + bundle.MaxBytes/512
 
-// Pack compresses a text for passing on. It is done once per version, by
-// the nodes that read the platform; others pass on what they got.
+// Pack compresses raw. Only the nodes that read the platform do this, once per version; the
+// other nodes forward the packed bytes.
 func Pack(raw []byte) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestCompression)
@@ -31,7 +32,8 @@
 	return out.Bytes(), nil
 }
 
-// Unpack reverses Pack and refuses more than the bound.
+// Unpack reverses Pack. It returns bundle.ErrTooLarge if the packed or the unpacked size
+// exceeds its limit.
 func Unpack(packed []byte) ([]byte, error) {
 	if len(packed) > MaxBytes {
 		return nil, fmt.Errorf("%d packed bytes: %w", len(packed), bundle.ErrTooLarge)
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits.
+// Package pause provides a sleep that a context can interrupt.
 package pause
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits for d, or less when ctx ends, and returns ctx.Err() in that case. It
-// does not wait when d is not over zero.
+// For waits until d has passed or ctx ends; in the latter case it returns ctx.Err(). With a
+// zero or negative d it returns ctx.Err() at once.
 func For(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestForWaitsUntilTheTimeOrTheEndOfTheContext(t *testing.T) {
+func TestFor(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		d, limit time.Duration
--- a/internal/rapidflags/rapidflags.go
+++ b/internal/rapidflags/rapidflags.go
@@ -1,5 +1,5 @@
-// Package rapidflags sets rapid's flags for tests, so that a run gives the same
-// verdict each time unless its command line asks for something else.
+// Package rapidflags sets default flags of the property-testing library rapid, so that test
+// runs are deterministic unless the command line overrides them.
 package rapidflags
 
 import (
@@ -9,13 +9,14 @@
 	"testing"
 )
 
-// Flags are values by the names of flags.
+// Flags maps flag names to values.
 type Flags map[string]string
 
-// FixedSeed makes a run the same each time; -rapid.seed=0 asks for a fresh one.
+// FixedSeed returns flags with a fixed seed. -rapid.seed=0 on the command line asks for a
+// random one.
 func FixedSeed() Flags { return Flags{"rapid.seed": "1"} }
 
-// Main runs a package's tests with the flags, as its TestMain.
+// Main implements TestMain: it sets the flags, runs the tests and exits.
 func Main(m *testing.M, flags Flags) {
 	flag.Parse()
 	if err := Set(flags); err != nil {
@@ -25,13 +26,13 @@
 	os.Exit(m.Run())
 }
 
-// Set sets the flags that the command line does not give. The error names a flag
-// that is not known or does not take its value.
+// Set sets each flag that the command line does not set. The error names a flag that is
+// unknown or rejects its value.
 func Set(flags Flags) error {
-	given := Flags{}
-	flag.Visit(func(f *flag.Flag) { given[f.Name] = f.Value.String() })
+	explicit := Flags{}
+	flag.Visit(func(f *flag.Flag) { explicit[f.Name] = f.Value.String() })
 	for name, value := range flags {
-		if _, ok := given[name]; ok {
+		if _, ok := explicit[name]; ok {
 			continue
 		}
 		if err := flag.Set(name, value); err != nil {
--- a/internal/suspension/suspension.go
+++ b/internal/suspension/suspension.go
@@ -1,5 +1,5 @@
-// Package suspension tells how long the machine has been suspended. The steady clock, on
-// which ages and time-outs rest, stands still meanwhile.
+// Package suspension measures how long the machine has been suspended. The monotonic clock,
+// which ages and timeouts use, stops during a suspension.
 package suspension
 
 import (
@@ -8,28 +8,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// Total is for how long the machine has been suspended since its start: between Least and
-// Most, which lie apart by what passes between two readings of the clocks.
+// Total is the time that the machine has been suspended since boot. It lies between Min and
+// Max, which differ by the time that passes between the clock readings.
 type Total struct{ Min, Max time.Duration }
 
-// Now returns the total until now. The error is the system's, where it has no such clock.
+// Now returns the total up to now. It returns an error if the system lacks one of the clocks.
 func Now() (Total, error) {
-	before, err := read(unix.CLOCK_MONOTONIC)
+	before, err := readClock(unix.CLOCK_MONOTONIC)
 	if err != nil {
 		return Total{}, err
 	}
-	all, err := read(unix.CLOCK_BOOTTIME)
+	boot, err := readClock(unix.CLOCK_BOOTTIME)
 	if err != nil {
 		return Total{}, err
 	}
-	after, err := read(unix.CLOCK_MONOTONIC)
+	after, err := readClock(unix.CLOCK_MONOTONIC)
 	if err != nil {
 		return Total{}, err
 	}
-	return Total{Min: all - after, Max: all - before}, nil
+	return Total{Min: boot - after, Max: boot - before}, nil
 }
 
-func read(clock int32) (time.Duration, error) {
+// readClock returns the time of a system clock.
+func readClock(clock int32) (time.Duration, error) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(clock, &ts); err != nil {
 		return 0, err
@@ -37,13 +38,14 @@
 	return time.Duration(ts.Nano()), nil
 }
 
-// least is the shortest suspension that is told from an inexact reading.
-const least = 20 * time.Millisecond
+// minSuspension is the shortest suspension that Since distinguishes from inaccurate clock
+// readings.
+const minSuspension = 20 * time.Millisecond
 
-// Since returns for how long the machine was suspended since an earlier total, zero where
-// that cannot be told from none.
+// Since returns the upper bound of the time suspended since an earlier total, or zero if
+// that time is too short to distinguish from no suspension.
 func (t Total) Since(earlier Total) time.Duration {
-	if d := t.Min - earlier.Max; d >= least {
+	if d := t.Min - earlier.Max; d >= minSuspension {
 		return t.Max - earlier.Min
 	}
 	return 0
--- a/internal/suspension/suspension_test.go
+++ b/internal/suspension/suspension_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestARunningMachineIsNotSuspended(t *testing.T) {
+func TestRunningMachineReportsNoSuspension(t *testing.T) {
 	first, err := Now()
 	if err != nil {
 		t.Fatal(err)
@@ -24,11 +24,11 @@
 	}
 }
 
-func TestASuspensionIsToldAtItsMost(t *testing.T) {
+func TestSinceReturnsUpperBound(t *testing.T) {
 	before := Total{Min: time.Second, Max: time.Second + time.Millisecond}
 	for _, tt := range []struct{ asleep, want time.Duration }{
 		{0, 0},
-		{least, 0},
+		{minSuspension, 0},
 		{3 * time.Second, 3*time.Second + time.Millisecond},
 	} {
 		after := Total{Min: before.Min + tt.asleep, Max: before.Max + tt.asleep}
--- a/internal/task/task.go
+++ b/internal/task/task.go
@@ -1,7 +1,6 @@
-// Package task runs functions whose panic is an error of theirs and not the end of the
-// process: by itself a panic in any goroutine but a server's handler ends it, and with it
-// every request in hand. A fatal error of the runtime, such as a concurrent access to a
-// map, can't be caught.
+// Package task runs functions and converts their panics to errors. Otherwise a panic in any
+// goroutine but an HTTP handler's kills the process, and with it every request in flight.
+// Fatal errors of the runtime, such as a concurrent map access, cannot be recovered.
 package task
 
 import (
@@ -9,41 +8,41 @@
 	"runtime/debug"
 )
 
-// Bounds of what a Panicked keeps, in bytes.
+// Size limits of the fields of a PanicError, in bytes.
 const (
-	maxValue = 512
-	maxStack = 4 << 10
+	maxValueBytes = 512
+	maxStackBytes = 4 << 10
 )
 
-// PanicError says that a function panicked.
+// PanicError is the error of a function that panicked.
 type PanicError struct {
-	// Value is what it panicked with, and Stack where; both are cut at their bounds.
+	// Value is the panic value and Stack the stack trace, both truncated to their limits.
 	Value, Stack string
 }
 
-// Error implements error.
+// Error returns the panic value and the stack.
 func (p *PanicError) Error() string { return "panic: " + p.Value + "\n" + p.Stack }
 
-// Do runs f; the error is a *Panicked, or nil when f did not panic. The functions that f
-// deferred have run then.
+// Do runs f. It returns a *PanicError if f panics, and nil otherwise. The functions that f
+// deferred have run when Do returns.
 func Do(f func()) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
-			err = &PanicError{Value: cut(fmt.Sprint(v), maxValue), Stack: cut(string(debug.Stack()), maxStack)}
+			err = &PanicError{Value: truncate(fmt.Sprint(v), maxValueBytes), Stack: truncate(string(debug.Stack()), maxStackBytes)}
 		}
 	}()
 	f()
 	return nil
 }
 
-// Go runs f in a goroutine; failed is told a panic of it.
-func Go(f func(), failed func(error)) {
+// Go runs f in a new goroutine and, if f panics, calls onPanic there with a *PanicError.
+func Go(f func(), onPanic func(error)) {
 	go func() {
 		if err := Do(f); err != nil {
-			failed(err)
+			onPanic(err)
 		}
 	}()
 }
 
-// cut returns the first most bytes of s.
-func cut(s string, most int) string { return s[:min(len(s), most)] }
+// truncate returns the first limit bytes of s.
+func truncate(s string, limit int) string { return s[:min(len(s), limit)] }
