--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -71,12 +71,12 @@
 		return err
 	}
 	r.fleet = fleet
-	err = r.serve(ctx)
+	err = r.demonstrate(ctx)
 	return errors.Join(err, fleet.Close())
 }
 
-// serve waits until the fleet is ready, applies load and events, and reports.
-func (r *run) serve(ctx context.Context) error {
+// demonstrate waits until the fleet is ready, applies load and events, and reports.
+func (r *run) demonstrate(ctx context.Context) error {
 	r.printf("starting %s: %d nodes and workers on loopback, %d data centres\n", r.dep.Name, len(r.fleet.Members()), deploy.DataCentres)
 	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -98,7 +98,7 @@
 	return r.report(result, *drainResult)
 }
 
-// printf writes to the report and ignores errors: without a report there is no reader.
+// printf writes to the report. It ignores write errors, which leave nowhere to report them.
 func (r *run) printf(format string, args ...any) { fmt.Fprintf(r.opts.Out, format, args...) }
 
 // violate records the violation of a guarantee.
--- a/internal/fetch/fetch_test.go
+++ b/internal/fetch/fetch_test.go
@@ -38,18 +38,18 @@
 }
 
 func TestResponseSizeLimit(t *testing.T) {
-	const bound = 100
+	const limit = 100
 	for _, declared := range []bool{true, false} {
-		for _, size := range []int{0, bound, bound + 1} {
+		for _, size := range []int{0, limit, limit + 1} {
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				if !declared {
 					w.(http.Flusher).Flush()
 				}
 				fmt.Fprint(w, strings.Repeat("a", size))
 			}))
-			data, err := Get(t.Context(), s.Client(), s.URL, bound, statusError)
+			data, err := Get(t.Context(), s.Client(), s.URL, limit, statusError)
 			s.Close()
-			if size > bound && !errors.Is(err, ErrTooLarge) || size <= bound && (err != nil || len(data) != size) {
+			if size > limit && !errors.Is(err, ErrTooLarge) || size <= limit && (err != nil || len(data) != size) {
 				t.Errorf("%d bytes, declared %v: got %d bytes, %v", size, declared, len(data), err)
 			}
 		}
