--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -133,8 +133,8 @@
 	ServiceTime Milliseconds `json:"service_ms"`
 	// FailureRate is the share of the worker's responses that failed, from 0 to 1.
 	FailureRate float64 `json:"failure_rate"`
-	// Warming is the time until the worker has warmed up; absent if it is not warming.
-	Warming Milliseconds `json:"warming_ms,omitempty"`
+	// WarmingLeft is the time until the worker has warmed up; absent if it is not warming.
+	WarmingLeft Milliseconds `json:"warming_ms,omitempty"`
 }
 
 // LoadOf converts a load report.
@@ -145,7 +145,7 @@
 		Queued:      int(r.Queued),
 		ServiceTime: Ms(r.ServiceTime),
 		FailureRate: r.FailureShare(),
-		Warming:     Ms(r.WarmingLeft()),
+		WarmingLeft: Ms(r.WarmingLeft()),
 	}
 }
 
