--- a/internal/owner/attempts.go
+++ b/internal/owner/attempts.go
@@ -170,7 +170,7 @@
 	l.expiries.push(until, key)
 }
 
-// evict removes the record that would expire first before its time. The ledger then
+// evict removes, before its time, the record that would expire first. The ledger then
 // answers less precisely but never wrongly: for the entry of a done attempt nothing is
 // known up to its sequence number, and stamps up to the time of an evicted fence are
 // refused.
--- a/internal/owner/delayedshare.go
+++ b/internal/owner/delayedshare.go
@@ -6,9 +6,9 @@
 const delayedGain = 1.0 / 16
 
 // recordOffer updates the share of delayed offers with one decision.
-func (o *Owner) recordOffer(v DecisionKind) {
+func (o *Owner) recordOffer(kind DecisionKind) {
 	target := 1.0
-	if v == Start {
+	if kind == Start {
 		target = 0
 	}
 	o.delayedShare += (target - o.delayedShare) * delayedGain
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// displace makes room for p in a full queue by refusing the least valuable queued
-// attempt; false when no attempt is worth less.
+// displace makes room for p in a full queue by refusing another queued attempt; it returns
+// false when none has to make room (see displaceable).
 func (o *Owner) displace(t time.Duration, p *pendingAttempt) bool {
 	victim := o.queue.displaceable(o.queueLimit, p)
 	if victim == nil {
--- a/internal/owner/inflation.go
+++ b/internal/owner/inflation.go
@@ -44,13 +44,13 @@
 
 // add records a wait that was predicted without the inflation, and its actual length.
 func (i *waitInflation) add(t, predicted, actual time.Duration) {
-	known := i.factor(t)
+	before := i.factor(t)
 	ratio := min(float64(actual)/float64(predicted), maxInflation)
 	weight := float64(inflationDown)
-	if ratio > known {
+	if ratio > before {
 		weight = inflationUp
 	}
-	i.ratio = known + (ratio-known)/weight
+	i.ratio = before + (ratio-before)/weight
 	i.updatedAt = t
 }
 
@@ -85,9 +85,9 @@
 }
 
 // missesObjectiveAfter reports whether an attempt with a predicted wait is expected to be
-// answered after its objective, given the wait inflation of its class. It applies only to
-// attempts with others before them: the first in the queue gets the next slot whatever
-// runs now.
+// answered after its objective, given the wait inflation of its class. Callers apply it
+// only to an attempt with others before it: the first in the queue gets the next slot
+// whatever runs now.
 func (p *pendingAttempt) missesObjectiveAfter(t, wait time.Duration) bool {
 	if p.objective <= 0 {
 		return false
--- a/internal/owner/keys.go
+++ b/internal/owner/keys.go
@@ -20,7 +20,8 @@
 )
 
 // A home delegates a request instead of queueing it when the predicted wait is over
-// delegateWait, or over the remaining time divided by delegateShare.
+// delegateWait, or over the remaining time divided by delegateShare, or when its worker is
+// failing; see refusePredictedLate.
 const (
 	delegateWait  = 100 * time.Millisecond
 	delegateShare = 4
--- a/internal/owner/keytransfer.go
+++ b/internal/owner/keytransfer.go
@@ -32,8 +32,9 @@
 	return out
 }
 
-// ImportKeys stores the request ids of a home that leaves. Existing records are kept, and
-// ids beyond the bound of the table are dropped; it returns how many.
+// ImportKeys stores the request ids of a home that leaves. Existing records are kept. Ids
+// that are expired, too long or beyond the bound of the table are dropped; it returns how
+// many.
 func (o *Owner) ImportKeys(now time.Time, records []wire.KeyRecord) (dropped int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/owner/offer.go
+++ b/internal/owner/offer.go
@@ -75,15 +75,15 @@
 		r := model.Refusal{Reason: model.ReasonTenantLimit, NotRun: true, RetryAfter: wait}
 		return Refuse, o.refuseOffered(t, p, r)
 	}
-	v, r := o.startOrQueue(t, now, p)
-	o.recordOffer(v)
-	return v, r
+	kind, r := o.startOrQueue(t, now, p)
+	o.recordOffer(kind)
+	return kind, r
 }
 
-// refuseUnbound refuses what no owner of this incarnation would ever accept, so that no
-// record is needed. An attempt bound to another incarnation is refused as "not run": each
-// attempt is sent once (package server's transport does not replay), so an attempt that
-// arrives here has not reached the other incarnation.
+// refuseUnbound refuses an attempt that this incarnation of the owner would never accept,
+// so that no record is needed. An attempt bound to another incarnation is refused as "not
+// run": each attempt is sent once (package server's transport does not replay), so an
+// attempt that arrives here has not reached the other incarnation.
 func (o *Owner) refuseUnbound(a *model.Attempt, sameNode bool) model.Refusal {
 	switch {
 	case a.ID.IsZero() || a.OwnerClock < 0:
@@ -111,15 +111,15 @@
 	if o.pending[a.ID] != nil {
 		return model.Refusal{Reason: model.ReasonDuplicateRunning}
 	}
-	rec, known := o.attempts.find(a.ID, stampOf(t, a, sameNode))
+	outcome, known := o.attempts.find(a.ID, stampOf(t, a, sameNode))
 	switch {
 	case !known:
 		return model.Refusal{Reason: model.ReasonStale}
-	case rec == attemptFenced:
+	case outcome == attemptFenced:
 		return notRunRefusal(model.ReasonFenced)
-	case rec == attemptDone:
+	case outcome == attemptDone:
 		return model.Refusal{Reason: model.ReasonDuplicateDone}
-	case rec == attemptDuplicate:
+	case outcome == attemptDuplicate:
 		return model.Refusal{Reason: model.ReasonDuplicateRunning}
 	}
 	return model.Refusal{}
@@ -167,7 +167,8 @@
 	return notRunRefusal(model.ReasonBadRequest)
 }
 
-// refuseState refuses what the worker's state or a recent pause forbids.
+// refuseState refuses an attempt while the worker's state, the missing bundle, an
+// admission stop or a recent pause forbids admission.
 func (o *Owner) refuseState(t time.Duration, a *model.Attempt) model.Refusal {
 	switch {
 	case o.leaving():
@@ -213,7 +214,8 @@
 
 // refusePredictedLate refuses an attempt that is not expected to be answered in its
 // remaining time, or within its objective while others wait before it. It delegates a
-// caller's own request id that would wait too long here although it may run elsewhere.
+// keyed request that would wait too long here, or whose worker is failing, if the service
+// has another upstream.
 func (o *Owner) refusePredictedLate(t time.Duration, p *pendingAttempt) model.Refusal {
 	wait, before := o.predict(t, p)
 	p.predicted = wait
@@ -242,7 +244,7 @@
 	return o.clampRetryAfter(max(d, o.overload.recordRefusal(t)))
 }
 
-// newPending makes a pendingAttempt of an attempt that passed the checks of binding and
+// newPending makes a pendingAttempt from an attempt that passed the checks of binding and
 // age.
 func (o *Owner) newPending(t time.Duration, a *model.Attempt) *pendingAttempt {
 	left := min(a.Remaining, maxRemaining)
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -192,8 +192,9 @@
 }
 
 // SetState sets the state of the worker. Leaving is final: a smaller state after
-// StateLeaving is ignored. Queued attempts stay, except when the worker stays cold for
-// longer than coldGrace (see Tick), leaves while cold, or is gone.
+// StateLeaving is ignored. Queued attempts are refused at once when the worker leaves
+// while cold or is gone. Otherwise they stay, until Tick finds that the worker has been
+// cold for coldGrace or leaving for withdrawnQueue.
 func (o *Owner) SetState(now time.Time, s model.UpstreamState) []Decision {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -301,11 +302,12 @@
 		o.refuseQueued(t, p, model.Refusal{Reason: model.ReasonCancelled, NotRun: true})
 		return true, o.takeDecisions()
 	}
-	rec, _ := o.attempts.find(id, 0)
-	return rec == attemptFenced, o.takeDecisions()
+	outcome, _ := o.attempts.find(id, 0)
+	return outcome == attemptFenced, o.takeDecisions()
 }
 
-// Tick expires queued attempts and old records; it is to be called about every 10 ms.
+// Tick expires old records and refuses queued attempts that are late, or whose worker has
+// stayed cold or stopped for too long. It is to be called about every 10 ms.
 func (o *Owner) Tick(now time.Time) []Decision {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/owner/pause.go
+++ b/internal/owner/pause.go
@@ -30,7 +30,7 @@
 // recent reports whether messages of unknown age may still arrive.
 func (p *pauseState) recent(t time.Duration) bool { return t < p.recentUntil }
 
-// unblock allows starts again: timers run.
+// unblock allows starts again, as a Tick shows that the process runs.
 func (p *pauseState) unblock() { p.blockedUntil = 0 }
 
 // ProcessPaused records that the process had been stopped for d. Queued attempts are
--- a/internal/owner/predict.go
+++ b/internal/owner/predict.go
@@ -52,8 +52,8 @@
 }
 
 // observeCompletion updates the estimates and the limit with the end of a started
-// attempt. Attempts that were interrupted by a pause, or that did not reach the worker,
-// are ignored.
+// attempt. It ignores an attempt that was abandoned, was interrupted by a pause, or did
+// not run and neither failed nor was confirmed (see Confirm).
 func (o *Owner) observeCompletion(t time.Duration, p *pendingAttempt, f Completion) {
 	if f.Abandoned {
 		return
--- a/internal/owner/queue.go
+++ b/internal/owner/queue.go
@@ -23,8 +23,8 @@
 // missesObjective reports whether an attempt started at t is expected to end after its
 // objective, when its response has little of its worth left. In an overload this holds
 // for most of those that waited longest; serving them first would make all later ones
-// miss their objective too. Such an overload is a burst of 1.4 times the usual load for
-// 5 s while a tenth of the workers leaves.
+// miss their objective too. An example of such an overload is a burst of 1.4 times the
+// usual load for 5 s while a tenth of the workers leaves.
 func (p *pendingAttempt) missesObjective(t time.Duration) bool {
 	return p.objective > 0 && t+p.class.expected() > p.objective
 }
@@ -72,8 +72,8 @@
 	return a.seq < b.seq
 }
 
-// subqueue holds the queued attempts with one subqueueKey, the last to be served first,
-// so that both ends are cheap to reach.
+// subqueue holds the queued attempts with one subqueueKey in reverse order of service:
+// the next to be served is at the end, where it is cheap to remove.
 type subqueue struct {
 	class    *class
 	tenant   *tenant
--- a/internal/owner/resolve.go
+++ b/internal/owner/resolve.go
@@ -30,13 +30,13 @@
 		o.refuseQueued(t, p, notRunRefusal(model.ReasonFenced))
 		return model.AttemptQueued
 	}
-	rec, known := o.attempts.find(m.Attempt, 0)
+	outcome, known := o.attempts.find(m.Attempt, 0)
 	switch {
-	case rec == attemptDone:
+	case outcome == attemptDone:
 		return model.AttemptDone
-	case rec == attemptFenced:
+	case outcome == attemptFenced:
 		return model.AttemptFenced
-	case rec == attemptDuplicate || !known || m.OwnerIncarnation == 0 || m.Attempt.IsZero():
+	case outcome == attemptDuplicate || !known || m.OwnerIncarnation == 0 || m.Attempt.IsZero():
 		return model.AttemptForgotten
 	}
 	remaining := min(max(m.Remaining, 0), maxRemaining)
--- a/internal/owner/slowdown.go
+++ b/internal/owner/slowdown.go
@@ -11,8 +11,8 @@
 // service time is determined by the slowdown at the start: an attempt that starts on a
 // machine that is four times slower takes four times as long, although the machine
 // recovers within a few hundred milliseconds. A slow owner therefore refuses an attempt
-// while another owner may run at its usual speed. What no other owner accepted waits here
-// until the machine recovers, if it then ends sooner.
+// while another owner may run at its usual speed. An attempt that no other owner accepted
+// waits here until the machine recovers, if it then ends sooner.
 const (
 	// slowThreshold is the slowdown from which a machine counts as slow. It is above that
 	// of cold workers, which take twice as long for seconds, too long to wait for.
--- a/internal/owner/stops.go
+++ b/internal/owner/stops.go
@@ -35,8 +35,8 @@
 }
 
 // SetUnlisted sets whether this node's own worker is missing from the directory that
-// names all workers. Until it is listed, nothing is admitted, and queued attempts are
-// refused as after SetWithdrawn.
+// names all workers. Until it is listed, nothing is admitted, and Tick refuses queued
+// attempts after withdrawnQueue.
 func (o *Owner) SetUnlisted(now time.Time, unlisted bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -64,13 +64,15 @@
 	return model.Refusal{Reason: model.ReasonEvacuated, NotRun: true, RetryAfter: retryNotReady}
 }
 
-// withdrawnQueue is how long attempts that were queued before the worker was withdrawn
-// may still start. Work may reach a worker for 2 s after it left, and the update takes up
-// to 1.5 s (package directory); of the rest, 100 ms are kept for the path to the worker
-// and 100 ms for a late tick. Refused attempts are placed elsewhere at once.
+// withdrawnQueue is how long attempts that were queued before the worker was withdrawn,
+// left or became unlisted may still start. Work may reach a worker for 2 s after it left,
+// and the update takes up to 1.5 s (package directory); of the rest, 100 ms are kept for
+// the path to the worker and 100 ms for a late tick. Refused attempts are placed
+// elsewhere at once.
 const withdrawnQueue = 300 * time.Millisecond
 
-// refuseStopped refuses queued attempts of a worker that takes no new work.
+// refuseStopped refuses queued attempts of a worker that has taken no new work for
+// withdrawnQueue, or for evacuatedQueue while its data centre is evacuated.
 func (o *Owner) refuseStopped(t time.Duration) {
 	if o.queue.length == 0 {
 		return
