--- a/internal/entry/call.go
+++ b/internal/entry/call.go
@@ -170,7 +170,10 @@
 			}
 			c.phase = c.after
 		case phaseSent:
-			return Step{Kind: StepSend, To: c.to, Attempt: c.current, Until: c.deadline, AcknowledgeBy: c.acknowledgeBy, HedgeAt: c.hedgeAt, Estimate: c.estimate}
+			return Step{
+				Kind: StepSend, To: c.to, Attempt: c.current, Until: c.deadline,
+				AcknowledgeBy: c.acknowledgeBy, HedgeAt: c.hedgeAt, Estimate: c.estimate,
+			}
 		case phaseResolving:
 			return c.resolveStep(now)
 		default:
--- a/internal/entry/fleetbudget.go
+++ b/internal/entry/fleetbudget.go
@@ -55,7 +55,7 @@
 	return l, true
 }
 
-// addFirstAttempt adds what a first attempt allows.
+// addFirstAttempt adds the ratio for one first attempt, up to the capacity.
 func (b *fleetBudget) addFirstAttempt(now time.Time, l fleetBudgetLimit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/entry/home.go
+++ b/internal/entry/home.go
@@ -33,8 +33,9 @@
 // maxSkippedHomes bounds the home nodes that one call skips.
 const maxSkippedHomes = 3
 
-// tryNextHome makes the call continue at the next home node in order; it returns false when
-// the current one is still in charge.
+// tryNextHome makes the call continue at the next home node in order. It returns false when
+// the reason r does not show that the current one is no longer in charge, or when no other
+// home node is left to try.
 func (c *Call) tryNextHome(now time.Time, r model.Reason) bool {
 	if !c.mustUseHome() || len(c.home.skipped) == maxSkippedHomes {
 		return false
@@ -81,7 +82,8 @@
 	}
 	switch r.Reason {
 	case model.ReasonOverloaded, model.ReasonQueueFull, model.ReasonLeaving, model.ReasonNotReady,
-		model.ReasonTenantLimit, model.ReasonDelegated, model.ReasonWorkerShed, model.ReasonWorkerReplaced, model.ReasonQuarantined, model.ReasonDeferred:
+		model.ReasonTenantLimit, model.ReasonDelegated, model.ReasonWorkerShed, model.ReasonWorkerReplaced,
+		model.ReasonQuarantined, model.ReasonDeferred:
 		c.home.provesNotRun = true
 	case model.ReasonWorkerUnreachable:
 		c.home.provesNotRun = c.home.provesNotRun || c.hasReport
@@ -93,8 +95,8 @@
 	c.home.delegate = &delegation{instance: c.to, attempt: c.current.ID}
 }
 
-// homeNotice returns what the home node that delegated the request is to learn of its
-// outcome.
+// homeNotice returns the notice of the outcome for the home node that delegated the request,
+// or nil if none did.
 func (c *Call) homeNotice() *wire.KeyResult {
 	if !c.home.isDelegated() {
 		return nil
--- a/internal/entry/onlyowner.go
+++ b/internal/entry/onlyowner.go
@@ -22,9 +22,9 @@
 }
 
 // noteSent records that an attempt is sent to an owner.
-func (n *onlyOwnerState) noteSent(to model.InstanceID) {
-	if to == n.id {
-		n.asked.add(to)
+func (s *onlyOwnerState) noteSent(to model.InstanceID) {
+	if to == s.id {
+		s.asked.add(to)
 	}
 }
 
--- a/internal/entry/onlyowner_test.go
+++ b/internal/entry/onlyowner_test.go
@@ -8,9 +8,9 @@
 )
 
 // deferTo is the refusal of an owner that defers a request to its only owner.
-func deferTo(home model.InstanceID, after time.Duration) action {
+func deferTo(owner model.InstanceID, after time.Duration) action {
 	return func(s *script) {
-		s.call.Refused(s.now, model.Refusal{Reason: model.ReasonDeferred, NotRun: true, RetryAfter: after, OnlyOwner: home})
+		s.call.Refused(s.now, model.Refusal{Reason: model.ReasonDeferred, NotRun: true, RetryAfter: after, OnlyOwner: owner})
 	}
 }
 
--- a/internal/entry/place.go
+++ b/internal/entry/place.go
@@ -60,9 +60,9 @@
 	return c.engine.tuning.PlaceCost
 }
 
-// retry continues after an attempt that may have run, if the request is idempotent, both
-// budgets allow it and there is another owner. What the attempt was allowed to pass on to
-// the calls below counts as spent.
+// retry continues after an attempt of an idempotent request that may have run, if the
+// budgets and the class's MaxAttempts allow it and there is another owner; it returns false
+// otherwise. The budget that the attempt passed on to the calls below counts as spent.
 func (c *Call) retry(now time.Time) bool {
 	c.budget -= c.current.RetryBudget
 	if c.budget < 1 || !c.canResend() || !c.hasUntried(now) {
@@ -107,8 +107,9 @@
 		return
 	}
 	until := c.nextRoundAt(now)
-	unknownRecovery := !c.refusedTransiently && !c.needsHome()
-	if c.refusedForLoad || unknownRecovery || c.rounds == c.engine.tuning.MaxRounds || c.sends >= maxSends || !until.Before(c.deadline) {
+	nothingToWaitFor := !c.refusedTransiently && !c.needsHome()
+	if c.refusedForLoad || nothingToWaitFor || c.rounds == c.engine.tuning.MaxRounds ||
+		c.sends >= maxSends || !until.Before(c.deadline) {
 		c.giveUp(c.reason)
 		return
 	}
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -112,7 +112,8 @@
 	case model.ReasonDeferred:
 		c.placeAtOnlyOwner(now, r)
 		return
-	case model.ReasonTenantLimit, model.ReasonQuarantined, model.ReasonNoRoute, model.ReasonBodyTooLarge, model.ReasonBadRequest, model.ReasonCancelled:
+	case model.ReasonTenantLimit, model.ReasonQuarantined, model.ReasonNoRoute,
+		model.ReasonBodyTooLarge, model.ReasonBadRequest, model.ReasonCancelled:
 		c.giveUp(r.Reason)
 		return
 	}
--- a/internal/entry/step.go
+++ b/internal/entry/step.go
@@ -54,7 +54,7 @@
 	Outcome    model.Outcome
 	Reason     model.Reason
 	RetryAfter time.Duration
-	// Notify, when To is set on StepEnd, must be sent to To, the request's home node, before
-	// the caller gets its response, so that an immediate caller retry finds the id free.
+	// Notify, if not nil on StepEnd, must be sent to To, the request's home node, before the
+	// caller gets its response, so that an immediate caller retry finds the id free.
 	Notify *wire.KeyResult
 }
--- a/internal/measure/bucket.go
+++ b/internal/measure/bucket.go
@@ -42,11 +42,12 @@
 	return rate.Limit(budget * (1 - rateMargin))
 }
 
-// pollLimit and probeLimit divide the budget.
+// pollLimit returns the polls' part of the budget.
 func pollLimit(m *bundle.Measuring) rate.Limit {
 	return perSecond(m.PerUpstreamPerSecond) * rate.Limit(clamp(m.PollShare))
 }
 
+// probeLimit returns the probes' part of the budget: the rest.
 func probeLimit(m *bundle.Measuring) rate.Limit {
 	return perSecond(m.PerUpstreamPerSecond) * rate.Limit(1-clamp(m.PollShare))
 }
@@ -77,7 +78,7 @@
 	return b.limiter.Limit() > 0 && b.limiter.TokensAt(b.clock(now)) >= 1
 }
 
-// allow takes the token if there is one.
+// allow takes the token, and reports whether there was one.
 func (b *bucket) allow(now time.Time) bool {
 	return b.limiter.AllowN(b.clock(now), 1)
 }
--- a/internal/measure/entrylimiter.go
+++ b/internal/measure/entrylimiter.go
@@ -28,8 +28,8 @@
 
 // EntryCounts counts the probes of one entry node since its start.
 type EntryCounts struct {
-	// Sent were allowed; Deferred were requested before their time; Untracked were
-	// requested for an upstream beyond maxTracked.
+	// Sent were allowed; Deferred were requested before their time or without any budget;
+	// Untracked were requested for an upstream beyond maxTracked.
 	Sent, Deferred, Untracked uint64
 }
 
--- a/internal/model/attempt.go
+++ b/internal/model/attempt.go
@@ -89,19 +89,24 @@
 // The reasons. Refusal.NotRun reports whether a refusal proves "not run".
 const (
 	ReasonNone Reason = iota
-	// ReasonOverloaded: no slot is expected to be free within the deadline.
+	// ReasonOverloaded: no response is expected within the objective or the deadline, or
+	// the owner has no room for another request id.
 	ReasonOverloaded
-	// ReasonQueueFull: the bounded queue was full of requests of at least the same worth.
+	// ReasonQueueFull: the bounded queue was full, and the request displaced no other one
+	// or was itself displaced.
 	ReasonQueueFull
 	// ReasonExpired: the remaining time was used up before the start.
 	ReasonExpired
-	// ReasonLeaving: the owner's upstream is leaving.
+	// ReasonLeaving: the owner's upstream is leaving, or serves another service.
 	ReasonLeaving
-	// ReasonNotReady: the upstream is cold or its worker does not respond.
+	// ReasonNotReady: the upstream is cold, unlisted or without a bundle, its worker broke
+	// several attempts in a row, or the entry node itself is not ready.
 	ReasonNotReady
-	// ReasonIncarnation: the attempt is bound to another incarnation of the owner.
+	// ReasonIncarnation: the attempt is bound to another owner or incarnation, or, though
+	// not idempotent, to none.
 	ReasonIncarnation
-	// ReasonStale: the attempt may be older than its remaining time.
+	// ReasonStale: the attempt may be older than its remaining time, or the owner's records
+	// no longer cover it.
 	ReasonStale
 	// ReasonTenantLimit: the tenant is at its limit.
 	ReasonTenantLimit
@@ -112,7 +117,8 @@
 	ReasonDuplicateRunning
 	// ReasonDuplicateDone: the same non-idempotent request has run.
 	ReasonDuplicateDone
-	// ReasonFenced: the attempt's outcome was resolved as "not run" before it arrived.
+	// ReasonFenced: the owner fenced the attempt earlier, by an outcome resolution or a
+	// refusal.
 	ReasonFenced
 	// ReasonWorkerUnreachable: the connection to the worker failed before any byte was sent.
 	ReasonWorkerUnreachable
@@ -218,7 +224,8 @@
 	AttemptDone
 	AttemptFenced
 	// AttemptForgotten: the owner's bounded records no longer cover the attempt, or the
-	// attempt was bound to another incarnation. It proves nothing.
+	// attempt was refused as a duplicate or bound to another incarnation or none. It proves
+	// nothing.
 	AttemptForgotten
 )
 
--- a/internal/model/directory.go
+++ b/internal/model/directory.go
@@ -65,19 +65,19 @@
 // count as newer: an eighth of the time after which a node reads the directory itself.
 const minFresherMs = 100
 
-// IsNewerThan reports whether m has a greater revision than other, or the same revision,
+// IsNewerThan reports whether f has a greater revision than other, or the same revision,
 // confirmed at least minFresherMs later.
-func (m DirectoryFreshness) IsNewerThan(other DirectoryFreshness) bool {
-	if m.Revision != other.Revision {
-		return m.Revision > other.Revision
+func (f DirectoryFreshness) IsNewerThan(other DirectoryFreshness) bool {
+	if f.Revision != other.Revision {
+		return f.Revision > other.Revision
 	}
-	return uint64(m.AgeMs)+minFresherMs <= uint64(other.AgeMs)
+	return uint64(f.AgeMs)+minFresherMs <= uint64(other.AgeMs)
 }
 
-// Aged returns m with its age raised by d, the longest time that it may have spent in
+// Aged returns f with its age raised by d, the longest time that it may have spent in
 // transit; a negative d counts as zero.
-func (m DirectoryFreshness) Aged(d time.Duration) DirectoryFreshness {
-	age := uint64(m.AgeMs) + uint64(max(d.Milliseconds(), 0))
-	m.AgeMs = uint32(min(age, AgeUnknown))
-	return m
+func (f DirectoryFreshness) Aged(d time.Duration) DirectoryFreshness {
+	age := uint64(f.AgeMs) + uint64(max(d.Milliseconds(), 0))
+	f.AgeMs = uint32(min(age, AgeUnknown))
+	return f
 }
--- a/internal/model/load.go
+++ b/internal/model/load.go
@@ -53,7 +53,8 @@
 	Clock time.Duration `cbor:"3,keyasint"`
 	State UpstreamState `cbor:"4,keyasint"`
 	// Limit is the number of requests that the owner currently runs concurrently: the
-	// slots, lowered by the adaptive limit and slow start.
+	// slots, lowered by the adaptive limit, the slow start and warming; zero while admitted
+	// requests cannot start.
 	Limit uint16 `cbor:"5,keyasint"`
 	// InFlight is the number of requests at the worker.
 	InFlight uint16 `cbor:"6,keyasint"`
@@ -161,8 +162,8 @@
 // IsEvacuated reports whether the workers of a data centre get no requests.
 func (f *Fleet) IsEvacuated(dc DataCentre) bool { return slices.Contains(f.Evacuated, dc) }
 
-// Instance returns the instance with an id. What a node's view holds about the node's own
-// instance is valid even if peers disagree, as they may have an older view.
+// Instance returns the instance with an id. A node's view of its own instance is valid even
+// if peers disagree, as they may have an older view.
 func (f *Fleet) Instance(id InstanceID) (in Instance, known bool) {
 	at, known := slices.BinarySearchFunc(f.Instances, id, func(in Instance, id InstanceID) int {
 		return cmp.Compare(in.ID, id)
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -53,8 +53,8 @@
 	ReportedWithin(now time.Time, id model.InstanceID, age time.Duration) bool
 	// Owner returns an owner that is neither unknown nor leaving; ok is false for others.
 	Owner(id model.InstanceID) (owner model.Instance, ok bool)
-	// SilentOwners returns the owners with attempts of this node in flight and no report for
-	// age and for twice the expected latency.
+	// SilentOwners returns the owners with attempts of this node in flight from which nothing
+	// was received for age and for twice the expected latency.
 	SilentOwners(now time.Time, age time.Duration) []model.Instance
 }
 
--- a/internal/route/cell.go
+++ b/internal/route/cell.go
@@ -45,25 +45,25 @@
 var retiredReport = &receivedReport{}
 
 // ownerClock returns a lower bound of the owner's clock at time now.
-func (h *receivedReport) ownerClock(now int64) time.Duration {
-	if h == retiredReport {
+func (r *receivedReport) ownerClock(now int64) time.Duration {
+	if r == retiredReport {
 		return 0
 	}
-	passed := max(0, now-h.receivedAt)
+	passed := max(0, now-r.receivedAt)
 	allowance := (passed + maxDriftInverse - 1) / maxDriftInverse
-	return h.report.Clock + time.Duration(passed-allowance)
+	return r.report.Clock + time.Duration(passed-allowance)
 }
 
 // contribution returns what a report adds to its service's statistics.
-func (h *receivedReport) contribution() (reports, utilisation, serviceTime int64) {
-	if h == nil || h == retiredReport || h.report.State != model.StateLive || h.report.Limit == 0 {
+func (r *receivedReport) contribution() (reports, utilisation, serviceTime int64) {
+	if r == nil || r == retiredReport || r.report.State != model.StateLive || r.report.Limit == 0 {
 		return 0, 0, 0
 	}
-	if h.report.FailureRate > maxFailureForServiceTime || h.report.ServiceTime <= 0 {
+	if r.report.FailureRate > maxFailureForServiceTime || r.report.ServiceTime <= 0 {
 		return 0, 0, 0
 	}
-	load := int64(h.report.InFlight) + int64(h.report.Queued)
-	return 1, load * fixedPoint / int64(h.report.Limit), int64(h.report.ServiceTime)
+	load := int64(r.report.InFlight) + int64(r.report.Queued)
+	return 1, load * fixedPoint / int64(r.report.Limit), int64(r.report.ServiceTime)
 }
 
 // cell is what this node knows about one incarnation of an upstream. Times are
@@ -80,8 +80,8 @@
 	// sent counts own sends; sentAt holds the times of the latest ones.
 	sent   atomic.Uint64
 	sentAt [keptSendTimes]atomic.Int64
-	// silentSince is when the last report was received, or when the oldest attempt since then
-	// was sent.
+	// silentSince is the last time at which a report was received, an attempt ended, or an
+	// attempt was sent while none was in flight.
 	silentSince atomic.Int64
 	// backOffUntil is when a refusal's RetryAfter ends, refusedAt when the refusal was
 	// received.
@@ -89,10 +89,11 @@
 	refusedAt    atomic.Int64
 	// leavingIn is the incarnation (as a leavingKey) whose owner refused as leaving.
 	leavingIn atomic.Uint64
-	// unreachableUntil is until when the owner counts as unreachable, zero if it doesn't.
+	// unreachableUntil is the time up to which the owner counts as unreachable, zero if it
+	// doesn't.
 	unreachableUntil atomic.Int64
-	// warmingUntil is until when the worker is known to be warming, nextTurnAt when this
-	// entry may next choose it meanwhile; zero for never.
+	// warmingUntil is the time up to which the worker is known to be warming, zero if it
+	// isn't; nextTurnAt is when this entry may next choose it meanwhile.
 	warmingUntil, nextTurnAt atomic.Int64
 	failureRate              decaying
 	// pathExcess is the network time above the link's usual one, in nanoseconds.
@@ -110,8 +111,8 @@
 // incarnation returns the newest known incarnation, zero when none is known.
 func (c *cell) incarnation() model.Incarnation {
 	inc := model.Incarnation(c.fleetIncarnation.Load())
-	if h := c.lastReport.Load(); h != nil {
-		inc = max(inc, h.report.Incarnation)
+	if last := c.lastReport.Load(); last != nil {
+		inc = max(inc, last.report.Incarnation)
 	}
 	return inc
 }
@@ -164,17 +165,17 @@
 	return count
 }
 
-// sendsNotCounted returns the number of own attempts in flight that h does not include.
-func (c *cell) sendsNotCounted(h *receivedReport) int64 {
-	n := int64(c.sent.Load() - h.countedSends)
+// sendsNotCounted returns the number of own attempts in flight that last does not include.
+func (c *cell) sendsNotCounted(last *receivedReport) int64 {
+	n := int64(c.sent.Load() - last.countedSends)
 	return max(0, min(n, c.inFlight.Load()))
 }
 
 // reportedLeaving reports whether the owner itself announced that it is leaving or gone,
 // within ttl before now, or ever if ttl is zero.
 func (c *cell) reportedLeaving(now, ttl int64) bool {
-	h := c.lastReport.Load()
-	if h != nil && h.report.State >= model.StateLeaving && (ttl == 0 || now-h.receivedAt < ttl) {
+	last := c.lastReport.Load()
+	if last != nil && last.report.State >= model.StateLeaving && (ttl == 0 || now-last.receivedAt < ttl) {
 		return true
 	}
 	in := c.leavingIn.Load()
@@ -308,13 +309,13 @@
 // report how long the attempt was there, the service time and the wait by its last report
 // are used.
 func (u *upstream) addPathSample(now int64, r *Result) {
-	h := u.cell.lastReport.Load()
+	last := u.cell.lastReport.Load()
 	held := float64(r.OwnerTime)
 	if held <= 0 {
-		if h == nil || h == retiredReport {
+		if last == nil || last == retiredReport {
 			return
 		}
-		held = h.expectedOwnerTime()
+		held = last.expectedOwnerTime()
 	}
 	excess := float64(r.Latency) - held - float64(u.link.roundTrip())
 	if _, meanService, ok := u.service.stats.means(); ok {
@@ -325,10 +326,10 @@
 
 // expectedOwnerTime is the expected time of an attempt at the owner when the report was
 // made, in nanoseconds.
-func (h *receivedReport) expectedOwnerTime() float64 {
-	limit := float64(max(1, h.report.Limit))
-	ahead := float64(h.report.InFlight) + float64(h.report.Queued) + 1 - limit
-	return float64(h.report.ServiceTime) * (1 + max(0, ahead)/limit)
+func (r *receivedReport) expectedOwnerTime() float64 {
+	limit := float64(max(1, r.report.Limit))
+	ahead := float64(r.report.InFlight) + float64(r.report.Queued) + 1 - limit
+	return float64(r.report.ServiceTime) * (1 + max(0, ahead)/limit)
 }
 
 // decaying is a smoothed value that decays to zero while nothing is added. Its two fields are
--- a/internal/route/estimate.go
+++ b/internal/route/estimate.go
@@ -128,16 +128,16 @@
 	if t.tuning.Path {
 		p.link += max(0, outsideZone(c.pathExcess.value(now, pathDecay), deadZone*meanService))
 	}
-	h := c.lastReport.Load()
-	if h == nil || h == retiredReport {
+	last := c.lastReport.Load()
+	if last == nil || last == retiredReport {
 		p.fromServiceMeans(u, meanUse, meanService)
 	} else {
-		p.fromReport(t, u, h, now, meanUse, meanService)
+		p.fromReport(t, u, last, now, meanUse, meanService)
 	}
 	p.load = max(p.load, float64(c.inFlight.Load()))
 	p.failureRate = max(p.failureRate, c.failureRate.value(now, failureDecay))
 	p.addWait(t, deviate)
-	p.wait += c.coldWait(h, now)
+	p.wait += c.coldWait(last, now)
 	p.wait += float64(max(0, c.backOffUntil.Load()-now))
 	if t.tuning.Overdue {
 		p.addOverdue(c, now)
@@ -162,10 +162,12 @@
 
 // fromReport decays the last report to the service's means and adds the own attempts that
 // it does not include.
-func (p *estimateParts) fromReport(t *Table, u *upstream, h *receivedReport, now int64, meanUse, meanService float64) {
-	r := &h.report
+func (p *estimateParts) fromReport(
+	t *Table, u *upstream, last *receivedReport, now int64, meanUse, meanService float64,
+) {
+	r := &last.report
 	p.reported = true
-	p.age = float64(max(0, now-h.receivedAt))
+	p.age = float64(max(0, now-last.receivedAt))
 	p.limit = float64(max(1, r.Limit))
 	if slots := float64(u.service.slots); slots > p.limit {
 		p.limit += (slots - p.limit) * (1 - math.Exp(-p.age/limitDecay))
@@ -174,7 +176,7 @@
 	mean := meanUse * p.limit
 	p.load = mean + (reported-mean)*math.Exp(-p.age/float64(t.tuning.LoadDecay))
 	if t.tuning.OwnSends {
-		p.load += float64(u.cell.sendsNotCounted(h))
+		p.load += float64(u.cell.sendsNotCounted(last))
 	}
 	speed := math.Exp(-p.age / serviceTimeDecay)
 	p.service = meanService
@@ -218,12 +220,12 @@
 
 // coldWait is the penalty of an upstream that is reported as cold by its owner or in the
 // fleet's view, whichever is newer.
-func (c *cell) coldWait(h *receivedReport, now int64) float64 {
+func (c *cell) coldWait(last *receivedReport, now int64) float64 {
 	state := model.UpstreamState(c.fleetState.Load())
 	at := c.fleetStateAt.Load()
-	if h != nil && h != retiredReport && h.receivedAt >= at {
-		state = h.report.State
-		at = h.receivedAt
+	if last != nil && last != retiredReport && last.receivedAt >= at {
+		state = last.report.State
+		at = last.receivedAt
 	}
 	if state != model.StateCold {
 		return 0
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -146,7 +146,7 @@
 		if u.cell.reportedLeaving(s.now, s.leavingTTL) {
 			continue
 		}
-		if h := u.cell.lastReport.Load(); h == nil || s.now-h.receivedAt > s.age {
+		if last := u.cell.lastReport.Load(); last == nil || s.now-last.receivedAt > s.age {
 			s.found = append(s.found, u.instance)
 		}
 	}
--- a/internal/route/picker.go
+++ b/internal/route/picker.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// cell returns the cell of an instance: the previous one, unless the instance has another
+// cell returns the cell of an instance: the previous one, unless the instance has a newer
 // incarnation or serves another service now.
 func (b *builder) cell(in *model.Instance) *cell {
 	before := b.old.byID[in.ID]
--- a/internal/route/reach.go
+++ b/internal/route/reach.go
@@ -38,8 +38,8 @@
 	if u == nil {
 		return false
 	}
-	h := u.cell.lastReport.Load()
-	return h != nil && h != retiredReport && p.nanos(now)-h.receivedAt < int64(age)
+	last := u.cell.lastReport.Load()
+	return last != nil && last != retiredReport && p.nanos(now)-last.receivedAt < int64(age)
 }
 
 // Owner returns an instance of the fleet; ok is false if it is unknown or leaving.
@@ -51,9 +51,9 @@
 	return u.instance, true
 }
 
-// SilentOwners returns the owners with attempts of this node in flight and no report for
-// age and for silentFactor times the expected latency. It covers the services called within
-// recentCallAge.
+// SilentOwners returns the owners with attempts of this node in flight that have been
+// silent (see cell.silentSince) for age and for silentFactor times the expected latency. It
+// covers the services called within recentCallAge.
 func (t *Table) SilentOwners(now time.Time, age time.Duration) []model.Instance {
 	p := t.picker.Load()
 	nanos := p.nanos(now)
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -137,8 +137,8 @@
 func (t *Table) choice(u *upstream, now int64, q *Query) Choice {
 	c := Choice{Instance: u.instance}
 	c.Instance.Incarnation = u.cell.incarnation()
-	if h := u.cell.lastReport.Load(); h != nil {
-		c.OwnerClock = h.ownerClock(now)
+	if last := u.cell.lastReport.Load(); last != nil {
+		c.OwnerClock = last.ownerClock(now)
 	}
 	e := t.estimate(u, now, q.Remaining, 0)
 	c.Expected = time.Duration(e.latency())
@@ -157,11 +157,11 @@
 	if u == nil {
 		return 0
 	}
-	h := u.cell.lastReport.Load()
-	if h == nil {
+	last := u.cell.lastReport.Load()
+	if last == nil {
 		return 0
 	}
-	return h.ownerClock(p.nanos(now))
+	return last.ownerClock(p.nanos(now))
 }
 
 // Sent counts an attempt in flight. Done must follow.
--- a/internal/route/sample.go
+++ b/internal/route/sample.go
@@ -28,7 +28,7 @@
 }
 
 // sample fills c with random upstreams that may be chosen, of the own data centre and of
-// others; what is missing on one side is taken from the other.
+// others; a shortage on one side is made up from the other.
 func (t *Table) sample(c *candidates, svc *service, f filter) {
 	local, remote := t.tuning.Local, t.tuning.Remote
 	missingLocal := max(0, local-len(svc.local))
--- a/internal/route/warming.go
+++ b/internal/route/warming.go
@@ -77,8 +77,8 @@
 // is due.
 func (c *cell) turnDue(now int64) bool { return !c.isWarming(now) || now >= c.nextTurnAt.Load() }
 
-// NoUpstreamReason returns why there is no upstream for a query: none is known, none is in
-// a region where the request may run, or all that are lie in evacuated data centres.
+// NoUpstreamReason returns why there is no upstream for a query: none is known or eligible,
+// none is in a region where the request may run, or all in such a region are evacuated.
 func (t *Table) NoUpstreamReason(q *Query) model.Reason {
 	svc := t.picker.Load().services[q.Service]
 	if svc == nil || len(svc.all) == 0 {
--- a/internal/suppress/suppress.go
+++ b/internal/suppress/suppress.go
@@ -11,7 +11,7 @@
 // message spends in a buffer is not included; the receiver adds an upper bound of it if it
 // has one (as for heartbeats with an echoed clock). Otherwise an age may be too small by
 // that time, and a source is then read later by at most that time. After a pause of d, the
-// ages in buffered messages are raised by d (see Paused).
+// ages in buffered messages are raised by d (see Timer.ProcessPaused).
 //
 // # Storms
 //
@@ -62,7 +62,7 @@
 // Never is the age of an event that has not happened.
 const Never = time.Duration(math.MaxInt64)
 
-// Timer decides for one source. It is not safe for concurrent use.
+// Timer decides when this node reads one source. It is not safe for concurrent use.
 type Timer struct {
 	rng      *rand.Rand
 	schedule Schedule
@@ -107,7 +107,9 @@
 // New returns a timer of the default schedule that knows of no attempt. It starts at its
 // first call.
 func New(rng *rand.Rand) *Timer {
-	return NewWithSchedule(rng, Schedule{Interval: ReadInterval, MeanFirstDelay: MeanFirstDelay, MaxFailedInterval: MaxFailedInterval})
+	return NewWithSchedule(rng, Schedule{
+		Interval: ReadInterval, MeanFirstDelay: MeanFirstDelay, MaxFailedInterval: MaxFailedInterval,
+	})
 }
 
 // NewWithSchedule returns a timer of another schedule.
@@ -119,13 +121,13 @@
 
 // ObservePeer takes over a peer's ages of the last attempt and the last success, Never for
 // none. They must be upper bounds as far as the caller can determine.
-func (t *Timer) ObservePeer(now time.Time, attemptAge, confirmedAge time.Duration) {
+func (t *Timer) ObservePeer(now time.Time, attemptAge, successAge time.Duration) {
 	t.ensureStarted(now)
 	if now.Before(t.pauseCorrectionUntil) {
 		attemptAge = addAge(attemptAge, t.pauseCorrection)
-		confirmedAge = addAge(confirmedAge, t.pauseCorrection)
+		successAge = addAge(successAge, t.pauseCorrection)
 	}
-	t.setSuccess(timeOf(now, confirmedAge))
+	t.setSuccess(timeOf(now, successAge))
 	t.setAttempt(timeOf(now, attemptAge))
 }
 
@@ -144,8 +146,8 @@
 	t.ReadFailed(now, now)
 }
 
-// ReadFailed reports a failed read of this node that started at a known time; a read that
-// hung is then repeated sooner.
+// ReadFailed reports a failed read of this node that started at a known time. The interval
+// counts from that time, so that a read that hung is repeated sooner.
 func (t *Timer) ReadFailed(now, started time.Time) {
 	t.ensureStarted(now)
 	t.readStarted = time.Time{}
@@ -163,8 +165,8 @@
 	t.setAttempt(started)
 }
 
-// ResetFailures drops the count of this node's failed reads, which lie too far back to
-// matter.
+// ResetFailures resets the count of this node's failed reads; the caller uses it when they
+// are too long ago to matter.
 func (t *Timer) ResetFailures() { t.failures = 0 }
 
 // Due reports whether this node should read now, and if so records that the read started.
@@ -184,13 +186,13 @@
 	return true
 }
 
-// ProcessPaused handles a pause of the process of d until now. It keeps all ages, but delays the
-// timer by a random time, so that processes that resume together do not read together, and
-// has ages from buffered messages raised by d. The delay applies once until the next
-// attempt.
+// ProcessPaused handles a pause of the process of d until now. It keeps all ages, but
+// delays the timer by a random time, so that processes that resume together do not read
+// together, and raises the ages from buffered messages by d. The delay applies once until
+// the next attempt.
 func (t *Timer) ProcessPaused(now time.Time, d time.Duration) {
 	t.ensureStarted(now)
-	// Otherwise repeated pauses would delay the timer for ever.
+	// If each pause delayed the timer, repeated pauses would delay it for ever.
 	if t.pausedAt.IsZero() || t.lastAttempt.After(t.pausedAt) {
 		t.postponeAfterWake(now)
 		t.pausedAt = now
@@ -211,7 +213,7 @@
 
 // Ages returns the ages of the last known attempt and success of any node, to be sent in a
 // beacon; Never for none.
-func (t *Timer) Ages(now time.Time) (attempt, confirmed time.Duration) {
+func (t *Timer) Ages(now time.Time) (attempt, success time.Duration) {
 	return ageOf(now, t.lastAttempt), ageOf(now, t.lastSuccess)
 }
 
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -110,7 +110,8 @@
 	}
 }
 
-// errFenced is the error of a write after the connection was proved unused.
+// errFenced is the error of a write on a fenced connection: its request was proved not
+// run, or the send deadline passed before its first byte.
 var errFenced = errors.New("connection is fenced: its request was proved not run")
 
 // countingConn counts the bytes sent, to prove after an error that no byte of the request
