--- a/internal/entry/call_test.go
+++ b/internal/entry/call_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-func (s *script) do(moves ...action) *script {
-	for _, m := range moves {
+func (s *script) do(actions ...action) *script {
+	for _, m := range actions {
 		s.now = s.now.Add(time.Millisecond)
 		m(s)
 		s.next()
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestAnswersToTrafficOutweighBadPolls(t *testing.T) {
+func TestResponsesToTrafficOutweighBadPolls(t *testing.T) {
 	tracker := health.NewTracker()
 	now := time.Unix(1000, 0)
 	tracker.ObservePoll(now, ok)
--- a/internal/owner/breaker_test.go
+++ b/internal/owner/breaker_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestOneAnswerClosesTheBreaker(t *testing.T) {
+func TestOneResponseClosesTheBreaker(t *testing.T) {
 	var b breaker
 	for range breakerThreshold - 1 {
 		b.observe(0, true)
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestOnlyBrokenAnswersCountForTheBreaker(t *testing.T) {
+func TestOnlyBrokenResponsesCountForTheBreaker(t *testing.T) {
 	for name, tt := range map[string]struct {
 		f    Completion
 		want bool
--- a/internal/owner/keys_test.go
+++ b/internal/owner/keys_test.go
@@ -44,7 +44,7 @@
 	r.want(r.offer(r.keyed("k")), refused(model.ReasonDuplicateRunning, false))
 }
 
-func TestHomeDelegatesWhatItCannotRunSoon(t *testing.T) {
+func TestHomeDelegatesRequestsItCannotRunSoon(t *testing.T) {
 	tests := []struct {
 		name    string
 		prepare func(r *rig)
--- a/internal/route/state_test.go
+++ b/internal/route/state_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// ledger is the expected state of one instance in TestTableAgainstLedger.
-type ledger struct {
+// instanceModel is the expected state of one instance in TestTableAgainstModel.
+type instanceModel struct {
 	member      bool
 	incarnation model.Incarnation
 	newest      model.LoadReport
@@ -40,16 +40,16 @@
 	leaving     bool
 }
 
-func TestTableAgainstLedger(t *testing.T) {
+func TestTableAgainstModel(t *testing.T) {
 	ids := []model.InstanceID{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable(Config{Random: rand.New(rand.NewPCG(1, 2)).Uint64})
 		now := origin
-		known := map[model.InstanceID]*ledger{}
+		known := map[model.InstanceID]*instanceModel{}
 		for _, id := range ids {
-			known[id] = &ledger{}
+			known[id] = &instanceModel{}
 		}
-		draw := func() (model.InstanceID, *ledger) {
+		draw := func() (model.InstanceID, *instanceModel) {
 			id := rapid.SampledFrom(ids).Draw(t, "id")
 			return id, known[id]
 		}
@@ -60,13 +60,13 @@
 					l := known[id]
 					l.member = rapid.Bool().Draw(t, "member")
 					if !l.member {
-						*l = ledger{}
+						*l = instanceModel{}
 						continue
 					}
 					inc := model.Incarnation(rapid.IntRange(0, 3).Draw(t, "incarnation"))
 					if inc > l.incarnation {
 						if l.incarnation != 0 {
-							*l = ledger{member: true}
+							*l = instanceModel{member: true}
 						}
 						l.incarnation = inc
 					}
