--- a/internal/bundle/parse.go
+++ b/internal/bundle/parse.go
@@ -61,8 +61,8 @@
 }
 
 // FillAdapterDefaults sets the defaults of a bundle that was not parsed from TOML but made by
-// an adapter from a configuration that others have checked: fields that are zero
-// get the default of an absent key.
+// an adapter from a configuration that others have checked. It sets the fields below if they
+// are zero; some of their defaults differ from those of absent TOML keys.
 func FillAdapterDefaults(b *Bundle) {
 	setIfZero(&b.Measuring.PerUpstreamPerSecond, adapterMeasuringPerSecond)
 	setIfZero(&b.Measuring.PollShare, adapterPollShare)
--- a/internal/member/check.go
+++ b/internal/member/check.go
@@ -18,7 +18,8 @@
 	// Backoff between two checks of one target; it doubles with each check.
 	recheckMin = 10 * time.Second
 	recheckMax = 5 * time.Minute
-	// maxRechecks bounds the targets whose backoff is stored.
+	// maxRechecks bounds the targets whose backoff is stored; when it is reached, all are
+	// dropped.
 	maxRechecks = 256
 )
 
@@ -40,12 +41,12 @@
 	startedAt time.Time
 	// cause is the observation that started the check.
 	cause string
-	// reach is whether this node can reach the target.
+	// reach is the result for the target so far.
 	reach reachability
-	// dialed reports whether a link to the target was opened after the reference was
-	// reached.
+	// dialed reports whether the target was dialled, which happens only after the
+	// reference was reached.
 	dialed bool
-	// reference is another instance; referenceReach is whether this node can reach it.
+	// reference is another instance; referenceReach is the result for it so far.
 	reference      model.InstanceID
 	referenceReach reachability
 	// requesters are the peers to report a reachable target to; empty when this node
@@ -53,6 +54,8 @@
 	requesters []model.InstanceID
 }
 
+// recheck is the backoff of one target: the number of its recent checks and the end of the
+// wait before the next one.
 type recheck struct {
 	count int
 	until time.Time
@@ -267,12 +270,13 @@
 	}
 	r, ok := c.table.get(x.target.ID)
 	switch {
-	case !ok, compareOwnerFields(r, x.target) != 0, now.Sub(x.startedAt) > checkExpiry:
+	case !ok, compareAnnouncedFields(r, x.target) != 0, now.Sub(x.startedAt) > checkExpiry:
 		c.endCheck(x)
 	case x.referenceReach == unreachable:
 		c.endCheck(x)
 		c.recordPartition(now, x.target.DataCentre)
 	case x.referenceReach == reachabilityUnknown:
+		// The target is dialled only once the reference is reached.
 	case x.reach == unreachable:
 		c.endCheck(x)
 		c.announceSuspicion(now, x)
--- a/internal/member/explore.go
+++ b/internal/member/explore.go
@@ -10,17 +10,19 @@
 )
 
 const (
-	// exploreMin is the minimum time between two attempts to reach an unreachable peer,
-	// or another data centre when no link goes to one. It grows by explorePerNode with
-	// the fleet size, which bounds the fleet's total rate; one new link between the parts
-	// of a healed partition is enough to join them.
+	// exploreMin is the mean time between two attempts to reach another data centre when
+	// no link goes to one, and the least mean time between two attempts to reach an
+	// unreachable peer. The latter is at least explorePerNode times the fleet size, which
+	// bounds the fleet's total rate; one new link between the parts of a healed partition
+	// is enough to join them. Each wait is drawn from half to one and a half times the mean.
 	exploreMin     = 5 * time.Second
 	explorePerNode = 200 * time.Millisecond
 )
 
 // explore opens a link beyond the outgoing limit, which replaces an outgoing link when it
 // succeeds. It goes to another data centre when no link does, otherwise to a peer that
-// was unreachable before or was declared gone.
+// was unreachable before or was declared gone, or to a seed at whose address no instance
+// is known.
 func (c *Controller) explore(now time.Time) {
 	r, ok := c.chooseOtherDataCentre()
 	wait := exploreMin
--- a/internal/member/gossip.go
+++ b/internal/member/gossip.go
@@ -128,10 +128,10 @@
 	return out
 }
 
-// receiveRumours merges a peer's rumours. Where this node has a newer record from the
-// owner, it replies with it. Records from a digest exchange are gossiped further, except
-// serving instances that were unknown here: that this node missed them does not imply
-// that others did.
+// receiveRumours merges a peer's rumours. Where this node has a newer announcement of an
+// instance, it replies with its record. Records from a digest exchange are gossiped
+// further, except serving instances that were unknown here: that this node missed them
+// does not imply that others did.
 func (c *Controller) receiveRumours(now time.Time, l *link, m wire.Rumours) {
 	if len(m.Records) > wire.MaxMemberRecords || len(m.Suspicions) > wire.MaxSuspicions {
 		c.recordRateLimited(now, event.MemberMalformed, string(l.peer), "too many rumours in one message")
@@ -144,9 +144,9 @@
 			continue
 		}
 		_, known := c.table.get(r.ID)
-		done := c.mergeRecord(now, r, l.peer, m.Repair && !known && serving(r.State))
-		if done.stale && c.gossip.pendingFor(r.ID) == nil {
-			newer = append(newer, done.after)
+		merged := c.mergeRecord(now, r, l.peer, m.Repair && !known && serving(r.State))
+		if merged.stale && c.gossip.pendingFor(r.ID) == nil {
+			newer = append(newer, merged.after)
 		}
 	}
 	if len(newer) > 0 {
--- a/internal/member/links.go
+++ b/internal/member/links.go
@@ -118,7 +118,8 @@
 	return slices.DeleteFunc(s.open(), func(l *link) bool { return !l.fresh(now) })
 }
 
-// count returns the number of open links that this node opened, or that its peers opened.
+// count returns the number of open links that this node opened, if outgoing is set, or
+// else that its peers opened.
 func (s *links) count(outgoing bool) int {
 	n := 0
 	for _, l := range s.all {
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -28,8 +28,8 @@
 	// startGrace is how long a fresh node that has a seed or a link waits for a snapshot
 	// from a peer before it reads the list.
 	startGrace = 3 * time.Second
-	// A full list counts as incomplete when it omits more than one in maxMissingDivisor
-	// of the instances that earlier lists named.
+	// A full list counts as incomplete when it omits more than one instance, and more than
+	// one in maxMissingDivisor of the instances, that earlier lists named as live.
 	maxMissingDivisor = 3
 )
 
@@ -68,7 +68,9 @@
 	r.recent = nil
 }
 
-// since returns the revision from which a read must start to miss no change.
+// since returns the revision from which a read must start to miss no change. loaded
+// reports whether the initial snapshot is complete; before, the node has only the changes
+// that it read itself.
 func (r *listReader) since(now time.Time, loaded bool) uint64 {
 	for len(r.recent) > 0 && now.Sub(r.recent[0].seenAt) > revisionSpreadTime {
 		r.spread = max(r.spread, r.recent[0].revision)
@@ -96,7 +98,7 @@
 	if c.ownState == model.StateGone {
 		return
 	}
-	if c.listGrace(now) {
+	if c.inStartGrace(now) {
 		return
 	}
 	if c.list.timer.Due(now, c.FleetSize()) {
@@ -111,9 +113,9 @@
 	}
 }
 
-// listGrace reports whether this node has just started and may still receive the fleet
+// inStartGrace reports whether this node has just started and may still receive the fleet
 // from a peer instead of from the platform.
-func (c *Controller) listGrace(now time.Time) bool {
+func (c *Controller) inStartGrace(now time.Time) bool {
 	known := len(c.cfg.Seeds) > 0 || len(c.links.all) > 0
 	return known && !c.sync.loaded && now.Sub(c.started) < startGrace
 }
@@ -141,9 +143,10 @@
 }
 
 // receiveListAges handles a peer's list ages; transit is an upper bound of the time that
-// the message was under way.
+// the message was in transit.
 func (c *Controller) receiveListAges(now time.Time, l *link, ages wire.ListAges, transit time.Duration) {
-	c.list.timer.ObservePeer(now, addTransit(ages.Attempt.Duration(), transit), addTransit(ages.Confirmed.Duration(), transit))
+	c.list.timer.ObservePeer(now,
+		addTransit(ages.Attempt.Duration(), transit), addTransit(ages.Confirmed.Duration(), transit))
 	c.list.noteRevision(now, ages.Revision)
 	c.relayList(now, l.peer)
 }
@@ -287,7 +290,9 @@
 	}
 }
 
-func isListed(m wire.ListStatus) bool { return m == wire.ListLive || m == wire.ListLeaving }
+func isListed(status wire.ListStatus) bool {
+	return status == wire.ListLive || status == wire.ListLeaving
+}
 
 // missingTooMany reports whether a full list omits so many instances that earlier lists
 // named that it is more likely wrong than right.
@@ -308,7 +313,7 @@
 	return missing > max(1, named/maxMissingDivisor)
 }
 
-// markAbsent marks the instances that a full list no longer names.
+// markAbsent marks the instances that a full list no longer names as absent.
 func (c *Controller) markAbsent(now time.Time, e control.ListRead) {
 	listedIDs := idsOf(e)
 	var absent []wire.MemberRecord
--- a/internal/member/peers.go
+++ b/internal/member/peers.go
@@ -20,13 +20,14 @@
 	// maxKeptDials bounds the dials in flight that fill outgoing links.
 	maxKeptDials = 2
 	// openSpread is the range of the random delay before the first dials, and before a
-	// link that ended is replaced. It grows by openSpreadPerInstance with the fleet size,
-	// since the cause that ended one link may have ended many.
+	// link that ended is replaced. In the second case it grows by openSpreadPerInstance
+	// with the fleet size, since the cause that ended one link may have ended many.
 	openSpread            = 300 * time.Millisecond
 	openSpreadPerInstance = 100 * time.Microsecond
 	// noCandidateWait is the delay before the next attempt when no peer is eligible.
 	noCandidateWait = time.Second
-	// Backoff of an unreachable peer; it doubles with each failure.
+	// Backoff of an unreachable peer; it doubles with each failure, and a random part of
+	// up to its own length is added.
 	backoffMin = time.Second
 	backoffMax = time.Minute
 	// rejectedFor is the minimum time before a peer that rejected a link is dialled
@@ -38,8 +39,8 @@
 	rotateMax = 15 * time.Minute
 	// isolatedAfter is the time without any link after which isolation is recorded.
 	isolatedAfter = 10 * time.Second
-	// maxRedirects is the number of other instances that a rejection names.
-	maxRedirects = 4
+	// maxAlternatives is the number of other instances that a rejection names.
+	maxAlternatives = 4
 	// maxBackoffs bounds the peers whose backoff is stored.
 	maxBackoffs = 512
 )
@@ -75,7 +76,7 @@
 
 func (p *peering) reset() { p.backoffs = map[model.InstanceID]backoff{} }
 
-// delayOpening postpones the next dial to at least d from now.
+// delayOpening postpones the next dial until d from now, unless it is already later.
 func (p *peering) delayOpening(now time.Time, d time.Duration) {
 	if at := now.Add(d); at.After(p.nextOpen) {
 		p.nextOpen = at
@@ -171,12 +172,16 @@
 	hasOwn, hasOther := c.outgoingLocations()
 	servingAndEligible := func(r wire.MemberRecord) bool { return serving(r.State) && c.eligible(now, r) }
 	if !hasOther && len(c.table.serving) > 1 {
-		if r, ok := c.table.pick(c.rng, func(r wire.MemberRecord) bool { return r.DataCentre != own && servingAndEligible(r) }); ok {
+		if r, ok := c.table.pick(c.rng, func(r wire.MemberRecord) bool {
+			return r.DataCentre != own && servingAndEligible(r)
+		}); ok {
 			return r, true
 		}
 	}
 	if !hasOwn && c.table.serving[own] > 1 {
-		if r, ok := c.table.pick(c.rng, func(r wire.MemberRecord) bool { return r.DataCentre == own && servingAndEligible(r) }); ok {
+		if r, ok := c.table.pick(c.rng, func(r wire.MemberRecord) bool {
+			return r.DataCentre == own && servingAndEligible(r)
+		}); ok {
 			return r, true
 		}
 	}
@@ -306,7 +311,7 @@
 func (c *Controller) redirect(now time.Time, l *link) {
 	l.closedAt = now
 	var m wire.LinkReject
-	for range maxRedirects {
+	for range maxAlternatives {
 		r, ok := c.table.pick(c.rng, func(r wire.MemberRecord) bool {
 			return serving(r.State) && r.ID != l.peer && r.ID != c.cfg.Self.ID
 		})
@@ -320,8 +325,8 @@
 // receiveReject closes a link that the peer rejected and merges the instances that it
 // named.
 func (c *Controller) receiveReject(now time.Time, l *link, m wire.LinkReject) {
-	for _, r := range m.Alternatives[:min(len(m.Alternatives), maxRedirects)] {
-		c.mergeQuietly(now, l, r)
+	for _, r := range m.Alternatives[:min(len(m.Alternatives), maxAlternatives)] {
+		c.mergeWithoutGossip(now, l, r)
 	}
 	c.closeLink(now, l)
 	c.setBackoff(now, l.peer, backoff{until: now.Add(rejectedFor + c.randomBetween(0, rejectedFor))})
--- a/internal/member/reap.go
+++ b/internal/member/reap.go
@@ -24,8 +24,8 @@
 	// leavingTTL is how long a leaving instance is kept that never announces that it is
 	// gone.
 	leavingTTL = 15 * time.Minute
-	// reapSpread spreads removals over time, so that the first node's rumour spares the
-	// others their own.
+	// reapSpread is the time over which the nodes spread the removal of one instance, so
+	// that the rumour of the first node usually makes the others' removals unnecessary.
 	reapSpread = time.Minute
 	// reapInterval is the time between two passes of the reaper.
 	reapInterval = time.Second
@@ -37,10 +37,11 @@
 	at          time.Time
 }
 
-// reaper removes instances that nothing keeps alive any more: they become gone, and later
-// their tombstones are dropped.
+// reaper declares instances gone that have been leaving for leavingTTL, or that the list
+// has not named for unlistedTTL and that neither a link nor an announcement confirms. It
+// later drops their tombstones.
 type reaper struct {
-	// due holds when an instance without support becomes gone.
+	// due holds when an instance becomes gone unless it is confirmed before.
 	due        map[model.InstanceID]time.Time
 	tombstones []tombstone
 	next       time.Time
@@ -90,20 +91,20 @@
 	if c.observationsUnreliable(now) {
 		return
 	}
-	var unsupported []model.InstanceID
+	var overdue []model.InstanceID
 	for id, at := range c.reaper.due {
 		if now.After(at) {
-			unsupported = append(unsupported, id)
+			overdue = append(overdue, id)
 		}
 	}
-	slices.Sort(unsupported)
-	for _, id := range unsupported {
+	slices.Sort(overdue)
+	for _, id := range overdue {
 		c.reap(now, id)
 	}
 }
 
-// reap marks an instance gone that is due, unless a fresh link supports it. Within
-// reapSpread, each pass does so only with a small probability.
+// reap declares a due instance gone; a fresh link to it postpones this by unlistedTTL.
+// During the first reapSpread, each pass does so only with a small probability.
 func (c *Controller) reap(now time.Time, id model.InstanceID) {
 	r, ok := c.table.get(id)
 	l := c.links.get(id)
--- a/internal/member/record.go
+++ b/internal/member/record.go
@@ -21,7 +21,7 @@
 // number of times.
 func join(a, b wire.MemberRecord) wire.MemberRecord {
 	out := a
-	if compareOwnerFields(a, b) < 0 {
+	if compareAnnouncedFields(a, b) < 0 {
 		out = b
 	}
 	newest := a
@@ -33,11 +33,12 @@
 	return out
 }
 
-// compareOwnerFields orders records by the fields that the owner decides. A greater
-// incarnation wins; within one incarnation, Gone wins over Leaving and Leaving over all
-// other states; then the greater counter, then the greater state. The fixed attributes
-// only make the order total.
-func compareOwnerFields(a, b wire.MemberRecord) int {
+// compareAnnouncedFields orders records by the fields that the instance itself announces;
+// its peers only mark it leaving or gone, and fill them from the list before its first
+// announcement. A greater incarnation wins; within one incarnation, Gone wins over Leaving
+// and Leaving over all other states; then the greater counter, then the greater state. The
+// fixed attributes only make the order total.
+func compareAnnouncedFields(a, b wire.MemberRecord) int {
 	return cmp.Or(
 		cmp.Compare(a.Incarnation, b.Incarnation),
 		cmp.Compare(finality(a.State), finality(b.State)),
--- a/internal/member/self.go
+++ b/internal/member/self.go
@@ -55,8 +55,9 @@
 }
 
 const (
-	// Minimum time between two superseding records; it doubles, so that two processes
-	// with one instance id do not supersede each other endlessly.
+	// Minimum time between two superseding records: twice supersedeMin after the first,
+	// then doubling up to supersedeMax, so that two processes with one instance id do not
+	// supersede each other endlessly.
 	supersedeMin = time.Second
 	supersedeMax = time.Minute
 	// supersedeReset is the time without a superseding record after which the backoff
--- a/internal/member/suspicion.go
+++ b/internal/member/suspicion.go
@@ -83,9 +83,9 @@
 	}
 }
 
-// removeUnplannedExit drops the unplanned exit of an instance that has returned.
+// removeUnplannedExit drops the unplanned exit of an instance that has joined again.
 func (k *checker) removeUnplannedExit(id model.InstanceID) {
-	k.unplannedExits = slices.DeleteFunc(k.unplannedExits, func(l unplannedExit) bool { return l.id == id })
+	k.unplannedExits = slices.DeleteFunc(k.unplannedExits, func(e unplannedExit) bool { return e.id == id })
 }
 
 func (s *suspicion) observedBy(id model.InstanceID) bool {
@@ -152,7 +152,8 @@
 	k := &c.checks
 	at, ok := slices.BinarySearchFunc(k.suspicions, s.Target, compareSuspicion)
 	if !ok {
-		if r, _ := c.table.get(s.Target); len(k.suspicions) >= maxSuspicions || c.suspectedIn(r.DataCentre) >= maxSuspectedPerDataCentre {
+		if r, _ := c.table.get(s.Target); len(k.suspicions) >= maxSuspicions ||
+			c.suspectedIn(r.DataCentre) >= maxSuspectedPerDataCentre {
 			return false
 		}
 		k.suspicions = slices.Insert(k.suspicions, at, &suspicion{id: s.Target})
@@ -181,7 +182,9 @@
 
 func (c *Controller) tickSuspicions(now time.Time) {
 	k := &c.checks
-	k.unplannedExits = slices.DeleteFunc(k.unplannedExits, func(l unplannedExit) bool { return now.Sub(l.at) > unplannedExitWindow })
+	k.unplannedExits = slices.DeleteFunc(k.unplannedExits, func(e unplannedExit) bool {
+		return now.Sub(e.at) > unplannedExitWindow
+	})
 	if len(k.suspicions) == 0 {
 		return
 	}
@@ -240,10 +243,10 @@
 			downNear++
 		}
 	}
-	for _, l := range c.checks.unplannedExits {
+	for _, e := range c.checks.unplannedExits {
 		downAll++
 		totalAll++
-		if l.dataCentre == dc {
+		if e.dataCentre == dc {
 			downNear++
 			totalNear++
 		}
--- a/internal/member/suspicion_test.go
+++ b/internal/member/suspicion_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestNodeThatReachesSuspectDeclaresNothing(t *testing.T) {
+func TestNodeThatReachesSuspectedMemberDeclaresNothing(t *testing.T) {
 	s := newSingleNode(4)
 	s.suspect(2, 1)
 	s.suspect(3, 1)
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestUnlistedSuspectIsDeclaredGoneDespitePartitionLimit(t *testing.T) {
+func TestUnlistedSuspectedMemberIsDeclaredGoneDespitePartitionLimit(t *testing.T) {
 	s := newSingleNode(4)
 	var all []model.Instance
 	for i := range 5 {
--- a/internal/member/sync.go
+++ b/internal/member/sync.go
@@ -13,8 +13,8 @@
 	// Interval between two digest exchanges that this node starts.
 	digestMin = 5 * time.Second
 	digestMax = 10 * time.Second
-	// Delay before the next exchange when one found more differences than it could
-	// compare.
+	// Delay before the next exchange after the snapshot, or when an exchange found more
+	// differences than it could compare.
 	repairMin = time.Second
 	repairMax = 2 * time.Second
 	// firstDigestSpread is the time within which a new link has its first digest
@@ -36,14 +36,16 @@
 	// digestsPerSecond bounds the differing digests that a node answers, so that a healed
 	// partition is repaired steadily and not all at once.
 	digestsPerSecond = 2
-	// recordsPerExchange bounds the records that one exchange sends and, as a number of
-	// buckets (at least minSummaries), compares. The next exchange continues with the
-	// rest.
+	// recordsPerExchange bounds the records that one exchange sends. The exchange compares
+	// as many buckets as hold this number of records on average, but at least minSummaries
+	// and at most wire.MaxSummaries. Later exchanges cover the rest.
 	recordsPerExchange = 128
 	minSummaries       = 4
 	// shortHashBytes is the size of a hash in a summary.
 	shortHashBytes = 4
-	entryBytes     = 2 * shortHashBytes
+	// entryBytes is the size of a record's entry in a summary: the hashes of its id and
+	// of its content.
+	entryBytes = 2 * shortHashBytes
 )
 
 // synchronizer loads a peer's view at startup and later repairs what rumours missed.
@@ -156,7 +158,7 @@
 		return
 	}
 	for _, r := range m.Records {
-		c.mergeQuietly(now, l, r)
+		c.mergeWithoutGossip(now, l, r)
 		c.sync.lastID = r.ID
 	}
 	if m.Partial {
@@ -171,8 +173,8 @@
 	c.record(event.SnapshotLoaded, string(l.peer), "")
 }
 
-// mergeQuietly merges a record without gossiping it.
-func (c *Controller) mergeQuietly(now time.Time, l *link, r wire.MemberRecord) {
+// mergeWithoutGossip merges a record without gossiping it.
+func (c *Controller) mergeWithoutGossip(now time.Time, l *link, r wire.MemberRecord) {
 	if !wellFormed(r) {
 		c.recordRateLimited(now, event.MemberMalformed, string(l.peer), "record has an invalid field")
 		return
@@ -180,6 +182,7 @@
 	c.mergeRecord(now, r, l.peer, true)
 }
 
+// receiveDigest replies with this node's bucket hashes if the roots differ.
 func (c *Controller) receiveDigest(now time.Time, l *link, m wire.Digest) {
 	if !c.sync.loaded || m.Root == c.table.root || !c.sync.digestLimiter.allow(now, digestsPerSecond) {
 		return
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -48,8 +48,8 @@
 	after   wire.MemberRecord
 	// changed reports whether the hashed part of the record changed.
 	changed bool
-	// stale reports whether the table had a newer record from the owner than the merged
-	// one.
+	// stale reports whether the table had a newer announcement of the instance than the
+	// merged one.
 	stale bool
 	// tableFull reports whether the record was refused because the table is full.
 	tableFull bool
@@ -62,7 +62,7 @@
 		return t.add(r)
 	}
 	m := mergeResult{before: e.rec, existed: true}
-	m.stale = compareOwnerFields(e.rec, r) > 0
+	m.stale = compareAnnouncedFields(e.rec, r) > 0
 	m.after = join(e.rec, r)
 	if m.after == e.rec {
 		return m
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -150,18 +150,18 @@
 	addresses []netip.AddrPort
 }
 
-func (o *addressChecker) check(key, value string) {
-	addr, ok := o.doc.CheckAddress(key, value)
+func (c *addressChecker) check(key, value string) {
+	addr, ok := c.doc.CheckAddress(key, value)
 	if !ok {
 		return
 	}
-	for i, other := range o.addresses {
+	for i, other := range c.addresses {
 		if addressesConflict(addr, other) {
-			o.doc.Add(key, "%s collides with %s %s", addr, o.keys[i], other)
+			c.doc.Add(key, "%s collides with %s %s", addr, c.keys[i], other)
 		}
 	}
-	o.keys = append(o.keys, key)
-	o.addresses = append(o.addresses, addr)
+	c.keys = append(c.keys, key)
+	c.addresses = append(c.addresses, addr)
 }
 
 // addressesConflict reports whether two listeners cannot use these addresses at once.
--- a/internal/spread/announce.go
+++ b/internal/spread/announce.go
@@ -17,8 +17,9 @@
 	// announceInterval is the minimum time between two rounds of announcements, so that
 	// simultaneous changes share messages.
 	announceInterval = control.TickInterval
-	// declineDelay bounds the random delay after a peer declined because it does not hold
-	// a version.
+	// declineDelay is the mean delay before the next request when a peer declined because
+	// it does not hold a version and no other usable holder is known; each is drawn from
+	// half to one and a half times this.
 	declineDelay = otherPeerDelay
 )
 
@@ -117,7 +118,7 @@
 
 // serveRequest sends the requested bodies within the upload limit and declines the rest.
 func (c *Controller) serveRequest(to model.InstanceID, m wire.BundleRequest) {
-	var absent, later []model.BundleVersion
+	var absent, overLimit []model.BundleVersion
 	for _, v := range c.validVersions(m.Versions) {
 		it := c.inForce.items[v.Name]
 		if it == nil || it.bundle.Version < v.Version || it.packed == nil {
@@ -125,7 +126,7 @@
 			continue
 		}
 		if !c.upload.take(c.now, float64(len(it.packed))) {
-			later = append(later, v)
+			overLimit = append(overLimit, v)
 			continue
 		}
 		c.counters.BodiesSent++
@@ -133,7 +134,7 @@
 		c.emit(send(to, wire.BundleBody{Version: it.bundle.VersionID(), Packed: it.packed}))
 	}
 	c.decline(to, absent, 0)
-	c.decline(to, later, c.upload.wait()+c.jitter(announceInterval))
+	c.decline(to, overLimit, c.upload.wait()+c.jitter(announceInterval))
 }
 
 func (c *Controller) decline(to model.InstanceID, versions []model.BundleVersion, after time.Duration) {
--- a/internal/spread/beacon.go
+++ b/internal/spread/beacon.go
@@ -7,7 +7,7 @@
 	"gypsumstand/internal/wire"
 )
 
-// Thresholds above which a beacon is worth its bytes.
+// Thresholds above which a beacon is sent.
 const (
 	// attemptStep is how much newer an attempt must be than the one that the peer knows.
 	// Several nodes may read at nearly the same time; one flood covers all of them.
@@ -31,12 +31,12 @@
 	read    time.Time
 }
 
-// worthSendingTo reports whether t is sufficiently newer than the times that a peer
-// knows.
-func (t beaconTimes) worthSendingTo(other beaconTimes) bool {
-	return newerBy(t.attempt, other.attempt, attemptStep) ||
-		newerBy(t.success, other.success, readingStep) ||
-		newerBy(t.read, other.read, readingStep)
+// sufficientlyNewerThan reports whether t is so much newer than the times that a peer knows
+// that a beacon should be sent to it.
+func (t beaconTimes) sufficientlyNewerThan(known beaconTimes) bool {
+	return newerBy(t.attempt, known.attempt, attemptStep) ||
+		newerBy(t.success, known.success, readingStep) ||
+		newerBy(t.read, known.read, readingStep)
 }
 
 func newerBy(a, b time.Time, by time.Duration) bool {
@@ -82,7 +82,7 @@
 	var m wire.BundleBeacon
 	made := false
 	for _, l := range c.links.list {
-		if c.now.Sub(l.beaconAt) < beaconInterval || !known.worthSendingTo(l.knownTimes) {
+		if c.now.Sub(l.beaconAt) < beaconInterval || !known.sufficientlyNewerThan(l.knownTimes) {
 			continue
 		}
 		if !made {
--- a/internal/spread/compare.go
+++ b/internal/spread/compare.go
@@ -25,8 +25,8 @@
 	// nonce identifies the request; zero when no comparison is open.
 	nonce  uint64
 	sentAt time.Time
-	// openParts is the set of buckets that differ and have not been listed yet.
-	openParts uint64
+	// openBuckets is the set of buckets that differ and have not been listed yet.
+	openBuckets uint64
 }
 
 // compareWith starts a comparison and replaces an open one.
@@ -54,7 +54,9 @@
 		return
 	}
 	c.nextCompare = c.now.Add(compareInterval/2 + c.jitter(compareInterval))
-	l := c.links.pick(c.rng, func(l *link) bool { return l.compare.nonce == 0 || c.now.Sub(l.compare.sentAt) >= compareTimeout })
+	l := c.links.pick(c.rng, func(l *link) bool {
+		return l.compare.nonce == 0 || c.now.Sub(l.compare.sentAt) >= compareTimeout
+	})
 	if l != nil {
 		c.compareWith(l)
 	}
@@ -101,7 +103,7 @@
 	c.counters.Repairs++
 	for i, sum := range m.Buckets {
 		if sum != c.inForce.buckets[i] {
-			l.compare.openParts |= 1 << i
+			l.compare.openBuckets |= 1 << i
 		}
 	}
 	c.requestList(l)
@@ -109,12 +111,12 @@
 
 // requestList requests the buckets that are still open, or ends the comparison.
 func (c *Controller) requestList(l *link) {
-	if l.compare.openParts == 0 {
+	if l.compare.openBuckets == 0 {
 		c.finishCompare(l)
 		return
 	}
 	l.compare.sentAt = c.now
-	c.emit(send(l.id, wire.BundleListRequest{Nonce: l.compare.nonce, Buckets: l.compare.openParts}))
+	c.emit(send(l.id, wire.BundleListRequest{Nonce: l.compare.nonce, Buckets: l.compare.openBuckets}))
 }
 
 func (c *Controller) finishCompare(l *link) {
@@ -163,11 +165,11 @@
 // receiveList handles some buckets of a peer's list. Versions that are newer there are
 // fetched, and the peer is sent the versions that are newer here.
 func (c *Controller) receiveList(l *link, m wire.BundleList) {
-	covered := m.Buckets & l.compare.openParts
+	covered := m.Buckets & l.compare.openBuckets
 	if m.Nonce != l.compare.nonce || covered == 0 {
 		return
 	}
-	newerLocally := c.heldInOrder(covered)
+	newerLocally := c.versionsInBuckets(covered)
 	for _, h := range m.Held {
 		v := model.BundleVersion{Name: h.Name, Version: h.Version}
 		if !withinBounds(v) {
@@ -184,15 +186,15 @@
 		c.fetchFrom(v, l.id)
 	}
 	c.sendVersions(l.id, newerLocally)
-	l.compare.openParts &^= covered
+	l.compare.openBuckets &^= covered
 	c.requestList(l)
 }
 
-// heldInOrder returns the versions in force in the given buckets.
-func (c *Controller) heldInOrder(mask uint64) []model.BundleVersion {
+// versionsInBuckets returns the versions in force in the given buckets, by bucket and name.
+func (c *Controller) versionsInBuckets(mask uint64) []model.BundleVersion {
 	var out []model.BundleVersion
-	for _, part := range c.heldByBucket(mask) {
-		for _, h := range part {
+	for _, bucket := range c.heldByBucket(mask) {
+		for _, h := range bucket {
 			out = append(out, model.BundleVersion{Name: h.Name, Version: h.Version})
 		}
 	}
--- a/internal/spread/config.go
+++ b/internal/spread/config.go
@@ -33,8 +33,9 @@
 	// is younger than unknownFleetPeriod.
 	unknownFleetSize   = 1000
 	unknownFleetPeriod = 10 * time.Second
-	// valueRetryDelay is the delay after the first failed read. It doubles up to
-	// maxValueRetryShift times, and a random part of up to its own length is added.
+	// valueRetryDelay is the delay after a failed read. It doubles with each earlier try of
+	// the fetch, at most maxValueRetryShift times, and a random part of up to its own
+	// length is added.
 	valueRetryDelay    = 2 * time.Second
 	maxValueRetryShift = 5
 	// startupReadDelay bounds the random delay before a node that is not ready reads what
--- a/internal/spread/confirm.go
+++ b/internal/spread/confirm.go
@@ -18,19 +18,20 @@
 )
 
 // reading is an index read whose versions were all in force at its reader, with the
-// digest of what the reader then held.
+// digest of the versions that the reader then held.
 type reading struct {
 	at     time.Time
 	digest uint64
 }
 
-// confirmation computes as of when this node is known to hold what the configuration
-// service does. Versions never decrease, so a node that has had a reader's digest at any
-// time holds everything that the reader found.
+// confirmation tracks the time as of which this node is known to hold every version that
+// the configuration service served. Versions never decrease, so a node that has had a
+// reader's digest at any time holds everything that the reader found.
 type confirmation struct {
 	// newest is the newest known reading; beacons pass it on.
 	newest reading
-	// waiting holds readings with digests that this node has not had, oldest first.
+	// waiting holds readings with digests that this node has not had, in the order in
+	// which the digests were first reported.
 	waiting []reading
 	// pastDigests is a ring of the digests that this node has had.
 	pastDigests [maxDigests]uint64
--- a/internal/spread/fetch.go
+++ b/internal/spread/fetch.go
@@ -11,6 +11,7 @@
 // Limits on fetching versions.
 const (
 	maxFetches = 4096
+	// maxHolders bounds the peers that are stored as sources of one fetch.
 	maxHolders = 4
 	// maxRequests and maxRequestsPerPeer bound the bodies requested from peers and not
 	// received yet.
@@ -25,7 +26,8 @@
 	requestJitter   = 200 * time.Millisecond
 	steadyRequests  = 10
 	maxRequestShift = 4
-	// otherPeerDelay bounds the delay before a peer that announced nothing is asked.
+	// otherPeerDelay is the mean delay before a peer that did not announce the version is
+	// asked because another one declined.
 	otherPeerDelay = 500 * time.Millisecond
 	// peersFirst is how long peers are tried before the configuration service. A random
 	// part of up to peersFirstPerNode per node of the fleet is added, so that a fleet
@@ -256,8 +258,9 @@
 	}
 }
 
-// choosePeer returns a link to request from: a holder's, or else, if no usable holder is
-// known, any other before the configuration service may be read.
+// choosePeer returns a link to request a fetch from: one to a holder if possible. Any other
+// link is chosen only if no usable holder is known, no index read of this node listed the
+// version, and the configuration service may not be read yet. nil means none.
 func (c *Controller) choosePeer(f *fetch) *link {
 	holder := c.links.pick(c.rng, func(l *link) bool { return c.canRequest(l) && contains(f.holders, l.id) })
 	if holder != nil {
--- a/internal/spread/links.go
+++ b/internal/spread/links.go
@@ -19,7 +19,7 @@
 	// fresh reports whether the peer's messages cannot have waited through a pause of
 	// this node.
 	fresh bool
-	// knownTimes holds the newest times that the peer is known to know.
+	// knownTimes holds the newest times that the peer has sent or been sent.
 	knownTimes beaconTimes
 	beaconAt   time.Time
 	// busyUntil is when the peer may be asked again, as it requested itself.
--- a/internal/tomlfile/document.go
+++ b/internal/tomlfile/document.go
@@ -69,7 +69,7 @@
 func (d *Document) Err() error { return d.findings.Err() }
 
 // Position returns the line and column, from 1, of key or of the innermost table around it in
-// the text data; both are 0 if the text contains neither.
+// the text in data; both are 0 if the text contains neither.
 func Position(data []byte, key string) (line, column int) {
 	idx, _ := newIndex(data)
 	d := Document{index: idx}
--- a/internal/tomlfile/index.go
+++ b/internal/tomlfile/index.go
@@ -134,7 +134,10 @@
 	for _, part := range parts {
 		key, schemaKey = joinKey(key, part), joinKey(schemaKey, part)
 	}
-	p := keySpan{key: key, schemaKey: schemaKey, offset: offset, start: int(n.Raw.Offset), end: int(n.Raw.Offset + n.Raw.Length)}
+	p := keySpan{
+		key: key, schemaKey: schemaKey, offset: offset,
+		start: int(n.Raw.Offset), end: int(n.Raw.Offset + n.Raw.Length),
+	}
 	if enclosing != nil {
 		p.start, p.end, p.enclosing = enclosing.start, enclosing.end, enclosing.key
 	} else {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -26,8 +26,8 @@
 	file     string
 	index    *index
 	findings finding.List
-	// rejected holds the keys whose values were not decoded. Their values are missing from the struct,
-	// so that later findings about them are dropped.
+	// rejected holds the keys whose values were not decoded. Later findings about them are
+	// dropped, because the struct's fields do not hold the values in the text.
 	rejected map[string]bool
 	// rejectedParents holds the keys of all tables around rejected keys.
 	rejectedParents map[string]bool
--- a/internal/wire/bundles.go
+++ b/internal/wire/bundles.go
@@ -81,7 +81,7 @@
 type BundleCompareReply struct {
 	Nonce  uint64 `cbor:"1,keyasint"`
 	Digest uint64 `cbor:"2,keyasint"`
-	// Ready reports that the sender has compared its own versions with others before.
+	// Ready reports that the sender's bundles are ready; see package spread.
 	Ready bool `cbor:"3,keyasint,omitempty"`
 	// Buckets holds the digests of all BundleBuckets buckets if the digests differ,
 	// otherwise nothing.
--- a/internal/wire/caller.go
+++ b/internal/wire/caller.go
@@ -58,7 +58,7 @@
 }
 
 func (c *CallerHeaders) parseRequest(h http.Header) error {
-	value, ok, err := token(h, HeaderIdempotencyKey, MaxRequestIDBytes)
+	value, ok, err := printableValue(h, HeaderIdempotencyKey, MaxRequestIDBytes)
 	if ok {
 		c.Request = model.RequestID(value)
 	}
@@ -66,7 +66,7 @@
 }
 
 func (c *CallerHeaders) parseTenant(h http.Header) error {
-	value, ok, err := token(h, HeaderTenant, MaxTenantBytes)
+	value, ok, err := printableValue(h, HeaderTenant, MaxTenantBytes)
 	if ok {
 		c.Tenant = model.TenantName(value)
 	}
@@ -74,7 +74,7 @@
 }
 
 func (c *CallerHeaders) parseTimeout(h http.Header) error {
-	value, ok, err := single(h, HeaderTimeout)
+	value, ok, err := singleValue(h, HeaderTimeout)
 	if !ok {
 		return err
 	}
@@ -87,7 +87,7 @@
 }
 
 func (c *CallerHeaders) parseIdempotent(h http.Header) error {
-	value, ok, err := single(h, HeaderIdempotent)
+	value, ok, err := singleValue(h, HeaderIdempotent)
 	if !ok {
 		return err
 	}
@@ -102,7 +102,7 @@
 }
 
 func (c *CallerHeaders) parseRetryBudget(h http.Header) error {
-	value, ok, err := single(h, HeaderRetryBudget)
+	value, ok, err := singleValue(h, HeaderRetryBudget)
 	if !ok {
 		return err
 	}
@@ -115,9 +115,9 @@
 	return nil
 }
 
-// single returns the only value of a header. ok is false if the header is absent or, with
-// an error, if it occurs more than once: two values that differ cannot both be obeyed.
-func single(h http.Header, name string) (value string, ok bool, err error) {
+// singleValue returns the only value of a header. ok is false if the header is absent or,
+// with an error, if it occurs more than once: two values that differ cannot both be obeyed.
+func singleValue(h http.Header, name string) (value string, ok bool, err error) {
 	values := h[name]
 	switch len(values) {
 	case 0:
@@ -128,10 +128,10 @@
 	return "", false, fmt.Errorf("%s: sent %d times, want once", name, len(values))
 }
 
-// token returns the only value of a header, which must consist of 1 to bound printable
-// ASCII bytes.
-func token(h http.Header, name string, bound int) (value string, ok bool, err error) {
-	value, ok, err = single(h, name)
+// printableValue returns the only value of a header, which must consist of 1 to bound
+// printable ASCII bytes.
+func printableValue(h http.Header, name string, bound int) (value string, ok bool, err error) {
+	value, ok, err = singleValue(h, name)
 	if !ok {
 		return "", false, err
 	}
--- a/internal/wire/refusal.go
+++ b/internal/wire/refusal.go
@@ -34,7 +34,7 @@
 // cannot be parsed in full guarantees nothing: NotRun is then false and err is the
 // reason.
 func ReadRefusal(h http.Header) (r model.Refusal, ok bool, err error) {
-	name, ok, err := single(h, HeaderRefusal)
+	name, ok, err := singleValue(h, HeaderRefusal)
 	if !ok {
 		return model.Refusal{}, err != nil, err
 	}
@@ -50,7 +50,7 @@
 	if err != nil {
 		return model.Refusal{Reason: reason}, true, err
 	}
-	onlyOwner, _, err := single(h, HeaderRefusalOnlyOwner)
+	onlyOwner, _, err := singleValue(h, HeaderRefusalOnlyOwner)
 	if err != nil {
 		return model.Refusal{Reason: reason}, true, err
 	}
@@ -66,7 +66,7 @@
 func ReadNotRun(h http.Header) (bool, error) { return parseFlag(h, HeaderNotRun) }
 
 func parseFlag(h http.Header, name string) (bool, error) {
-	value, ok, err := single(h, name)
+	value, ok, err := singleValue(h, name)
 	if !ok {
 		return false, err
 	}
@@ -77,7 +77,7 @@
 }
 
 func parseRetryAfterMs(h http.Header) (time.Duration, error) {
-	value, ok, err := single(h, HeaderRetryAfterMs)
+	value, ok, err := singleValue(h, HeaderRetryAfterMs)
 	if !ok {
 		return 0, err
 	}
--- a/internal/wire/suspects.go
+++ b/internal/wire/suspects.go
@@ -109,7 +109,8 @@
 		return SuspectUpdate{}, fmt.Errorf("suspect requests: %w", err)
 	}
 	if len(n.Records) > MaxSuspects {
-		return SuspectUpdate{}, fmt.Errorf("suspect requests: %d records are over the bound of %d", len(n.Records), MaxSuspects)
+		return SuspectUpdate{}, fmt.Errorf("suspect requests: %d records are over the bound of %d",
+			len(n.Records), MaxSuspects)
 	}
 	if parts := len(n.Digests); parts != 0 && parts != SuspectBuckets {
 		return SuspectUpdate{}, fmt.Errorf("suspect requests: %d digests; want none or %d", parts, SuspectBuckets)
@@ -124,11 +125,11 @@
 
 func (n *SuspectUpdate) checkCrashes(s *Suspect) error {
 	if crashes := len(s.Crashes); crashes > MaxSuspectCrashes {
-		return fmt.Errorf("suspect requests: %d ends are over the bound of %d", crashes, MaxSuspectCrashes)
+		return fmt.Errorf("suspect requests: %d crashes are over the bound of %d", crashes, MaxSuspectCrashes)
 	}
 	for _, r := range s.Crashes {
 		if r.Index() >= len(n.Crashes) {
-			return fmt.Errorf("suspect requests: end %d of %d", r.Index(), len(n.Crashes))
+			return fmt.Errorf("suspect requests: crash reference %d, but only %d crashes", r.Index(), len(n.Crashes))
 		}
 	}
 	return nil
