--- a/internal/blackboard/blackboard.go
+++ b/internal/blackboard/blackboard.go
@@ -34,20 +34,22 @@
 
 // Board has one section per subject, with its writer named beside it.
 type Board struct {
-	// Bundles holds the bundles in force. Writer: spread.
+	// Bundles holds the bundles in force. Writer: spread, or directory if the node follows
+	// one.
 	Bundles Section[bundle.Set]
-	// Fleet is the current view of the fleet. Writer: member.
+	// Fleet is the current view of the fleet. Writer: member, or directory if the node
+	// follows one.
 	Fleet Section[model.Fleet]
-	// Self is this node's identity and lifecycle state. Writer: node lifecycle.
+	// Self is this node's identity and lifecycle state. Writer: core.
 	Self Section[Self]
-	// Sources holds the age of the data read from the platform. Writer: spread for Config,
-	// member for List, through control.
+	// Sources holds when the data read from the platform was last confirmed. Writer: core,
+	// with the values of spread for Config and of member for List.
 	Sources Section[Sources]
 	// Directory is the known content of the directory, for peers. Writer: directory.
 	Directory Section[Directory]
 	// Unreachable lists owners that this node cannot connect to. Writer: reach.
 	Unreachable Section[[]model.InstanceID]
-	// Readiness reports whether the node is ready to serve. Writer: control.
+	// Readiness reports whether the node is ready to serve. Writer: core.
 	Readiness Section[Readiness]
 }
 
@@ -91,7 +93,7 @@
 // that reads succeed again.
 const ReadFailureMemory = 10 * time.Second
 
-// Failing reports whether this node's own reads fail.
+// Failing reports whether a read of this node failed in the last ReadFailureMemory.
 func (d *Directory) Failing(now time.Time) bool {
 	return !d.FailedAt.IsZero() && now.Sub(d.FailedAt) < ReadFailureMemory
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -27,11 +27,12 @@
 type Tick struct{}
 
 // Paused precedes all events that were waiting when a tick was late by more than
-// PauseThreshold: the process had been stopped or starved of CPU For that long.
+// PauseThreshold. For is how long the process was stopped or starved of CPU.
 type Paused struct{ For time.Duration }
 
-// Suspended precedes all events that were waiting when the machine had been suspended For
-// that long. The clock of the events does not count that time.
+// Suspended precedes all events that were waiting when the machine resumed from a
+// suspension. For is the length of the suspension; the clock of the events does not count
+// it.
 type Suspended struct{ For time.Duration }
 
 // LinkUp reports that a control link to or from a peer is open.
@@ -252,8 +253,8 @@
 // ReachabilityProbed follows.
 type ProbeReachability struct{ Owner model.Instance }
 
-// OwnerUnreachable notifies the attempts at an owner that it is unreachable: those whose
-// requests may be repeated are also made elsewhere.
+// OwnerUnreachable notifies the attempts at an owner that it is unreachable. A request that
+// may be repeated is then also attempted at another owner.
 type OwnerUnreachable struct{ Owner model.InstanceID }
 
 // OutcomeResolved passes an owner's outcome resolution to the call that requested it.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -151,9 +151,12 @@
 	}
 	table := route.NewTable(routing)
 	n := &Node{
-		Board:        board,
-		Table:        table,
-		Owner:        owner.New(owner.Config{Self: cfg.Self, Region: cfg.Regions[cfg.Self.DataCentre], Started: cfg.Started, OnBreakerChange: cfg.OnBreakerChange}),
+		Board: board,
+		Table: table,
+		Owner: owner.New(owner.Config{
+			Self: cfg.Self, Region: cfg.Regions[cfg.Self.DataCentre],
+			Started: cfg.Started, OnBreakerChange: cfg.OnBreakerChange,
+		}),
 		Engine:       entry.NewEngine(entry.Config{Self: cfg.Self, Random: cfg.Random}, table),
 		OwnerLimiter: measure.NewOwnerLimiter(cfg.Started, bundle.Measuring{}),
 		EntryLimiter: measure.NewEntryLimiter(cfg.Random),
@@ -267,6 +270,7 @@
 	return true
 }
 
+// setState sets this node's state; a leaving node does not return to an earlier one.
 func (n *Node) setState(now time.Time, s model.UpstreamState) []owner.Decision {
 	self := n.Board.Self.Get().Instance
 	if self.State >= model.StateLeaving && s < self.State {
@@ -280,14 +284,15 @@
 	return n.Owner.SetState(now, s)
 }
 
-// deriveGapPerInstance is the shortest time between two rebuilds of derived state, per
+// deriveIntervalPerInstance is the shortest time between two rebuilds of derived state, per
 // known instance. A rebuild takes about 0.7 us an instance (docs/CAPACITY.md), so bursts of
 // changes, such as the start of a data centre, use 1.4% of a core at most. Changes are
 // delayed by up to half a second at 10,000 instances and not noticeably at 11.
-const deriveGapPerInstance = 50 * time.Microsecond
+const deriveIntervalPerInstance = 50 * time.Microsecond
 
+// minDeriveInterval returns the shortest time between two rebuilds for a fleet.
 func minDeriveInterval(fleet *model.Fleet) time.Duration {
-	return time.Duration(len(fleet.Instances)) * deriveGapPerInstance
+	return time.Duration(len(fleet.Instances)) * deriveIntervalPerInstance
 }
 
 // derive rebuilds the state that depends on changed sections, now or at a later event.
@@ -421,6 +426,7 @@
 	return self.Worker
 }
 
+// liveUpstreams counts the instances of a service that are not leaving, at least 1.
 func liveUpstreams(fleet *model.Fleet, service model.ServiceName) int {
 	count := 0
 	for i := range fleet.Instances {
--- a/internal/core/probe.go
+++ b/internal/core/probe.go
@@ -7,7 +7,7 @@
 	"gypsumstand/internal/wire"
 )
 
-// Owners are probed when traffic has left their estimate too old.
+// Limits of the probes of owners whose load estimates traffic does not keep fresh.
 const (
 	// defaultProbeAge is the age of a load report beyond which its owner is probed.
 	defaultProbeAge = 2 * time.Second
--- a/internal/directory/bound_test.go
+++ b/internal/directory/bound_test.go
@@ -114,7 +114,8 @@
 // connectivity is back after 3 s.
 const recoveryBound = 3 * time.Second
 
-// Reads fail at once, or hang until their timeout.
+// The last live node of a fleet follows the directory again after a fault in which all its
+// reads failed, at once or at their timeout.
 func TestRecoveredDirectoryIsFollowedByIsolatedNode(t *testing.T) {
 	for size, seeds := range map[int]uint64{10: 60, 80: 20, 300: 4} {
 		for _, duration := range []time.Duration{readTime, hungReadTime} {
@@ -196,9 +197,9 @@
 						reads[i] += n
 					}
 				}
-				each := float64(seeds)
-				t.Logf("%.1f reads a second during the fault; %.1f before it, %.1f after it", float64(reads[1])/each/ft.duration().Seconds(),
-					float64(reads[0])/each/faultStart.Seconds(), float64(reads[2])/each/faultDuration.Seconds())
+				runs := float64(seeds)
+				t.Logf("%.1f reads a second during the fault; %.1f before it, %.1f after it", float64(reads[1])/runs/ft.duration().Seconds(),
+					float64(reads[0])/runs/faultStart.Seconds(), float64(reads[2])/runs/faultDuration.Seconds())
 				checkDelays(t, all, ft.bound(size.nodes))
 			})
 		}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -107,7 +107,8 @@
 	// removalGraceUntil is the time until which a removal may be due to an expired lease
 	// instead of a worker that left.
 	removalGraceUntil time.Time
-	started           bool
+	// started reports whether the first read has been started.
+	started bool
 	// dirty reports that the fleet has changed since it was published.
 	dirty         bool
 	fleetRevision uint64
@@ -118,7 +119,10 @@
 
 // New returns a controller with an empty view.
 func New(cfg Config, board *blackboard.Board, rng *rand.Rand) *Controller {
-	c := &Controller{cfg: cfg, board: board, rng: rng, timer: suppress.NewWithSchedule(rng, readSchedule), workers: map[model.WorkerID]*worker{}, evacuated: newEvacuations(), readCounts: map[ReadCause]uint64{}}
+	c := &Controller{
+		cfg: cfg, board: board, rng: rng, timer: suppress.NewWithSchedule(rng, readSchedule),
+		workers: map[model.WorkerID]*worker{}, evacuated: newEvacuations(), readCounts: map[ReadCause]uint64{},
+	}
 	c.publishFleet()
 	return c
 }
@@ -253,7 +257,8 @@
 	}
 }
 
-// apply applies the result of a read or a peer's reply; source names which.
+// apply applies the result of a read or a peer's reply; source names its origin in log
+// lines.
 func (c *Controller) apply(now time.Time, r *control.DirectoryRead, source string) {
 	before := c.revision
 	defer func() {
@@ -280,7 +285,7 @@
 	}
 	if r.Full {
 		c.removeMissing(now, r)
-		// Earlier removals are only known from missing entries, which are in no list of
+		// Earlier removals are only known from missing listings, which are in no list of
 		// changes.
 		c.removed.compactedRevision = max(c.removed.compactedRevision, r.Revision)
 	}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestMissingListsDirectoryAndConfiguration(t *testing.T) {
+func TestNotReadyReasonsNameDirectoryAndConfiguration(t *testing.T) {
 	r := newRig()
 	var got [][]string
 	got = append(got, r.NotReadyReasons())
--- a/internal/directory/evacuations.go
+++ b/internal/directory/evacuations.go
@@ -93,7 +93,8 @@
 	return out
 }
 
-// applyEvacuations applies the evacuations of a read or a peer's reply; source names which.
+// applyEvacuations applies the evacuations of a read or a peer's reply; source names its
+// origin in log lines.
 func (c *Controller) applyEvacuations(r *control.DirectoryRead, source string) {
 	changes := r.Evacuations
 	if r.Full {
--- a/internal/directory/peers.go
+++ b/internal/directory/peers.go
@@ -26,7 +26,7 @@
 	// announceFanOut is the number of random peers to which a node announces a change at
 	// once. Relayed by every receiver, an announcement reaches 19 in 20 nodes within some 5
 	// ms for each doubling; gossip and traffic reach the others. In fleets of 300 with one
-	// call a second and node it reduced the longest time until a change is in force from
+	// call a second per node it reduced the longest time until a change is in force from
 	// 2.4 s to 1.0 s (TestChangeIsInForceWithinBound).
 	announceFanOut = 3
 	// localShare of localShareOf random peers are in this node's data centre if it has any:
@@ -136,9 +136,9 @@
 	c.confirmFromPeer(now, e.Age)
 }
 
-// confirmFromPeer records that the view was the latest an age ago. Peers' failed reads are
-// not exchanged: the directory may reject some nodes and serve others, which must not wait
-// because of that.
+// confirmFromPeer records that the view was the latest an age ago. Only successful reads of
+// peers delay this node's own: the directory may reject some nodes and serve others, which
+// must not wait because of that.
 func (c *Controller) confirmFromPeer(now time.Time, age time.Duration) {
 	if !now.Add(-age).After(c.confirmed) {
 		return
@@ -149,9 +149,9 @@
 	c.confirm(now.Add(-age))
 }
 
-// gossip sends a request to a random peer if no peer's message was received for a while, and
-// before this node would read the directory: that finds peers that have read it since, and
-// shows which peers cannot.
+// gossip sends a request to a random peer if no message was received for gossipIdle, or if
+// the view was not confirmed within the read interval, so that this node would read next.
+// The reply may show that the peer has read the directory since, or that it cannot.
 func (c *Controller) gossip(now time.Time) {
 	if now.Sub(c.peers.lastReceived) < gossipIdle && now.Sub(c.confirmed) < readSchedule.Interval {
 		return
@@ -210,8 +210,9 @@
 func (c *Controller) publishForPeers() {
 	d := &blackboard.Directory{
 		Revision: c.revision, Confirmed: c.confirmed,
-		Unlisted: slices.Clone(c.removed.list), CompactedRevision: max(c.removed.compactedRevision, c.evacuated.compactedRevision), Config: c.config,
-		Evacuations: c.evacuated.sorted(),
+		Unlisted:          slices.Clone(c.removed.list),
+		CompactedRevision: max(c.removed.compactedRevision, c.evacuated.compactedRevision),
+		Config:            c.config, Evacuations: c.evacuated.sorted(),
 	}
 	for _, id := range c.sortedWorkers() {
 		if w := c.workers[id]; w.missingUntil.IsZero() {
@@ -247,8 +248,8 @@
 }
 
 // soleReaderReads is the number of consecutive own reads, without a fresher view from a
-// peer, after which a node takes itself for the only reader. Of ten nodes that take turns
-// one in a hundred has two.
+// peer, after which a node takes itself for the only reader. Of ten nodes that take turns,
+// one in a hundred has two such reads.
 const soleReaderReads = 2
 
 // estimateReaders estimates how many nodes take turns reading the directory. A node with
--- a/internal/directory/requests.go
+++ b/internal/directory/requests.go
@@ -82,7 +82,7 @@
 
 // estimateReaders estimates how many of the listed nodes, this one included, take turns
 // reading the directory. Nodes that are stopped, dead or isolated stay listed but do not
-// reply. Nodes that the directory rejects do reply; if it served nobody, each of them would
+// reply. Nodes that the directory rejects do reply; if it served none, each of them would
 // read as the only reader, so a share of them is counted.
 func (h *requestHistory) estimateReaders(now time.Time, listed int) int {
 	counts := h.count(now)
--- a/internal/directory/suspension.go
+++ b/internal/directory/suspension.go
@@ -27,6 +27,7 @@
 	return 0
 }
 
+// shift moves the times of requests and messages back by d, the length of a suspension.
 func (s *peerSync) shift(d time.Duration) {
 	s.requestedAt = s.requestedAt.Add(-d)
 	s.lastReceived = s.lastReceived.Add(-d)
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -38,7 +38,7 @@
 type View struct {
 	// Revision is the known revision of the directory, NewestSeen the highest one received.
 	Revision, NewestSeen uint64
-	// ConfirmedAt is when Revision was last known to be the latest; zero for never.
+	// Confirmed is when Revision was last known to be the latest; zero for never.
 	Confirmed time.Time
 	Status    ViewStatus
 	// Listed is the number of instances that the directory lists, this one included.
--- a/internal/directory/view_test.go
+++ b/internal/directory/view_test.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// The leases of its workers expired while the directory was unavailable and lost its
-// history.
+// After an outage in which the directory lost its history and its workers' leases expired,
+// the first read returns an empty list, and the next read must follow soon.
 func TestEmptyDirectoryIsReadAgain(t *testing.T) {
 	r := newRig()
 	r.handle(control.Tick{})
@@ -198,7 +198,8 @@
 	}
 }
 
-// A peer replies all the while without reading the directory.
+// Peers keep the view fresh for a while after this node's reads failed, and then reply
+// without having read the directory.
 func TestOldFailuresDoNotDelayReads(t *testing.T) {
 	r := newRig()
 	r.handle(control.Tick{})
--- a/internal/directory/workers.go
+++ b/internal/directory/workers.go
@@ -15,8 +15,8 @@
 // worker is one listed worker.
 type worker struct {
 	listing model.Listing
-	// warmingUntil is when the worker stops warming according to its latest entry; zero if
-	// it is not warming.
+	// warmingUntil is when the worker stops warming according to its latest listing; zero
+	// if it is not warming.
 	warmingUntil time.Time
 	// missingUntil is when a worker that is missing from the directory after an outage is
 	// unlisted; zero while it is listed.
@@ -25,7 +25,7 @@
 	missingSince time.Time
 }
 
-// applyListing applies a worker's entry unless a newer change of it is known.
+// applyListing applies a worker's listing unless a newer change of it is known.
 func (c *Controller) applyListing(now time.Time, l model.Listing) {
 	id := l.Instance.Worker
 	w := c.workers[id]
@@ -35,7 +35,8 @@
 	if w != nil && w.missingUntil.IsZero() && w.listing == l {
 		return
 	}
-	if w == nil || w.listing.Instance.State != l.Instance.State || w.listing.Instance.WorkerIncarnation() != l.Instance.WorkerIncarnation() || !w.missingUntil.IsZero() {
+	if w == nil || w.listing.Instance.State != l.Instance.State ||
+		w.listing.Instance.WorkerIncarnation() != l.Instance.WorkerIncarnation() || !w.missingUntil.IsZero() {
 		in := &l.Instance
 		c.record(event.WorkerListed, string(id), fmt.Sprintf("%s %s %s, started %d", in.ID, in.Service, in.State, in.WorkerStarted), nil)
 	}
@@ -121,8 +122,8 @@
 
 func (c *Controller) sortedWorkers() []model.WorkerID { return slices.Sorted(maps.Keys(c.workers)) }
 
-// usable reports whether an entry's service is defined in the configuration in force.
-// Entries of other services are not used, and do not take the place of a usable worker.
+// usable reports whether a listing's service is defined in the configuration in force.
+// Listings of other services are not used, and do not take the place of a usable worker.
 func (c *Controller) usable(l *model.Listing) bool {
 	set := c.board.Bundles.Get()
 	if len(set.All()) == 0 {
--- a/internal/quarantine/chance_test.go
+++ b/internal/quarantine/chance_test.go
@@ -135,7 +135,8 @@
 // A harmless request is quarantined if it is in flight at three crashes without a completed
 // run between them. With runs of length d and a crash of each worker every m that happens
 // to a fraction (d/m)^3 of the requests. The simulated service, with a crash every 4 s and
-// half of its workers lost together every three minutes, is far worse than any usable one.
+// half of its workers crashing together every three minutes, is far worse than any usable
+// one.
 func TestChanceCrashesSeldomQuarantine(t *testing.T) {
 	for _, n := range []int{3, 16} {
 		s := &service{rng: rand.New(rand.NewPCG(uint64(n), 7)), now: epoch, table: newTable()}
@@ -152,8 +153,8 @@
 			s.now = at
 			do()
 		}
-		each := float64(meanRun) / float64(meanCrashInterval*time.Duration(n))
-		expected := float64(s.requests) * math.Pow(each, quarantineThreshold)
+		crashChance := float64(meanRun) / float64(meanCrashInterval*time.Duration(n))
+		expected := float64(s.requests) * math.Pow(crashChance, quarantineThreshold)
 		t.Logf("%d workers: %d crashes, %d requests, %d quarantined; %.1f expected", n, s.crashes, s.requests, s.quarantined, expected)
 		// The limit is ten times the expected number, plus a margin for chance.
 		if float64(s.quarantined) > 10*expected+5 {
--- a/internal/quarantine/contacts.go
+++ b/internal/quarantine/contacts.go
@@ -22,14 +22,15 @@
 	// that a node may send for control.
 	searchBurst = 256
 	searchRate  = 16
-	// unresponsivePeriod is how long after a peer failed to reply recently seen peers are
-	// contacted as well.
+	// unresponsivePeriod is the time after a peer's failure to reply in which recently seen
+	// peers are contacted in addition to the neighbours.
 	unresponsivePeriod = 10 * time.Second
 	// maxRecentPeers bounds the list of recently seen peers.
 	maxRecentPeers = 8
 )
 
-// contact identifies a peer and the kind of records that are exchanged with it.
+// contact identifies a peer and the kind of records that are exchanged with it: those that
+// the whole fleet keeps, or those that only the nodes of one service keep.
 type contact struct {
 	peer      model.InstanceID
 	fleetWide bool
@@ -65,8 +66,8 @@
 	q.wake()
 }
 
-// PeerSeen records that calls are exchanged with a peer. It takes no lock while no request
-// is suspect.
+// PeerSeen records that calls are exchanged with a peer. It takes no lock while there are
+// no records.
 func (q *Quarantine) PeerSeen(peer model.InstanceID) {
 	if q.Empty() {
 		return
@@ -76,6 +77,7 @@
 	q.seen(peer)
 }
 
+// seen moves a peer to the front of the recently seen ones.
 func (q *Quarantine) seen(peer model.InstanceID) {
 	c := &q.gossip.contacts
 	switch i := slices.Index(c.recent, peer); {
@@ -89,8 +91,8 @@
 	c.recent = slices.Insert(c.recent, 0, peer)
 }
 
-// peerMissing reports whether a peer failed to reply within unresponsivePeriod.
-func (c *contacts) peerMissing(now time.Time) bool {
+// peerFailedRecently reports whether a peer failed to reply in the last unresponsivePeriod.
+func (c *contacts) peerFailedRecently(now time.Time) bool {
 	return !c.lastFailure.IsZero() && now.Sub(c.lastFailure) < unresponsivePeriod
 }
 
@@ -102,13 +104,14 @@
 	c.lastSent[to] = now
 }
 
-// contactedRecently reports whether a search skips a peer.
+// contactedRecently reports whether a message was sent to a contact in the last
+// searchCooldown.
 func (c *contacts) contactedRecently(now time.Time, to contact) bool {
 	at, known := c.lastSent[to]
 	return known && now.Sub(at) < searchCooldown
 }
 
-// expire drops entries that are older than searchCooldown.
+// expire drops the times of messages that are older than searchCooldown.
 func (c *contacts) expire(now time.Time) {
 	for to, at := range c.lastSent {
 		if now.Sub(at) >= searchCooldown {
@@ -118,7 +121,7 @@
 }
 
 // allow takes one message out of the search budget and reports whether there was one left.
-func (c *contacts) allow(now time.Time) bool {
+func (c *contacts) allowSearch(now time.Time) bool {
 	if c.budget.available(now, searchRate, searchBurst) < 1 {
 		return false
 	}
@@ -144,7 +147,7 @@
 			continue
 		}
 		for _, in := range q.successors(now, fleet, peer) {
-			if !c.allow(now) {
+			if !c.allowSearch(now) {
 				return out
 			}
 			out = q.send(now, out, control.SendSuspectUpdate{To: in, Update: q.comparison(peer.fleetWide)})
@@ -153,7 +156,8 @@
 	return out
 }
 
-// successors returns the next eligible peers on the ring after one, at most searchFanOut.
+// successors returns the eligible peers that follow a contact on the ring and were not
+// contacted recently, at most searchFanOut of them.
 func (q *Quarantine) successors(now time.Time, fleet *model.Fleet, peer contact) []model.Instance {
 	at, _ := slices.BinarySearchFunc(fleet.Instances, peer.peer, func(in model.Instance, id model.InstanceID) int {
 		return cmp.Compare(in.ID, id)
@@ -190,11 +194,11 @@
 	return out
 }
 
-// withRecentPeers adds the recently seen peers to a node's neighbours if one of the
-// neighbours may be down.
+// withRecentPeers adds the recently seen peers to a node's neighbours after a peer failed
+// to reply, since neighbours may be down.
 func (q *Quarantine) withRecentPeers(now time.Time, to []model.Instance, fleetWide bool) []model.Instance {
 	c := &q.gossip.contacts
-	if !c.peerMissing(now) {
+	if !c.peerFailedRecently(now) {
 		return to
 	}
 	return union(to, q.recentPeers(fleetWide))
--- a/internal/quarantine/coordinator.go
+++ b/internal/quarantine/coordinator.go
@@ -20,10 +20,10 @@
 	// the usual use.
 	useAveragingTime = 2 * time.Second
 	// maxUse is the largest part of their slots that the remaining workers may have in use
-	// once another one is lost: fuller workers respond late.
+	// once another one is down: fuller workers respond late.
 	maxUse = 0.75
-	// portCheckDelay is how long after the last report of a crash this node's worker may
-	// still be taken for available: its port has not been checked since.
+	// portCheckDelay is how long after the last report of a crash this node's worker counts
+	// as down whatever its slot use: the owner may not have checked its port yet.
 	portCheckDelay = 300 * time.Millisecond
 )
 
@@ -59,8 +59,9 @@
 }
 
 // coordinator returns the owner that decides where a request may run: the one whose worker
-// crashed last under it, or the empty ID if that is not known here. Once that owner may be
-// gone for good it is another one, the same in equal views.
+// crashed last under it, or the empty ID if that is not known here. After maxDeferral, or
+// if that owner no longer admits requests, rendezvous hashing selects another one, the same
+// on all nodes with equal views.
 func (q *Quarantine) coordinator(now time.Time, r *record) model.InstanceID {
 	owners := q.findNeighbours().admitting
 	if len(owners) == 0 {
@@ -73,10 +74,10 @@
 	return rendezvousOwner(r.content, owners)
 }
 
-// assign decides where a request may run that this node coordinates: here while no other
-// worker of the service is down, elsewhere while this node's own is, and anywhere if the
-// service can spare another worker. It returns the time of the crash whose worker is
-// awaited.
+// assign decides where a request may run that this node coordinates. If the service can
+// spare another worker it runs here, or at another owner while this node's worker is down.
+// If it can spare none, it may run here only, and is deferred if this node's worker is up
+// and another one is down. assign returns the time of the crash whose worker is awaited.
 func (q *Quarantine) assign(now time.Time, r *record, d *Decision) (last time.Time) {
 	owners := q.findNeighbours().admitting
 	up, last := q.otherOwners(now, owners)
@@ -105,8 +106,8 @@
 	return time.Duration(downtimeMargin * float64(q.recovery.expected()))
 }
 
-// EvaluateReroute decides where a suspect request goes whose run here found no worker.
-// Other owners may know less of the request than this node and leave it to this one, so it
+// EvaluateReroute decides where a suspect request goes after its run here could not reach
+// the worker. Other owners may know of fewer of its crashes and leave it to this one, so it
 // is granted to another owner even if it could run anywhere.
 func (q *Quarantine) EvaluateReroute(now time.Time, content model.Fingerprint, s Submission, label string) Decision {
 	d := q.Evaluate(now, content, s, label)
@@ -132,9 +133,9 @@
 	return up
 }
 
-// spareWorkers returns how many of a service's available workers it can lose when that part
-// of all slots is in use. While some workers are down the use of the others is higher, so
-// the average over the time of a crash errs on the safe side.
+// spareWorkers returns how many of its up available workers a service with all workers can
+// lose; use is the share of its slots in use. While some workers are down the use of the
+// others is higher, so the average over the time of a crash errs on the safe side.
 func spareWorkers(up, all int, use float64) int {
 	needed := int(math.Ceil(use * float64(all) / maxUse))
 	return max(up-needed, 0)
@@ -156,10 +157,10 @@
 	return up, last
 }
 
-// observeUse records the part of the worker's slots in use, a time after the last
-// observation.
-func (q *Quarantine) observeUse(use float64, after time.Duration) {
-	weight := min(after.Seconds()/useAveragingTime.Seconds(), 1)
+// observeUse adds the share of the worker's slots in use to its average; elapsed is the
+// time since the last observation.
+func (q *Quarantine) observeUse(use float64, elapsed time.Duration) {
+	weight := min(elapsed.Seconds()/useAveragingTime.Seconds(), 1)
 	q.averageUse += weight * (use - q.averageUse)
 }
 
--- a/internal/quarantine/coordinator_test.go
+++ b/internal/quarantine/coordinator_test.go
@@ -32,7 +32,7 @@
 	refusals, runs int
 }
 
-// newUpstreams returns n workers with that part of their slots in use.
+// newUpstreams returns n workers; use is the share of their slots in use.
 func newUpstreams(n int, use float64) *upstreams {
 	u := &upstreams{fleet: newFleet(n, 1), down: map[*node]bool{}, crashes: map[model.Fingerprint]int{}}
 	u.owners = u.nodes
@@ -55,6 +55,7 @@
 	return u.offer(first, c, length, crashes, Submission{}, 0)
 }
 
+// offer offers a submission to an owner and follows its redirections, at most maxHops.
 func (u *upstreams) offer(to *node, c model.Fingerprint, length time.Duration, crashes func() bool, submission Submission, hops int) Decision {
 	d := to.q.Evaluate(u.now, c, submission, "GET /")
 	next := u.byID[d.OnlyOwner]
@@ -72,6 +73,7 @@
 	return d
 }
 
+// run runs a request, whose run crashes the worker at its end if crashing is set.
 func (u *upstreams) run(at *node, c model.Fingerprint, length time.Duration, d Decision, crashing bool) {
 	started := u.now
 	u.after(length, func() {
--- a/internal/quarantine/correlator.go
+++ b/internal/quarantine/correlator.go
@@ -124,11 +124,12 @@
 	return runs
 }
 
-// simultaneousWindow is how far apart runs fail that one crash broke, on a node that is not
-// starved of CPU.
+// simultaneousWindow is the longest time between two run failures that one crash caused, on
+// a node that is not starved of CPU.
 const simultaneousWindow = 20 * time.Millisecond
 
-// failedTogether reports whether at least two runs failed at about that time.
+// failedTogether reports whether at least two runs failed within simultaneousWindow of a
+// time.
 func (c *CrashCorrelator) failedTogether(at time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -102,14 +102,14 @@
 // up.
 func (f *fleet) send(from *node, id model.InstanceID, update wire.SuspectUpdate, wantReply bool) {
 	to, sender := f.byID[id], from.q
-	f.count(from, update)
+	f.countBytes(from, update)
 	f.after(f.delay(), func() {
 		if from.isolated || to.isolated {
 			f.after(replyTimeout, func() { f.replyTimedOut(from, sender, to.instance, update) })
 			return
 		}
 		reply := to.q.HandleUpdate(f.now, update)
-		f.count(to, reply)
+		f.countBytes(to, reply)
 		f.wake(to)
 		f.after(f.delay(), func() {
 			if from.isolated || to.isolated || from.q != sender {
@@ -139,7 +139,8 @@
 	return time.Millisecond + time.Duration(f.rng.Int64N(int64(40*time.Millisecond)))
 }
 
-func (f *fleet) count(n *node, update wire.SuspectUpdate) {
+// countBytes adds the size of an update to the totals and to its sender's current second.
+func (f *fleet) countBytes(n *node, update wire.SuspectUpdate) {
 	data, err := wire.EncodeSuspects(&update)
 	if err != nil {
 		panic(err)
@@ -297,8 +298,8 @@
 	for s, at := range crashes {
 		total += len(at)
 		late := 0
-		for _, e := range at {
-			if len(at) > 2 && e.Sub(at[2]) > learnWithin {
+		for _, crashedAt := range at {
+			if len(at) > 2 && crashedAt.Sub(at[2]) > learnWithin {
 				late++
 			}
 		}
@@ -313,7 +314,7 @@
 	}
 	perNode := f.sent / ((seconds + 10) * len(f.nodes))
 	if perNode > controlBytes {
-		t.Errorf("%d bytes a second and node; the bound is %d", perNode, controlBytes)
+		t.Errorf("%d bytes per second and node; the bound is %d", perNode, controlBytes)
 	}
-	t.Logf("%.2f crashes a request; %d bytes a second and node, at most %d", float64(total)/float64(seconds), perNode, f.peak)
+	t.Logf("%.2f crashes per request; %d bytes per second and node, at most %d", float64(total)/float64(seconds), perNode, f.peak)
 }
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -37,9 +37,8 @@
 	reservedForUpdates     = 512
 	reservedForQuarantined = 128
 	// maxDirectOwners is the size of the largest service whose nodes notify all others
-	// directly. Relayed between neighbours each record is sent log n times as often, but in
-	// a larger service direct notification of a crash would take too many messages of its
-	// node.
+	// directly. Relaying between neighbours sends each record log n times as often, but in
+	// a larger service a node would have to send too many direct messages after a crash.
 	maxDirectOwners = 64
 	// expireInterval is the time between two scans for expired records.
 	expireInterval = 10 * time.Second
@@ -66,7 +65,7 @@
 	known    bool
 	// fleet holds the neighbours among all nodes, service those among the nodes of this
 	// node's service, or all of its nodes. relay reports whether updates of peers are
-	// passed on to the latter.
+	// passed on to service.
 	fleet, service []model.Instance
 	relay          bool
 	// owners are the nodes of this node's service, admitting those of them that are neither
@@ -85,20 +84,21 @@
 	case control.SuspectsChanged:
 		out = q.sendUpdates(now, out)
 	case control.Tick:
-		if part, known := q.slotUse(now); known {
-			q.observeUse(part, control.TickInterval)
+		if share, known := q.slotUse(now); known {
+			q.observeUse(share, control.TickInterval)
 		}
 		out = q.sendUpdates(now, out)
 		out = q.runRound(now, out)
 		q.expire(now)
 	}
-	for _, n := range q.pendingLog {
-		out = append(out, n)
+	for _, rec := range q.pendingLog {
+		out = append(out, rec)
 	}
 	q.pendingLog = nil
 	return out
 }
 
+// expire drops old records and reclassifies the others, when a scan is due.
 func (q *Quarantine) expire(now time.Time) {
 	if now.Before(q.gossip.nextExpiry) {
 		return
@@ -126,7 +126,9 @@
 }
 
 // sendRecords sends records of one kind while the budget stays above reserved.
-func (q *Quarantine) sendRecords(now time.Time, out []control.Action, fleetWide bool, to []model.Instance, reserved int) []control.Action {
+func (q *Quarantine) sendRecords(
+	now time.Time, out []control.Action, fleetWide bool, to []model.Instance, reserved int,
+) []control.Action {
 	if len(to) == 0 {
 		return out
 	}
@@ -152,52 +154,54 @@
 
 // newUpdate returns an update without records.
 func (q *Quarantine) newUpdate(fleetWide bool) wire.SuspectUpdate {
-	n := wire.SuspectUpdate{From: q.self.ID}
+	u := wire.SuspectUpdate{From: q.self.ID}
 	if !fleetWide {
-		n.Service = q.self.Service
+		u.Service = q.self.Service
 	}
-	return n
+	return u
 }
 
 // comparison returns an update with digests, which a peer compares with its own.
 func (q *Quarantine) comparison(fleetWide bool) wire.SuspectUpdate {
-	n := q.newUpdate(fleetWide)
-	n.Compare = true
-	n.Digests = q.table.digests(fleetWide)
-	return n
+	u := q.newUpdate(fleetWide)
+	u.Compare = true
+	u.Digests = q.table.digests(fleetWide)
+	return u
 }
 
 // runRound compares the records with some neighbours when a round is due.
 func (q *Quarantine) runRound(now time.Time, out []control.Action) []control.Action {
-	r := &q.gossip
-	if now.Before(r.nextRound) || q.Empty() && r.queryRounds == 0 {
+	g := &q.gossip
+	if now.Before(g.nextRound) || q.Empty() && g.queryRounds == 0 {
 		return out
 	}
 	n := q.findNeighbours()
 	if len(n.fleet) == 0 {
 		return out
 	}
-	r.nextRound = now.Add(roundInterval)
-	query := r.queryRounds > 0
-	r.queryRounds = max(r.queryRounds-1, 0)
-	r.round++
+	g.nextRound = now.Add(roundInterval)
+	query := g.queryRounds > 0
+	g.queryRounds = max(g.queryRounds-1, 0)
+	g.round++
 	if query || q.table.hasRecords(true) {
-		out = q.compare(now, out, true, n.fleet, r.round)
+		out = q.compare(now, out, true, n.fleet, g.round)
 	}
-	if query || r.round%suspectRoundEvery == 0 && q.table.hasRecords(false) {
-		out = q.compare(now, out, false, n.service, r.round/suspectRoundEvery)
+	if query || g.round%suspectRoundEvery == 0 && q.table.hasRecords(false) {
+		out = q.compare(now, out, false, n.service, g.round/suspectRoundEvery)
 	}
 	return out
 }
 
 // compare compares the records of one kind with some of the peers, in rotation, and with
 // some recently seen peers if a neighbour may be down.
-func (q *Quarantine) compare(now time.Time, out []control.Action, fleetWide bool, peers []model.Instance, turn int) []control.Action {
+func (q *Quarantine) compare(
+	now time.Time, out []control.Action, fleetWide bool, peers []model.Instance, turn int,
+) []control.Action {
 	for i := range min(peersPerRound, len(peers)) {
 		to := peers[(turn*peersPerRound+i)%len(peers)]
 		out = q.send(now, out, control.SendSuspectUpdate{To: to, Update: q.comparison(fleetWide)})
 	}
-	if q.gossip.contacts.peerMissing(now) {
+	if q.gossip.contacts.peerFailedRecently(now) {
 		return q.compareWithRecent(now, out, fleetWide)
 	}
 	return out
@@ -252,20 +256,20 @@
 // HandleUpdate merges a peer's update. If the peer requests a comparison it returns this
 // node's digests and its records in the buckets in which the two nodes differ. It may be
 // called by any goroutine.
-func (q *Quarantine) HandleUpdate(now time.Time, from wire.SuspectUpdate) wire.SuspectUpdate {
+func (q *Quarantine) HandleUpdate(now time.Time, update wire.SuspectUpdate) wire.SuspectUpdate {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.seen(from.From)
-	fleetWide := from.Service == ""
-	if !fleetWide && from.Service != q.self.Service {
+	q.seen(update.From)
+	fleetWide := update.Service == ""
+	if !fleetWide && update.Service != q.self.Service {
 		return q.newUpdate(true)
 	}
-	q.mergeUpdate(now, from, fleetWide)
-	if !from.Compare {
+	q.mergeUpdate(now, update, fleetWide)
+	if !update.Compare {
 		return q.newUpdate(fleetWide)
 	}
 	reply := q.comparison(fleetWide)
-	if buckets, differ := differingBuckets(reply.Digests, from.Digests); differ {
+	if buckets, differ := differingBuckets(reply.Digests, update.Digests); differ {
 		appendRecords(now, q.selectRecords(now, fleetWide, buckets), &reply)
 	}
 	return reply
@@ -291,8 +295,9 @@
 	return more, len(more.Records) > 0
 }
 
-// selectRecords returns records in some buckets for a peer that holds others there: the
-// most severe ones, and a rotating selection of the rest.
+// selectRecords returns the records in some buckets for a peer whose records differ there.
+// If one message or the budget does not hold all, it returns the most severe ones and a
+// rotating selection of the rest.
 func (q *Quarantine) selectRecords(now time.Time, fleetWide bool, buckets [wire.SuspectBuckets]bool) []*record {
 	all := q.table.matching(func(r *record) bool { return r.fleetWide == fleetWide && buckets[wire.SuspectBucket(r.content)] })
 	reserved := reservedForUpdates
--- a/internal/quarantine/merge.go
+++ b/internal/quarantine/merge.go
@@ -39,6 +39,7 @@
 
 const maxAgeMs = 1<<32 - 1
 
+// age returns the milliseconds from then to now, limited to the range of its type.
 func age(now, then time.Time) uint32 {
 	return uint32(min(max(now.Sub(then).Milliseconds(), 0), maxAgeMs))
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -31,9 +31,9 @@
 	Started time.Time
 	// Fleet returns the current view of the fleet; it must not block.
 	Fleet func() *model.Fleet
-	// SlotUse returns the part of this node's worker slots that is in use, and false while
+	// SlotUse returns the share of this node's worker slots that is in use, and false while
 	// none can be used. It must not block. Nil means that all slots are always in use.
-	SlotUse func(now time.Time) (part float64, known bool)
+	SlotUse func(now time.Time) (share float64, known bool)
 }
 
 // Quarantine is one node's set of suspect requests. Its methods are safe for concurrent
@@ -43,7 +43,7 @@
 	started     time.Time
 	incarnation uint64
 	fleet       func() *model.Fleet
-	slotUse     func(now time.Time) (part float64, known bool)
+	slotUse     func(now time.Time) (share float64, known bool)
 	correlator  CrashCorrelator
 	completed   recentRuns
 	// size is the number of records: while it is zero no fingerprint needs to be computed.
@@ -52,12 +52,12 @@
 
 	mu    sync.Mutex
 	table table
-	// crashesNamed counts the IDs allocated for crashes of this node's worker,
+	// crashIDsAllocated counts the IDs allocated for crashes of this node's worker,
 	// crashesAttributed those crashes that had requests in flight.
-	crashesNamed, crashesAttributed uint64
-	gossip                          gossip
-	recovery                        recovery
-	// averageUse is the average part of this node's worker slots in use.
+	crashIDsAllocated, crashesAttributed uint64
+	gossip                               gossip
+	recovery                             recovery
+	// averageUse is the average share of this node's worker slots in use.
 	averageUse float64
 	// rotation is the offset at which selectRecords last started among the less severe
 	// records.
@@ -72,13 +72,14 @@
 		cfg.SlotUse = func(time.Time) (float64, bool) { return 1, true }
 	}
 	return &Quarantine{
-		self: cfg.Self, started: cfg.Started, incarnation: uint64(cfg.Started.UnixNano()), fleet: cfg.Fleet, slotUse: cfg.SlotUse, averageUse: 1,
+		self: cfg.Self, started: cfg.Started, incarnation: uint64(cfg.Started.UnixNano()),
+		fleet: cfg.Fleet, slotUse: cfg.SlotUse, averageUse: 1,
 		changed: make(chan struct{}, 1), table: newTable(), gossip: gossip{queryRounds: initialQueryRounds},
 	}
 }
 
-// Changed returns a channel that has an element when there are updates for peers: the node
-// then passes control.SuspectsChanged to the core.
+// Changed returns a channel that receives a value when there are updates for peers; the
+// node then passes control.SuspectsChanged to the core.
 func (q *Quarantine) Changed() <-chan struct{} { return q.changed }
 
 func (q *Quarantine) wake() {
@@ -92,7 +93,8 @@
 // count publishes the number of records.
 func (q *Quarantine) count() { q.size.Store(int64(len(q.table.records))) }
 
-// Empty reports whether no request is suspect. It takes no lock.
+// Empty reports whether there are no records, which implies that no request is suspect. It
+// takes no lock.
 func (q *Quarantine) Empty() bool { return q.size.Load() == 0 }
 
 // Decision states how an owner treats a request.
@@ -100,14 +102,15 @@
 	// Crashes counts the crashes under the request that no other request explains and no
 	// completed run has cleared.
 	Crashes int
-	// Quarantined requests do not reach a worker; RetryAfter is when the request may.
+	// Quarantined requests do not reach a worker; RetryAfter is the time until the next
+	// trial, at least minRetry and at most maxRetry.
 	Quarantined bool
 	RetryAfter  time.Duration
 	// Trial reports whether the quarantined request may run this once, exclusively.
 	Trial bool
 	// OnlyOwner, if set, is the only owner at which the request may run, as a worker may
-	// crash under it again; RetryAfter is then when a crashed worker is expected to
-	// recover. Deferred reports that this node is not that owner, or that the owner is
+	// crash under it again; RetryAfter is then the time until a crashed worker is expected
+	// to recover. Deferred reports that this node is not that owner, or that the owner is
 	// unknown.
 	OnlyOwner model.InstanceID
 	Deferred  bool
@@ -116,7 +119,7 @@
 	Granted bool
 }
 
-// Submission is what an attempt reports of its submission.
+// Submission holds what an attempt reports about the submission that it belongs to.
 type Submission struct {
 	// Crashes counts the workers that crashed under earlier attempts.
 	Crashes int
@@ -136,7 +139,7 @@
 	return model.Refusal{}
 }
 
-// Exclusive reports whether the request must not run together with other such suspects, so
+// Exclusive reports whether the request must not run together with other exclusive ones, so
 // that the next crash shows which of them caused it.
 func (d Decision) Exclusive() bool {
 	return d.Trial || d.OnlyOwner != "" || d.Crashes >= exclusiveThreshold
@@ -193,6 +196,7 @@
 	return r.retryAfter(now), true
 }
 
+// retryAfter returns the Retry-After of a quarantined request.
 func (r *record) retryAfter(now time.Time) time.Duration {
 	at, ok := r.nextTrial()
 	if !ok {
@@ -238,8 +242,8 @@
 
 // nextCrashID returns an ID for the next crash of this node's worker, unique in the fleet.
 func (q *Quarantine) nextCrashID() CrashID {
-	q.crashesNamed++
-	return CrashID(max(xxhash.Sum64String(fmt.Sprintf("%s/%d/%d", q.self.ID, q.incarnation, q.crashesNamed)), 1))
+	q.crashIDsAllocated++
+	return CrashID(max(xxhash.Sum64String(fmt.Sprintf("%s/%d/%d", q.self.ID, q.incarnation, q.crashIDsAllocated)), 1))
 }
 
 // recordCrash records the runs under which the worker crashed.
@@ -281,6 +285,7 @@
 // maxNamed bounds the runs that one log line names.
 const maxNamed = 32
 
+// logCrash logs a crash and the first maxNamed runs that were in flight.
 func (q *Quarantine) logCrash(id CrashID, runs []Run) {
 	var names []string
 	for _, r := range runs[:min(len(runs), maxNamed)] {
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -67,8 +67,8 @@
 	changedAt time.Time
 	// label describes the request; empty if this node has never received it.
 	label string
-	// quarantined reports whether the request is quarantined, on this node since that time.
-	// unexplained counts its crashes that no other request explains. All three are
+	// quarantined reports whether the request is quarantined, and since from when on this
+	// node. unexplained counts its crashes that no other request explains. All three are
 	// recomputed after each change.
 	quarantined bool
 	since       time.Time
@@ -81,9 +81,10 @@
 }
 
 // classify recomputes whether the request is quarantined, from its crashes that no other
-// request explains. It takes quarantineThreshold of them, at least one of which followed
-// another: the loss of a rack crashes many workers at once under a popular request, and
-// only a request whose next run crashes its worker again differs from that.
+// request explains. It must have quarantineThreshold of them, at least one of them under a
+// run that started after another crash under it was known: the loss of a rack crashes many
+// workers at once under a popular request, and only a request whose next run crashes its
+// worker again differs from that.
 func (r *record) classify(explained map[CrashID]bool) {
 	count, alreadySuspect := r.countUnexplained(explained)
 	r.unexplained = count
@@ -101,9 +102,9 @@
 // already suspect when one of their runs started.
 func (r *record) countUnexplained(explained map[CrashID]bool) (count int, alreadySuspect bool) {
 	for i := range r.crashes {
-		if e := &r.crashes[i]; !explained[e.id] {
+		if c := &r.crashes[i]; !explained[c.id] {
 			count++
-			alreadySuspect = alreadySuspect || e.alreadySuspect
+			alreadySuspect = alreadySuspect || c.alreadySuspect
 		}
 	}
 	return count, alreadySuspect
--- a/internal/quarantine/recovery.go
+++ b/internal/quarantine/recovery.go
@@ -55,6 +55,8 @@
 	return r.mean
 }
 
-// remaining returns how much longer a worker that crashed an age ago is expected to be
-// down.
-func (r *recovery) remaining(age time.Duration) time.Duration { return max(r.expected()-age, 0) }
+// remaining returns how much longer a worker is expected to be down; sinceCrash is the time
+// since its crash.
+func (r *recovery) remaining(sinceCrash time.Duration) time.Duration {
+	return max(r.expected()-sinceCrash, 0)
+}
--- a/internal/quarantine/secondcrash.go
+++ b/internal/quarantine/secondcrash.go
@@ -38,7 +38,7 @@
 }
 
 // soleKnownSuspect returns the earliest run of the only request whose runs started when a
-// crash under it was already known.
+// crash under it was already known; only is false if there is none or several.
 func soleKnownSuspect(runs []Run) (suspect Run, only bool) {
 	for _, run := range runs {
 		switch {
@@ -59,13 +59,13 @@
 // crash.
 func (q *Quarantine) chanceProbability(now time.Time, r *record, id CrashID, length time.Duration) float64 {
 	others := int(q.crashesAttributed) - r.crashesAt(q.self.ID)
-	each := initialCrashInterval + now.Sub(q.started)
-	rate := float64(1+max(others, 0)) / each.Seconds()
+	observed := initialCrashInterval + now.Sub(q.started)
+	rate := float64(1+max(others, 0)) / observed.Seconds()
 	return rate * length.Seconds() * float64(q.table.countCoincident(r, id))
 }
 
 // countCoincident counts the requests, r included, that were in flight at a crash of r
-// other than one.
+// other than except.
 func (t *table) countCoincident(r *record, except CrashID) int {
 	n := 0
 	for _, other := range t.records {
@@ -76,7 +76,7 @@
 	return n
 }
 
-// sharesCrash reports whether both requests were in flight at a crash other than one.
+// sharesCrash reports whether both requests were in flight at a crash other than except.
 func (r *record) sharesCrash(other *record, except CrashID) bool {
 	for i := range r.crashes {
 		for k := range other.crashes {
--- a/internal/quarantine/secondcrash_test.go
+++ b/internal/quarantine/secondcrash_test.go
@@ -99,65 +99,65 @@
 	submission Submission
 }
 
-func (p *traffic) arrive(every time.Duration) {
-	p.after(time.Duration(p.rng.ExpFloat64()*float64(every)), func() {
-		p.next++
-		p.place(&job{content: content(1000 + p.next)}, 0)
-		p.arrive(every)
+func (tr *traffic) arrive(every time.Duration) {
+	tr.after(time.Duration(tr.rng.ExpFloat64()*float64(every)), func() {
+		tr.next++
+		tr.place(&job{content: content(1000 + tr.next)}, 0)
+		tr.arrive(every)
 	})
 }
 
 // place offers a job to an owner whose worker is up, and then to the owners that decisions
 // name.
-func (p *traffic) place(j *job, hops int) {
-	owner := p.owners[p.rng.IntN(len(p.owners))]
-	for hops < maxHops && !p.down[owner] {
+func (tr *traffic) place(j *job, hops int) {
+	owner := tr.owners[tr.rng.IntN(len(tr.owners))]
+	for hops < maxHops && !tr.down[owner] {
 		hops++
-		d := owner.q.Evaluate(p.now, j.content, j.submission, "")
+		d := owner.q.Evaluate(tr.now, j.content, j.submission, "")
 		if d.Quarantined {
-			p.quarantined++
+			tr.quarantined++
 			return
 		}
 		if !d.Deferred {
-			p.start(owner, j, d)
+			tr.start(owner, j, d)
 			return
 		}
-		if p.byID[d.OnlyOwner] == nil {
+		if tr.byID[d.OnlyOwner] == nil {
 			return
 		}
-		owner, j.submission.Granted = p.byID[d.OnlyOwner], d.Granted
+		owner, j.submission.Granted = tr.byID[d.OnlyOwner], d.Granted
 	}
 }
 
-func (p *traffic) start(at *node, j *job, d Decision) {
-	j.started, j.decision = p.now, d
-	p.inFlight[at][j] = true
-	p.after(time.Duration(p.rng.ExpFloat64()*float64(meanRun)), func() {
-		if p.inFlight[at][j] {
-			delete(p.inFlight[at], j)
-			at.q.RunCompleted(p.now, j.content)
-			p.wake(at)
+func (tr *traffic) start(at *node, j *job, d Decision) {
+	j.started, j.decision = tr.now, d
+	tr.inFlight[at][j] = true
+	tr.after(time.Duration(tr.rng.ExpFloat64()*float64(meanRun)), func() {
+		if tr.inFlight[at][j] {
+			delete(tr.inFlight[at], j)
+			at.q.RunCompleted(tr.now, j.content)
+			tr.wake(at)
 		}
 	})
 }
 
-func (p *traffic) scheduleCrash(every time.Duration) {
-	p.after(time.Duration(p.rng.ExpFloat64()*float64(every)), func() {
-		p.scheduleCrash(every)
-		at := p.owners[p.rng.IntN(len(p.owners))]
-		if p.down[at] {
+func (tr *traffic) scheduleCrash(every time.Duration) {
+	tr.after(time.Duration(tr.rng.ExpFloat64()*float64(every)), func() {
+		tr.scheduleCrash(every)
+		at := tr.owners[tr.rng.IntN(len(tr.owners))]
+		if tr.down[at] {
 			return
 		}
 		var runs []Run
-		failed := p.inFlight[at]
-		p.inFlight[at] = map[*job]bool{}
+		failed := tr.inFlight[at]
+		tr.inFlight[at] = map[*job]bool{}
 		for j := range failed {
 			runs = append(runs, Run{Content: j.content, Started: j.started, AlreadySuspect: j.submission.Crashes > 0 || j.decision.Crashes > 0})
 		}
-		p.crash(at, runs...)
+		tr.crash(at, runs...)
 		for j := range failed {
 			j.submission = Submission{Crashes: j.submission.Crashes + 1}
-			p.place(j, 0)
+			tr.place(j, 0)
 		}
 	})
 }
@@ -166,38 +166,38 @@
 // ever cause a quarantine.
 func TestChanceCrashesSeldomQuarantineAtSecond(t *testing.T) {
 	for _, n := range []int{3, 16} {
-		p := &traffic{upstreams: newUpstreams(n, 0.6), inFlight: map[*node]map[*job]bool{}}
-		for _, nd := range p.owners {
-			p.inFlight[nd] = map[*job]bool{}
+		tr := &traffic{upstreams: newUpstreams(n, 0.6), inFlight: map[*node]map[*job]bool{}}
+		for _, nd := range tr.owners {
+			tr.inFlight[nd] = map[*job]bool{}
 		}
-		p.arrive(meanRun / time.Duration(n*slots/2))
-		p.scheduleCrash(10 * time.Second / time.Duration(n))
-		p.simulate(3 * time.Minute)
+		tr.arrive(meanRun / time.Duration(n*slots/2))
+		tr.scheduleCrash(10 * time.Second / time.Duration(n))
+		tr.simulate(3 * time.Minute)
 		crashes := 0
-		for _, nd := range p.owners {
+		for _, nd := range tr.owners {
 			crashes += int(nd.q.Counts().Crashes)
 		}
-		t.Logf("%d workers: %d crashes, %d requests, %d refused as quarantined", n, crashes, p.next, p.quarantined)
-		if limit := 1 + int(maxChanceProbability*float64(crashes)); p.quarantined > limit {
-			t.Errorf("%d workers: %d refused as quarantined after %d crashes; want at most %d", n, p.quarantined, crashes, limit)
+		t.Logf("%d workers: %d crashes, %d requests, %d refused as quarantined", n, crashes, tr.next, tr.quarantined)
+		if limit := 1 + int(maxChanceProbability*float64(crashes)); tr.quarantined > limit {
+			t.Errorf("%d workers: %d refused as quarantined after %d crashes; want at most %d", n, tr.quarantined, crashes, limit)
 		}
 	}
 }
 
 func TestRecentRunsAreRememberedAndExpire(t *testing.T) {
-	var w recentRuns
+	var recent recentRuns
 	for i := range 2000 {
-		w.add(content(i))
+		recent.add(content(i))
 	}
 	for i := 1900; i < 2000; i++ {
-		if !w.has(content(i)) {
+		if !recent.has(content(i)) {
 			t.Fatalf("run %d of 2000 is missing", i)
 		}
 	}
 	for i := range 3 * recentSets * recentWays {
-		w.add(model.Fingerprint{0: byte(i), 1: byte(i >> 8), 2: 9, 14: byte(i >> 8), 15: byte(i)})
+		recent.add(model.Fingerprint{0: byte(i), 1: byte(i >> 8), 2: 9, 14: byte(i >> 8), 15: byte(i)})
 	}
-	if w.has(content(1999)) {
+	if recent.has(content(1999)) {
 		t.Error("a run is never evicted")
 	}
 }
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -174,28 +174,28 @@
 // quarantined returns the quarantined requests: in the order of their crash counts those
 // that have enough crashes not explained by earlier ones, and all that were quarantined
 // before.
-func (p referenceModel) quarantined(requests int) map[int]bool {
+func (m referenceModel) quarantined(requests int) map[int]bool {
 	order := make([]int, requests)
 	for c := range order {
 		order[c] = c
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		if len(p.crashes[a]) != len(p.crashes[b]) {
-			return len(p.crashes[b]) - len(p.crashes[a])
+		if len(m.crashes[a]) != len(m.crashes[b]) {
+			return len(m.crashes[b]) - len(m.crashes[a])
 		}
 		return strings.Compare(content(a).String(), content(b).String())
 	})
 	out, explained := map[int]bool{}, map[CrashID]bool{}
 	for _, c := range order {
-		unexplained := slices.DeleteFunc(slices.Clone(p.crashes[c]), func(e crash) bool { return explained[e.id] })
+		unexplained := slices.DeleteFunc(slices.Clone(m.crashes[c]), func(e crash) bool { return explained[e.id] })
 		if len(unexplained) >= 3 && slices.ContainsFunc(unexplained, func(e crash) bool { return e.alreadySuspect }) {
-			p.latched[c] = true
+			m.latched[c] = true
 		}
-		if !p.latched[c] {
+		if !m.latched[c] {
 			continue
 		}
 		out[c] = true
-		for _, e := range p.crashes[c] {
+		for _, e := range m.crashes[c] {
 			explained[e.id] = true
 		}
 	}
--- a/internal/quarantine/unresponsive_test.go
+++ b/internal/quarantine/unresponsive_test.go
@@ -62,8 +62,8 @@
 	return f, live
 }
 
-// crashAgain makes a node's worker crash under a request of which the run's entry knew a
-// crash.
+// crashAgain makes a node's worker crash under a request that was already suspect when its
+// run started.
 func (f *fleet) crashAgain(n *node, c model.Fingerprint) {
 	n.q.RunFailed(f.now, Run{Content: c, Started: f.now.Add(-30 * time.Millisecond), AlreadySuspect: true})
 	n.q.WorkerCrashed(f.now)
--- a/internal/suspension/suspension.go
+++ b/internal/suspension/suspension.go
@@ -12,7 +12,8 @@
 // Max, which differ by the time that passes between the clock readings.
 type Total struct{ Min, Max time.Duration }
 
-// Now returns the total up to now. It returns an error if the system lacks one of the clocks.
+// Now returns the total up to now. It returns an error if the system does not have one of
+// the clocks.
 func Now() (Total, error) {
 	before, err := readClock(unix.CLOCK_MONOTONIC)
 	if err != nil {
--- a/internal/suspension/suspension_test.go
+++ b/internal/suspension/suspension_test.go
@@ -26,14 +26,14 @@
 
 func TestSinceReturnsUpperBound(t *testing.T) {
 	before := Total{Min: time.Second, Max: time.Second + time.Millisecond}
-	for _, tt := range []struct{ asleep, want time.Duration }{
+	for _, tt := range []struct{ suspended, want time.Duration }{
 		{0, 0},
 		{minSuspension, 0},
 		{3 * time.Second, 3*time.Second + time.Millisecond},
 	} {
-		after := Total{Min: before.Min + tt.asleep, Max: before.Max + tt.asleep}
+		after := Total{Min: before.Min + tt.suspended, Max: before.Max + tt.suspended}
 		if got := after.Since(before); got != tt.want {
-			t.Errorf("%s: %s, want %s", tt.asleep, got, tt.want)
+			t.Errorf("%s: %s, want %s", tt.suspended, got, tt.want)
 		}
 	}
 }
