--- a/internal/blackboard/blackboard.go
+++ b/internal/blackboard/blackboard.go
@@ -106,7 +106,7 @@
 	return model.DirectoryFreshness{Revision: d.Revision}.Aged(now.Sub(d.Confirmed))
 }
 
-// Readiness reports whether callers may be served, and what is still missing.
+// Readiness reports whether callers may be served, and the reasons if not.
 type Readiness struct {
 	Ready   bool
 	Missing []string
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -309,7 +309,7 @@
 	return listed, true
 }
 
-// NotReadyReasons lists what the node still needs before it can serve.
+// NotReadyReasons names the items that the node still needs before it can serve.
 func (c *Controller) NotReadyReasons() []string {
 	if c.confirmed.IsZero() {
 		return []string{"an answer of the directory"}
--- a/internal/quarantine/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -268,7 +268,7 @@
 		services    = 5
 		submissions = 15
 		every       = 300 * time.Millisecond
-		// controlBytes is what a node may send for control in a second.
+		// controlBytes is the number of bytes that a node may send for control in a second.
 		controlBytes = 7 << 10
 	)
 	f := newFleet(80, services)
--- a/internal/quarantine/gossip.go
+++ b/internal/quarantine/gossip.go
@@ -109,7 +109,7 @@
 	q.classify(now, "forgotten")
 }
 
-// sendUpdates sends the neighbours what they have not received yet.
+// sendUpdates sends the neighbours the records that they have not received yet.
 func (q *Quarantine) sendUpdates(now time.Time, out []control.Action) []control.Action {
 	if q.Empty() {
 		q.gossip.contacts.failed = nil
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -119,7 +119,7 @@
 	Granted bool
 }
 
-// Submission holds what an attempt reports about the submission that it belongs to.
+// Submission describes a submission, as reported by an attempt of it.
 type Submission struct {
 	// Crashes counts the workers that crashed under earlier attempts.
 	Crashes int
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -13,7 +13,7 @@
 	"gypsumstand/internal/wire"
 )
 
-// crashAt adds a crash with an ID of its own under requests.
+// crashAt adds a crash with a given ID under requests.
 func (t *table) crashAt(now time.Time, id int, alreadySuspect bool, contents ...int) {
 	for _, c := range contents {
 		t.addCrash(now, content(c), crash{id: CrashID(id + 1), owner: "w", at: now, alreadySuspect: alreadySuspect})
--- a/internal/quarantine/tokenbucket.go
+++ b/internal/quarantine/tokenbucket.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// tokenBucket limits what a node sends. It refills with time; the zero value is full.
+// tokenBucket limits the rate at which a node sends. It refills with time; the zero value
+// is full.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt time.Time
--- a/internal/quarantine/unresponsive_test.go
+++ b/internal/quarantine/unresponsive_test.go
@@ -24,8 +24,8 @@
 	{"the last one", func(i, n int) bool { return i == n-1 }},
 }
 
-// A node whose neighbours on the ring are all unresponsive must still announce what it has
-// quarantined.
+// A node whose neighbours on the ring are all unresponsive must still announce the requests
+// that it has quarantined.
 func TestUpdatesReachLiveNodesPastUnresponsive(t *testing.T) {
 	for _, n := range []int{11, 195} {
 		for _, s := range unresponsiveSets {
