--- a/internal/blackboard/blackboard.go
+++ b/internal/blackboard/blackboard.go
@@ -93,8 +93,8 @@
 // that reads succeed again.
 const ReadFailureMemory = 10 * time.Second
 
-// Failing reports whether a read of this node failed in the last ReadFailureMemory.
-func (d *Directory) Failing(now time.Time) bool {
+// ReadsFailing reports whether a read of this node failed in the last ReadFailureMemory.
+func (d *Directory) ReadsFailing(now time.Time) bool {
 	return !d.FailedAt.IsZero() && now.Sub(d.FailedAt) < ReadFailureMemory
 }
 
