--- a/internal/node/callerconns.go
+++ b/internal/node/callerconns.go
@@ -39,11 +39,11 @@
 
 // duration returns the length of the timeout k.
 func (c *callerTimeouts) duration(k timeoutKind) time.Duration {
-	in := c.current()
+	limits := c.current()
 	if k == idleTimeout {
-		return orDefault(in.IdleTimeout(), DefaultIdleTimeout)
+		return orDefault(limits.IdleTimeout(), DefaultIdleTimeout)
 	}
-	return orDefault(in.HeaderTimeout(), readHeaderTimeout)
+	return orDefault(limits.HeaderTimeout(), readHeaderTimeout)
 }
 
 // orDefault returns d, or otherwise if d is not set.
--- a/internal/node/callertimeout_test.go
+++ b/internal/node/callertimeout_test.go
@@ -27,7 +27,7 @@
 // closed the connection without informing the request's handler, which passed the request
 // on to a worker. Of 400 requests to a node that was suspended for half a second across
 // the end of the timeout, 40, 15 and 0 ran like this in three runs
-// (TestAStoppedNodeAnswersWhatItPassesOnAtTheEndOfABound); here each stall causes it.
+// (TestPausedNodeAnswersForwardedRequestsAfterIdleTimeout); here each stall causes it.
 
 // Timeouts of these tests' connections, and how long before the end of one the caller
 // sends.
--- a/internal/node/crash.go
+++ b/internal/node/crash.go
@@ -11,15 +11,14 @@
 
 const (
 	// concurrentTimeout is how long an interrupted run waits for the other runs that its
-	// worker had in flight: a crash interrupts all of them at once, and a starved node
-	// reads that one after the other.
+	// worker had in flight: a crash interrupts all of them at once, but a node short of
+	// CPU time notices the interruptions one after the other.
 	concurrentTimeout = 5 * time.Millisecond
-	// crashTimeout bounds the wait of an interrupted run that was the only one for
-	// evidence of a crash. The measuring budget allows a poll about every tenth of a
-	// second.
+	// crashTimeout bounds the wait for evidence of a crash if no other run is in flight.
+	// The measuring budget allows a poll about every tenth of a second.
 	crashTimeout = 100 * time.Millisecond
-	// checkInterval is the time between two checks, pollRetryPause the pause if the
-	// budget allows no poll.
+	// checkInterval is the time between two checks for evidence, pollRetryPause the pause
+	// after a poll, or after the budget allowed none.
 	checkInterval  = time.Millisecond
 	pollRetryPause = 5 * time.Millisecond
 )
@@ -40,9 +39,9 @@
 }
 
 // seemsCrashed reports whether the worker seems to have crashed when a run was
-// interrupted: its port is closed, or another run was interrupted at the same moment.
-// While other runs continue it has not. The quarantine's evidence does not depend on this
-// estimate, which is made in time for the request's next attempt.
+// interrupted: its port is closed, or another run was interrupted at the same moment. A
+// worker whose other runs continue has not crashed. The quarantine's evidence does not
+// depend on this estimate, which is made in time for the request's next attempt.
 func (n *Node) seemsCrashed(since time.Time) bool {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
@@ -79,7 +78,7 @@
 	p := w.poll(path)
 	if p.Answered {
 		w.mu.Lock()
-		w.answeredSince = began
+		w.answeredPollBegan = began
 		w.mu.Unlock()
 	}
 	w.recordPoll(p)
@@ -88,8 +87,8 @@
 	}
 }
 
-// recordPortClosed handles a poll, started at the given time, that found no listener on
-// the worker's port.
+// recordPortClosed handles a connection attempt, begun at the given time, that failed at
+// the worker's port. The worker has crashed if nothing was listening there.
 func (n *Node) recordPortClosed(began time.Time) {
 	crashed, known := n.watch.crashState(began)
 	if known && crashed && !n.core.Owner.Draining() {
@@ -132,5 +131,5 @@
 	if !w.refusedAt.Before(since) {
 		return true, true
 	}
-	return false, w.answeredSince.After(since)
+	return false, w.answeredPollBegan.After(since)
 }
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -19,9 +19,10 @@
 const (
 	// directoryPath is where a node serves to peers the changes of the directory after
 	// the revision in the query.
-	directoryPath  = "/v1/directory"
+	directoryPath = "/v1/directory"
+	// directoryAfter is the query parameter with that revision.
 	directoryAfter = "after"
-	// directoryFrom is the instance that sends the request.
+	// directoryFrom is the query parameter with the requesting instance.
 	directoryFrom = "from"
 	// peerRequestTimeout bounds a request to a peer; see package directory.
 	peerRequestTimeout = 500 * time.Millisecond
@@ -80,8 +81,8 @@
 	return received, nil
 }
 
-// setConfig decodes a configuration received from a peer, nil for none. If it cannot be
-// decoded here, the rest of the response is still used.
+// setConfig decodes a configuration received from a peer into read; raw is nil if there is
+// none. If it cannot be decoded here, the rest of the response is still used.
 func (n *Node) setConfig(read *control.DirectoryRead, raw *model.RawConfig) {
 	if raw == nil {
 		return
@@ -119,7 +120,8 @@
 	now := time.Now()
 	data, err := wire.EncodeDirectory(&wire.DirectoryChanges{
 		Revision: changes.Revision, AgeMs: view.Freshness(now).AgeMs, ReadsFailing: view.Failing(now),
-		Full: changes.Full, Listed: changes.Listed, Unlisted: changes.Unlisted, Evacuations: changes.Evacuations, Config: changes.Config, Refused: changes.Refused,
+		Full: changes.Full, Listed: changes.Listed, Unlisted: changes.Unlisted, Evacuations: changes.Evacuations,
+		Config: changes.Config, Refused: changes.Refused,
 	})
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -98,7 +98,8 @@
 	Close()
 }
 
-// DefaultIdleTimeout is how long a caller's idle connection is kept.
+// DefaultIdleTimeout is how long an idle connection to a port is kept, unless the bundle
+// sets another limit for callers.
 const DefaultIdleTimeout = time.Minute
 
 // Limits that are not settings.
@@ -142,11 +143,13 @@
 	// suspectUpdatesFailed counts the updates on suspect requests that did not reach a
 	// peer.
 	suspectUpdatesFailed atomic.Uint64
-	// hintsDropped counts the hints dropped because the core's queue was full.
+	// hintsDropped counts the hints that were dropped because the core's queue was full,
+	// since the last log line about them.
 	hintsDropped atomic.Uint64
-	// unreachableReported counts the unreachable owners that were reported to peers.
-	unreachableReported atomic.Uint64
-	calls               callFilter
+	// unreachableOffset is where the last selection by unreachableOwners started, modulo
+	// the number of unreachable owners.
+	unreachableOffset atomic.Uint64
+	calls             callFilter
 
 	ports  ports
 	ctx    context.Context
@@ -180,7 +183,7 @@
 	if err := n.listen(); err != nil {
 		return nil, err
 	}
-	if err := n.provision(); err != nil {
+	if err := n.makeComponents(); err != nil {
 		n.closeListeners()
 		return nil, err
 	}
@@ -217,9 +220,9 @@
 	}
 }
 
-// provision creates the components. The ports are already open, so their addresses are
-// known.
-func (n *Node) provision() error {
+// makeComponents creates the node's components from Config. The ports are already open, so
+// their addresses are known.
+func (n *Node) makeComponents() error {
 	if n.cfg.Callers == nil {
 		n.cfg.Callers = dialect.Product{}
 	}
--- a/internal/node/reachability.go
+++ b/internal/node/reachability.go
@@ -35,7 +35,7 @@
 		return *unreachable
 	}
 	out := make([]model.InstanceID, wire.MaxUnreachable)
-	first := int(n.unreachableReported.Add(wire.MaxUnreachable) % uint64(len(*unreachable)))
+	first := int(n.unreachableOffset.Add(wire.MaxUnreachable) % uint64(len(*unreachable)))
 	for i := range out {
 		out[i] = (*unreachable)[(first+i)%len(*unreachable)]
 	}
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -115,7 +115,10 @@
 	r := newRouter()
 	r.Path(link.Path).Handler(n.links.Handler())
 	r.Path(server.ReachPath).Methods(http.MethodGet).HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
-	attempts := &server.PeerHandler{Executor: n.executor, BundleReported: n.bundleReported, RevisionReported: n.entryReported, Unreachable: n.forwarder.Unreachable}
+	attempts := &server.PeerHandler{
+		Executor: n.executor, BundleReported: n.bundleReported,
+		RevisionReported: n.entryReported, Unreachable: n.forwarder.Unreachable,
+	}
 	for _, prefix := range server.AttemptPaths {
 		r.PathPrefix(prefix).Handler(attempts)
 	}
@@ -133,12 +136,13 @@
 	r.Path("/healthz").HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	r.Path("/readyz").HandlerFunc(n.serveReady)
 	r.Path(status.NodePath).Methods(http.MethodGet).HandlerFunc(n.serveStatus)
-	r.Path(status.QuarantinePath).Methods(http.MethodGet).HandlerFunc(n.serveAside)
+	r.Path(status.QuarantinePath).Methods(http.MethodGet).HandlerFunc(n.serveQuarantine)
 	r.Path(status.ExplainPath).Methods(http.MethodGet).HandlerFunc(n.serveExplain)
 	return r
 }
 
-// serveReady responds 200 once callers may come, else 503 with what is missing.
+// serveReady responds 200 if the node is ready for callers, else 503 and the missing
+// conditions.
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
 	ready := n.core.Board.Readiness.Get()
 	if ready != nil && ready.Ready && !n.leaving() {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// serveAside responds with the suspect requests.
-func (n *Node) serveAside(w http.ResponseWriter, _ *http.Request) {
+// serveQuarantine responds with the suspect requests.
+func (n *Node) serveQuarantine(w http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
 	out := status.Quarantine{Requests: []status.SuspectRequest{}, Crashes: n.core.Quarantine.Counts().Crashes}
 	for _, s := range n.core.Quarantine.Suspects() {
@@ -141,11 +141,11 @@
 		SinceAge: status.Age(now, s.Since), Crashes: []status.WorkerCrash{},
 	}
 	if !s.NextTrial.IsZero() {
-		in := status.Ms(max(s.NextTrial.Sub(now), 0))
-		out.NextTrial = &in
+		untilTrial := status.Ms(max(s.NextTrial.Sub(now), 0))
+		out.NextTrial = &untilTrial
 	}
-	for _, e := range s.Crashes {
-		out.Crashes = append(out.Crashes, status.WorkerCrash{Instance: e.Owner, Age: status.Ms(now.Sub(e.At))})
+	for _, c := range s.Crashes {
+		out.Crashes = append(out.Crashes, status.WorkerCrash{Instance: c.Owner, Age: status.Ms(now.Sub(c.At))})
 	}
 	return out
 }
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -66,14 +66,14 @@
 const lateDrainTime = 250 * time.Millisecond
 
 // drain closes a server's port and waits for the requests in flight there until ctx ends,
-// and then for the time after. net/http also waits for connections that have carried no
-// request yet; closing those cuts off no request.
-func drain(ctx context.Context, s *http.Server, after time.Duration, inFlight func() int64) error {
+// and then for at most extra longer. net/http also waits for connections that have
+// carried no request yet; closing those cuts off no request.
+func drain(ctx context.Context, s *http.Server, extra time.Duration, inFlight func() int64) error {
 	err := s.Shutdown(ctx)
 	if err == nil {
 		return nil
 	}
-	last, cancel := context.WithTimeout(context.Background(), after)
+	last, cancel := context.WithTimeout(context.Background(), extra)
 	defer cancel()
 	if s.Shutdown(last) == nil || inFlight() == 0 {
 		return nil
@@ -82,11 +82,12 @@
 }
 
 // announceLeaving announces to callers and peers that this node leaves, and waits for
-// their views to catch up, until ctx ends. Peers are informed first if they pass the
-// announcement on. With a directory they learn it from refusals only: the worker then
-// serves them as long as callers come, and refuses for a moment before the port closes.
-// The worker itself goes on, and without its node nobody can reach it. The first step
-// always leaves time for the following ones.
+// their views to catch up, until ctx ends. Without a directory, peers pass the announcement
+// on and are notified before the leave grace. With a directory, other entry nodes learn it
+// from refusals only: the owner accepts their attempts during the leave grace and refuses
+// them for refuseTime before the port closes. The worker itself keeps running, but is
+// reachable through this node only. The first step always leaves time for the following
+// ones.
 func (n *Node) announceLeaving(ctx context.Context) {
 	if n.cfg.Directory == nil {
 		first, end := withReserve(ctx, n.cfg.LeaveGrace)
@@ -137,8 +138,8 @@
 	n.links.Flush(ctx)
 }
 
-// runStep executes one step of a planned stop and logs it, so that for a caller that was
-// cut off the step in progress and the requests in flight at its end can be found.
+// runStep executes one step of a planned stop and logs it with the requests in flight at
+// its end, so that the step in which a caller was cut off can be found.
 func (n *Node) runStep(name string, do func()) {
 	began := time.Now()
 	do()
@@ -161,8 +162,8 @@
 // Kill ends the node at once, like a crash; for tests.
 func (n *Node) Kill() { n.cleanUp() }
 
-// retryMargin is how long before its port may close a caller is asked to retry at the
-// latest: two round trips, and a machine that is suspended for a tenth of a second.
+// retryMargin is the minimum time between a caller's retry and the earliest closing of the
+// port: two round trips, and a machine that is suspended for a tenth of a second.
 const retryMargin = 300 * time.Millisecond
 
 // limitRetryAfter limits a Retry-After while this node is stopping, so that the retry
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -41,9 +41,9 @@
 	// polling is closed when the poll for a load sample in progress has ended; nil if
 	// there is none.
 	polling chan struct{}
-	// answeredSince is when the last poll with a response began, refusedAt when a
-	// connection was last refused because nothing listens on the port.
-	answeredSince, refusedAt time.Time
+	// answeredPollBegan is when the last poll with a response began, refusedAt when a
+	// connection was last refused because nothing listened on the port.
+	answeredPollBegan, refusedAt time.Time
 }
 
 func newWorkerWatch(n *Node) *workerWatch {
@@ -61,7 +61,8 @@
 }
 
 // run polls at the interval that the bundle's measuring budget allows, until the node
-// stops. Without a health path the worker counts as live until traffic shows otherwise.
+// stops. Without a health path the worker counts as live while its port accepts
+// connections.
 func (w *workerWatch) run() {
 	defer w.client.CloseIdleConnections()
 	for w.node.ctx.Err() == nil {
--- a/internal/server/caller.go
+++ b/internal/server/caller.go
@@ -210,8 +210,8 @@
 	return req
 }
 
-// newRequestID returns an id for a request without one. Its 122 random bits make it
-// unique.
+// newRequestID returns an id for a request without one. Its two random 64-bit numbers make
+// it unique.
 func (c *CallerHandler) newRequestID() model.RequestID {
 	return model.RequestID(string(c.Self) + "." + strconv.FormatUint(rand.Uint64(), 36) + strconv.FormatUint(rand.Uint64(), 36))
 }
--- a/internal/server/callrunner.go
+++ b/internal/server/callrunner.go
@@ -173,8 +173,8 @@
 }
 
 // attempt executes one attempt; beside a hedge it runs outside the handler's goroutine. A
-// panic counts as a broken attempt: it would end the process in that goroutine, and cut
-// off the caller in the handler's.
+// panic counts as an interrupted attempt: it would end the process in that goroutine, and
+// cut off the caller in the handler's.
 func (c *callRunner) attempt(ctx context.Context, step entry.Step) (result Result, reported bool, err error) {
 	if panicked := task.Do(func() { result, reported, err = c.offer(ctx, step) }); panicked != nil {
 		c.logPanic(panicked)
@@ -188,7 +188,8 @@
 	event.Log(c.caller.RequestLog, event.ComponentFailed).Str("request", string(c.request.ID)).Err(err).Send()
 }
 
-// offer offers the attempt to its owner.
+// offer offers the attempt to its owner, which is either this node's or reached through its
+// peer port. The results are those of Forwarder.Do.
 func (c *callRunner) offer(ctx context.Context, step entry.Step) (Result, bool, error) {
 	step.Attempt.DirectoryRevision = c.caller.DirectoryFreshness().Revision
 	message := &AttemptMessage{
@@ -215,20 +216,20 @@
 	c.queued = result.Times.Queued
 	c.worker = result.Times.Worker
 	c.added = now.Sub(c.began) - result.Times.Queued - result.Times.Worker
-	a := result.Response
-	prefix, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedResponse))
+	resp := result.Response
+	prefix, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedResponse))
 	if err != nil {
-		a.Body.Close()
+		resp.Body.Close()
 		c.interrupted(ctx, time.Now(), step, err)
 		return
 	}
 	complete := len(prefix) < maxBufferedResponse
 	if complete {
-		a.Body.Close()
+		resp.Body.Close()
 	}
-	c.buffered = &bufferedResponse{response: a, prefix: prefix, complete: complete}
+	c.buffered = &bufferedResponse{response: resp, prefix: prefix, complete: complete}
 	c.call.SetOwnerTime(result.Times)
-	c.call.Answered(time.Now(), a.Status >= http.StatusInternalServerError)
+	c.call.Answered(time.Now(), resp.Status >= http.StatusInternalServerError)
 }
 
 // cancelForHedge ends a call whose hedge has the response.
--- a/internal/server/exchange.go
+++ b/internal/server/exchange.go
@@ -97,23 +97,23 @@
 
 // writeResponse passes the response on. An error means that the caller sees it cut off.
 func (x *exchange) writeResponse(buffered *bufferedResponse, end dialect.Result) error {
-	a := buffered.response
-	defer a.Body.Close()
+	resp := buffered.response
+	defer resp.Body.Close()
 	x.setResponseDeadline(buffered)
 	h := x.w.Header()
-	copyInto(h, a.Header)
+	copyInto(h, resp.Header)
 	x.caller.Dialect.AnnotateResponse(h, end)
-	length := a.ContentLength
+	length := resp.ContentLength
 	if buffered.complete && x.r.Method != http.MethodHead {
 		length = int64(len(buffered.prefix))
 	}
-	setLength(h, a.Status, length)
-	x.w.WriteHeader(a.Status)
+	setLength(h, resp.Status, length)
+	x.w.WriteHeader(resp.Status)
 	if buffered.complete {
 		_, err := x.w.Write(buffered.prefix)
 		return err
 	}
-	return copyFlushing(x.w, io.MultiReader(bytes.NewReader(buffered.prefix), a.Body))
+	return copyFlushing(x.w, io.MultiReader(bytes.NewReader(buffered.prefix), resp.Body))
 }
 
 // expiredBeforeStart reports whether the deadline has passed for a streamed response of
--- a/internal/server/executor.go
+++ b/internal/server/executor.go
@@ -47,14 +47,14 @@
 
 // request returns the HTTP/1.1 request of the attempt to its next hop at u, with a copy
 // of the header.
-func (w *AttemptMessage) request(ctx context.Context, u *url.URL) *http.Request {
+func (m *AttemptMessage) request(ctx context.Context, u *url.URL) *http.Request {
 	return (&http.Request{
-		Method:        w.Method,
+		Method:        m.Method,
 		URL:           u,
-		Host:          w.Host,
-		Header:        w.Header.Clone(),
-		Body:          w.Body,
-		ContentLength: w.ContentLength,
+		Host:          m.Host,
+		Header:        m.Header.Clone(),
+		Body:          m.Body,
+		ContentLength: m.ContentLength,
 		Proto:         "HTTP/1.1",
 		ProtoMajor:    1,
 		ProtoMinor:    1,
@@ -63,7 +63,7 @@
 
 // bufferBody buffers the body unless it is a long one, so that the fingerprint can still
 // be computed after the run.
-func (w *AttemptMessage) bufferBody(r *http.Request) error {
+func (m *AttemptMessage) bufferBody(r *http.Request) error {
 	if r.ContentLength == 0 {
 		return nil
 	}
@@ -71,7 +71,7 @@
 	if err != nil || body.stream != nil {
 		return err
 	}
-	w.Body, w.BufferedBody = body.open(), body.buffered
+	m.Body, m.BufferedBody = body.open(), body.buffered
 	return nil
 }
 
@@ -108,9 +108,9 @@
 	workerIdentified func(model.WorkerID)
 	detectCrash      func(quarantine.Run) (crashed bool)
 	quarantine       *quarantine.Quarantine
-	// portClosed is ExecutorConfig.PortClosed.
+	// portClosed is called when nothing listens on the worker's port.
 	portClosed func()
-	// routeHost is ExecutorConfig.RouteHost.
+	// routeHost returns the request's host if its route is for that host only, else empty.
 	routeHost func(host, method, path string) string
 	// transport is for idempotent requests, freshTransport for others; see
 	// nonIdempotentIdle.
@@ -245,14 +245,14 @@
 
 // Do offers the attempt to the owner, waits until it may start and sends it to the
 // worker. ctx ends when the entry node gives up.
-func (x *Executor) Do(ctx context.Context, w *AttemptMessage) Result {
+func (x *Executor) Do(ctx context.Context, m *AttemptMessage) Result {
 	ended := false
 	defer func() {
 		if !ended {
-			x.abandon(w.Attempt.ID)
+			x.abandon(m.Attempt.ID)
 		}
 	}()
-	r := x.do(ctx, w)
+	r := x.do(ctx, m)
 	ended = true
 	return r
 }
@@ -264,44 +264,44 @@
 	x.finish(id, owner.Completion{Failed: true})
 }
 
-func (x *Executor) do(ctx context.Context, w *AttemptMessage) Result {
+func (x *Executor) do(ctx context.Context, m *AttemptMessage) Result {
 	if x.refreshLoad != nil {
 		x.refreshLoad(ctx)
 	}
 	offered := time.Now()
-	fp := x.newFingerprinter(w)
+	fp := x.newFingerprinter(m)
 	refusal := x.admit(ctx, fp, offered)
 	if refusal != nil {
-		return x.refused(w, *refusal, offered)
+		return x.refused(m, *refusal, offered)
 	}
 	started := time.Now()
-	if !x.owner.Confirm(started, w.Attempt.ID) {
-		x.finish(w.Attempt.ID, owner.Completion{NotRun: true})
-		return x.refused(w, model.Refusal{Reason: model.ReasonExpired, NotRun: true}, offered)
+	if !x.owner.Confirm(started, m.Attempt.ID) {
+		x.finish(m.Attempt.ID, owner.Completion{NotRun: true})
+		return x.refused(m, model.Refusal{Reason: model.ReasonExpired, NotRun: true}, offered)
 	}
-	w.Attempt.Remaining -= started.Sub(offered)
+	m.Attempt.Remaining -= started.Sub(offered)
 	r := x.run(ctx, fp, started)
 	r.Times = wire.AttemptTimes{Queued: started.Sub(offered), Worker: time.Since(started)}
 	r.Report = x.report(time.Now())
-	x.logEnd(w, &r)
+	x.logEnd(m, &r)
 	return r
 }
 
 // admit waits until the attempt may start and then returns nil; otherwise it returns the
 // refusal.
 func (x *Executor) admit(ctx context.Context, fp *fingerprinter, now time.Time) *model.Refusal {
-	w := fp.message
-	id := w.Attempt.ID
+	m := fp.message
+	id := m.Attempt.ID
 	ch := x.addWaiter(id)
 	if ch == nil {
 		return &model.Refusal{Reason: model.ReasonDuplicateRunning}
 	}
-	kind, refusal := x.owner.OfferSuspect(now, &w.Attempt, w.SameNode, x.restrictions(now, fp))
+	kind, refusal := x.owner.OfferSuspect(now, &m.Attempt, m.SameNode, x.restrictions(now, fp))
 	if kind == owner.Refuse {
 		x.removeWaiter(id)
 		return &refusal
 	}
-	if w.FetchBody != nil && w.FetchBody() != nil {
+	if m.FetchBody != nil && m.FetchBody() != nil {
 		return x.endWithdrawn(id, ch, kind)
 	}
 	if kind == owner.Queue {
@@ -356,6 +356,6 @@
 	return nil
 }
 
-func (x *Executor) finish(id model.AttemptID, f owner.Completion) {
-	x.Deliver(x.owner.Finish(time.Now(), id, f))
+func (x *Executor) finish(id model.AttemptID, c owner.Completion) {
+	x.Deliver(x.owner.Finish(time.Now(), id, c))
 }
--- a/internal/server/executorrun.go
+++ b/internal/server/executorrun.go
@@ -18,15 +18,15 @@
 // run sends the started attempt to the worker. The owner's Finish is called at the end of
 // the response body, or here if there is none.
 func (x *Executor) run(ctx context.Context, fp *fingerprinter, started time.Time) Result {
-	w := fp.message
-	deadline := started.Add(w.Attempt.Remaining)
+	m := fp.message
+	deadline := started.Add(m.Attempt.Remaining)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	// If this process is suspended here, it may resume after the deadline. Anything
 	// written then would run after the caller was told that the call had ended.
 	trace := upstream.RequestTrace{SendDeadline: deadline}
-	req := trace.Attach(x.request(ctx, w))
+	req := trace.Attach(x.request(ctx, m))
 	upstream.PreventReplay(req)
-	resp, err := x.transportFor(&w.Attempt).RoundTrip(req)
+	resp, err := x.transportFor(&m.Attempt).RoundTrip(req)
 	if err != nil {
 		defer cancel()
 		if errors.Is(err, syscall.ECONNREFUSED) {
@@ -35,13 +35,13 @@
 		return x.failed(ctx, fp, started, trace.NotRun())
 	}
 	x.connectionObserved(false)
-	head := x.dialect.ReadResponse(resp, &w.Attempt)
+	head := x.dialect.ReadResponse(resp, &m.Attempt)
 	x.Deliver(x.owner.ObserveLoad(time.Now(), head.Load))
-	if refusal, ok := x.checkHead(w, resp, head); !ok {
+	if refusal, ok := x.checkHead(m, resp, head); !ok {
 		trace.CloseConn()
 		resp.Body.Close()
 		cancel()
-		x.finish(w.Attempt.ID, owner.Completion{ServiceTime: time.Since(started), Failed: true})
+		x.finish(m.Attempt.ID, owner.Completion{ServiceTime: time.Since(started), Failed: true})
 		return Result{Refusal: refusal}
 	}
 	if head.Worker != "" && x.workerIdentified != nil {
@@ -52,7 +52,7 @@
 		defer resp.Body.Close()
 		shed := head.Refusal == model.ReasonWorkerShed
 		spurious := shed && head.Load.HasSpareSlots()
-		x.finish(w.Attempt.ID, owner.Completion{
+		x.finish(m.Attempt.ID, owner.Completion{
 			ServiceTime: time.Since(started), NotRun: true, Delegate: true,
 			Shed: shed && !spurious, SpuriousRefusal: spurious, Abandoned: !shed, Status: resp.StatusCode,
 		})
@@ -60,29 +60,34 @@
 		if spurious && after == 0 {
 			after = spuriousRetry
 		}
-		return Result{Refusal: model.Refusal{Reason: delegatedReason(&w.Attempt, head.Refusal), NotRun: true, RetryAfter: after}}
+		return Result{Refusal: model.Refusal{
+			Reason: delegatedReason(&m.Attempt, head.Refusal), NotRun: true, RetryAfter: after,
+		}}
 	}
 	body := &responseBody{ReadCloser: resp.Body, done: func(complete bool) {
-		f := completionOf(resp.StatusCode, complete, time.Since(started))
-		f.Abandoned = !complete && cancelledByEntry(ctx)
-		f.Expired = !complete && ctx.Err() != nil && !f.Abandoned
+		c := completionOf(resp.StatusCode, complete, time.Since(started))
+		c.Abandoned = !complete && cancelledByEntry(ctx)
+		c.Expired = !complete && ctx.Err() != nil && !c.Abandoned
 		cancel()
-		x.finish(w.Attempt.ID, f)
+		x.finish(m.Attempt.ID, c)
 		switch {
 		case complete:
 			x.completed(fp)
-		case f.Abandoned || f.Expired:
+		case c.Abandoned || c.Expired:
 			x.quarantine.RunAbandoned(time.Now(), fp.run(started))
 		default:
 			x.detectCrash(fp.run(started))
 		}
 	}}
-	response := &Response{Status: resp.StatusCode, Header: endToEnd(resp.Header), ContentLength: resp.ContentLength, Body: body}
+	response := &Response{
+		Status: resp.StatusCode, Header: endToEnd(resp.Header), ContentLength: resp.ContentLength, Body: body,
+	}
 	return Result{Response: response}
 }
 
-// delegatedReason returns the reason of a refusal after which the owner, as the home node
-// of the caller's request id, records that the entry node tries another owner.
+// delegatedReason returns ReasonDelegated if this node is the home node of the caller's
+// request id: its owner then records that the entry node tries another owner. Otherwise it
+// returns the given reason.
 func delegatedReason(a *model.Attempt, otherwise model.Reason) model.Reason {
 	if a.CallerKey && !a.Idempotent && !a.Delegated {
 		return model.ReasonDelegated
@@ -91,18 +96,18 @@
 }
 
 func completionOf(status int, complete bool, took time.Duration) owner.Completion {
-	f := owner.Completion{ServiceTime: took, Failed: !complete || status >= http.StatusInternalServerError}
+	c := owner.Completion{ServiceTime: took, Failed: !complete || status >= http.StatusInternalServerError}
 	if complete {
-		f.Status = status
+		c.Status = status
 	}
-	return f
+	return c
 }
 
 // failed ends an attempt whose RoundTrip failed.
 func (x *Executor) failed(ctx context.Context, fp *fingerprinter, started time.Time, notRun bool) Result {
-	w := fp.message
+	m := fp.message
 	cancelled := cancelledByEntry(ctx)
-	x.finish(w.Attempt.ID, owner.Completion{
+	x.finish(m.Attempt.ID, owner.Completion{
 		ServiceTime: time.Since(started),
 		NotRun:      notRun,
 		Delegate:    notRun && !cancelled,
@@ -123,7 +128,7 @@
 	case notRun && fp.decision.Crashes > 0:
 		return Result{Refusal: x.refuseWorkerDown(fp)}
 	case notRun:
-		reason = delegatedReason(&w.Attempt, model.ReasonWorkerUnreachable)
+		reason = delegatedReason(&m.Attempt, model.ReasonWorkerUnreachable)
 	case ctx.Err() != nil:
 		reason = model.ReasonExpired
 	case x.detectCrash(fp.run(started)):
@@ -146,7 +151,7 @@
 // checkHead refuses responses that belong to another request, responses whose
 // completeness cannot be checked, and protocol switches: no request asked for one (RFC
 // 9110, section 15.2.2), and its body would end only with the connection.
-func (x *Executor) checkHead(w *AttemptMessage, resp *http.Response, head dialect.ResponseHead) (model.Refusal, bool) {
+func (x *Executor) checkHead(m *AttemptMessage, resp *http.Response, head dialect.ResponseHead) (model.Refusal, bool) {
 	broken := model.Refusal{Reason: model.ReasonWorkerBroken}
 	if head.Echo == dialect.EchoMismatch || head.Echo == dialect.EchoAbsent && x.requireEcho.Load() {
 		return broken, false
@@ -154,7 +159,7 @@
 	if resp.StatusCode < http.StatusOK {
 		return broken, false
 	}
-	if !x.dialect.AcceptsCloseDelimited() && upstream.CheckFraming(resp, w.Method) != nil {
+	if !x.dialect.AcceptsCloseDelimited() && upstream.CheckFraming(resp, m.Method) != nil {
 		return broken, false
 	}
 	return model.Refusal{}, true
@@ -167,11 +172,11 @@
 const spuriousRetry = 50 * time.Millisecond
 
 // request returns the HTTP request to the worker.
-func (x *Executor) request(ctx context.Context, w *AttemptMessage) *http.Request {
-	u := *w.URL
+func (x *Executor) request(ctx context.Context, m *AttemptMessage) *http.Request {
+	u := *m.URL
 	u.Scheme, u.Host = "http", x.address
-	req := w.request(ctx, &u)
-	x.dialect.PrepareAttempt(req.Header, &w.Attempt, x.worker())
+	req := m.request(ctx, &u)
+	x.dialect.PrepareAttempt(req.Header, &m.Attempt, x.worker())
 	return req
 }
 
--- a/internal/server/fingerprint.go
+++ b/internal/server/fingerprint.go
@@ -27,33 +27,33 @@
 
 // newFingerprinter prepares hashing of the message's body if it is streamed, and must
 // therefore be called before the body is read.
-func (x *Executor) newFingerprinter(w *AttemptMessage) *fingerprinter {
-	c := &fingerprinter{message: w, hostOfRoute: x.routeHost}
-	if w.Body != nil && w.ContentLength > maxBufferedBody {
-		hash := model.NewFingerprintHash(w.Method, c.routeHost(), w.URL, w.Attempt.Tenant, w.ContentLength)
-		c.stream = &hashingBody{ReadCloser: w.Body, hash: hash, remaining: maxBufferedBody}
-		w.Body = c.stream
+func (x *Executor) newFingerprinter(m *AttemptMessage) *fingerprinter {
+	fp := &fingerprinter{message: m, hostOfRoute: x.routeHost}
+	if m.Body != nil && m.ContentLength > maxBufferedBody {
+		hash := model.NewFingerprintHash(m.Method, fp.routeHost(), m.URL, m.Attempt.Tenant, m.ContentLength)
+		fp.stream = &hashingBody{ReadCloser: m.Body, hash: hash, remaining: maxBufferedBody}
+		m.Body = fp.stream
 	}
-	return c
+	return fp
 }
 
-func (c *fingerprinter) routeHost() string {
-	return c.hostOfRoute(c.message.Host, c.message.Method, c.message.URL.Path)
+func (fp *fingerprinter) routeHost() string {
+	return fp.hostOfRoute(fp.message.Host, fp.message.Method, fp.message.URL.Path)
 }
 
 // fingerprint returns the request's fingerprint. For a streamed body it covers the length
 // and the beginning, and is zero until the beginning has passed.
-func (c *fingerprinter) fingerprint() model.Fingerprint {
-	if !c.cached.IsZero() {
-		return c.cached
+func (fp *fingerprinter) fingerprint() model.Fingerprint {
+	if !fp.cached.IsZero() {
+		return fp.cached
 	}
-	if c.stream != nil {
-		c.cached = c.stream.fingerprint()
-		return c.cached
+	if fp.stream != nil {
+		fp.cached = fp.stream.fingerprint()
+		return fp.cached
 	}
-	w := c.message
-	c.cached = model.NewFingerprint(w.Method, c.routeHost(), w.URL, w.Attempt.Tenant, w.ContentLength, w.BufferedBody)
-	return c.cached
+	m := fp.message
+	fp.cached = model.NewFingerprint(m.Method, fp.routeHost(), m.URL, m.Attempt.Tenant, m.ContentLength, m.BufferedBody)
+	return fp.cached
 }
 
 // maxLabel bounds the description of a request for operators, in bytes.
@@ -61,32 +61,32 @@
 
 // label describes the request for operators. It leaves out query and body, which may be
 // confidential.
-func (c *fingerprinter) label() string {
-	text := c.message.Method + " " + c.message.Host + c.message.URL.EscapedPath()
+func (fp *fingerprinter) label() string {
+	text := fp.message.Method + " " + fp.message.Host + fp.message.URL.EscapedPath()
 	return text[:min(len(text), maxLabel)]
 }
 
 // run describes a run of the request that started at the given time.
-func (c *fingerprinter) run(began time.Time) quarantine.Run {
+func (fp *fingerprinter) run(began time.Time) quarantine.Run {
 	return quarantine.Run{
-		Content: c.fingerprint(), Label: c.label(), Started: began,
-		AlreadySuspect: c.message.Attempt.Crashes > 0 || c.decision.Crashes > 0, Trial: c.decision.Trial,
+		Content: fp.fingerprint(), Label: fp.label(), Started: began,
+		AlreadySuspect: fp.message.Attempt.Crashes > 0 || fp.decision.Crashes > 0, Trial: fp.decision.Trial,
 	}
 }
 
 // complete reports whether everything that the fingerprint covers has been received.
-func (c *fingerprinter) complete() bool { return c.message.FetchBody == nil && c.stream == nil }
+func (fp *fingerprinter) complete() bool { return fp.message.FetchBody == nil && fp.stream == nil }
 
 // readPrefix reads the part of a streamed body that the fingerprint covers.
-func (c *fingerprinter) readPrefix() error {
-	if c.stream == nil {
+func (fp *fingerprinter) readPrefix() error {
+	if fp.stream == nil {
 		return nil
 	}
 	head := make([]byte, maxBufferedBody)
-	if _, err := io.ReadFull(c.stream, head); err != nil {
+	if _, err := io.ReadFull(fp.stream, head); err != nil {
 		return err
 	}
-	c.message.Body = readCloser{io.MultiReader(bytes.NewReader(head), c.stream), c.stream}
+	fp.message.Body = readCloser{io.MultiReader(bytes.NewReader(head), fp.stream), fp.stream}
 	return nil
 }
 
--- a/internal/server/forwarder.go
+++ b/internal/server/forwarder.go
@@ -89,17 +89,17 @@
 // Do sends the attempt to the owner at address. An error wraps ErrConnectionBroken. A
 // failed connection and a withdrawn attempt are not errors but refusals that guarantee
 // "not run". reported reports whether Result.Report comes from the owner.
-func (f *Forwarder) Do(ctx context.Context, address string, w *AttemptMessage) (result Result, reported bool, err error) {
-	offer, err := wire.EncodeOffer(&w.Attempt)
+func (f *Forwarder) Do(ctx context.Context, address string, m *AttemptMessage) (result Result, reported bool, err error) {
+	offer, err := wire.EncodeOffer(&m.Attempt)
 	if err != nil {
 		return Result{Refusal: model.Refusal{Reason: model.ReasonBadRequest, NotRun: true}}, false, nil
 	}
-	if w.ContentLength > maxBufferedBody || w.AcknowledgeBy.IsZero() {
-		return f.do(f.streamedRequest(ctx, address, w, offer), w, nil)
+	if m.ContentLength > maxBufferedBody || m.AcknowledgeBy.IsZero() {
+		return f.do(f.streamedRequest(ctx, address, m, offer), m, nil)
 	}
-	body := newGatedBody(w.Body)
-	ctx, end := gatedContext(ctx, body, w.AcknowledgeBy)
-	result, reported, err = f.do(f.gatedRequest(ctx, address, w, offer, body), w, body)
+	body := newGatedBody(m.Body)
+	ctx, end := gatedContext(ctx, body, m.AcknowledgeBy)
+	result, reported, err = f.do(f.gatedRequest(ctx, address, m, offer, body), m, body)
 	if result.Response == nil {
 		end()
 		return result, reported, err
@@ -110,14 +110,14 @@
 }
 
 // do executes an attempt; body is nil if the request body is sent at once.
-func (f *Forwarder) do(req *http.Request, w *AttemptMessage, body *gatedBody) (result Result, reported bool, err error) {
+func (f *Forwarder) do(req *http.Request, m *AttemptMessage, body *gatedBody) (result Result, reported bool, err error) {
 	var trace upstream.RequestTrace
 	req = trace.Attach(req)
 	upstream.PreventReplay(req)
 	resp, err := f.transport.RoundTrip(req)
 	switch {
 	case err == nil:
-		return f.read(w, resp, &trace)
+		return f.read(m, resp, &trace)
 	case trace.NotRun():
 		return Result{Refusal: model.Refusal{Reason: connectFailure(err), NotRun: true}}, false, nil
 	case body != nil && body.withdraw():
@@ -189,9 +189,9 @@
 // streamedRequest returns the request of an attempt whose body is sent without waiting
 // for a reply, or, if it is long, streamed from the caller to the worker once the owner
 // starts the attempt.
-func (f *Forwarder) streamedRequest(ctx context.Context, address string, w *AttemptMessage, offer string) *http.Request {
-	req := f.request(ctx, address, streamedPath, w, offer)
-	if w.ContentLength > maxBufferedBody {
+func (f *Forwarder) streamedRequest(ctx context.Context, address string, m *AttemptMessage, offer string) *http.Request {
+	req := f.request(ctx, address, streamedPath, m, offer)
+	if m.ContentLength > maxBufferedBody {
 		req.Header.Set("Expect", "100-continue")
 	}
 	return req
@@ -200,8 +200,8 @@
 // gatedRequest returns the request of an attempt whose body is sent when the owner asks
 // for it. An empty body is sent chunked, so that its final empty chunk can be held back
 // instead.
-func (f *Forwarder) gatedRequest(ctx context.Context, address string, w *AttemptMessage, offer string, body *gatedBody) *http.Request {
-	req := f.request(ctx, address, gatedPath, w, offer)
+func (f *Forwarder) gatedRequest(ctx context.Context, address string, m *AttemptMessage, offer string, body *gatedBody) *http.Request {
+	req := f.request(ctx, address, gatedPath, m, offer)
 	req.Body = body
 	if req.ContentLength <= 0 {
 		req.ContentLength = -1
@@ -210,20 +210,20 @@
 	return body.attach(req)
 }
 
-func (f *Forwarder) request(ctx context.Context, address, prefix string, w *AttemptMessage, offer string) *http.Request {
-	u := &url.URL{Scheme: f.scheme, Host: address, Path: prefix + w.URL.Path, RawQuery: w.URL.RawQuery}
-	if w.URL.RawPath != "" {
-		u.RawPath = prefix + w.URL.RawPath
+func (f *Forwarder) request(ctx context.Context, address, prefix string, m *AttemptMessage, offer string) *http.Request {
+	u := &url.URL{Scheme: f.scheme, Host: address, Path: prefix + m.URL.Path, RawQuery: m.URL.RawQuery}
+	if m.URL.RawPath != "" {
+		u.RawPath = prefix + m.URL.RawPath
 	}
-	req := w.request(ctx, u)
+	req := m.request(ctx, u)
 	req.Header.Set(wire.HeaderOffer, offer)
 	f.Unreachable.write(req.Header)
 	return req
 }
 
 // read evaluates the header of the owner's response.
-func (f *Forwarder) read(w *AttemptMessage, resp *http.Response, trace *upstream.RequestTrace) (Result, bool, error) {
-	if resp.Header.Get(wire.HeaderAttempt) != w.Attempt.ID.String() || upstream.CheckFraming(resp, w.Method) != nil {
+func (f *Forwarder) read(m *AttemptMessage, resp *http.Response, trace *upstream.RequestTrace) (Result, bool, error) {
+	if resp.Header.Get(wire.HeaderAttempt) != m.Attempt.ID.String() || upstream.CheckFraming(resp, m.Method) != nil {
 		trace.CloseConn()
 		resp.Body.Close()
 		return Result{}, false, ErrConnectionBroken
@@ -244,6 +244,8 @@
 		return result, reported, nil
 	}
 	result.Times = wire.ReadTimes(resp.Header)
-	result.Response = &Response{Status: resp.StatusCode, Header: endToEnd(resp.Header), ContentLength: resp.ContentLength, Body: resp.Body}
+	result.Response = &Response{
+		Status: resp.StatusCode, Header: endToEnd(resp.Header), ContentLength: resp.ContentLength, Body: resp.Body,
+	}
 	return result, reported, nil
 }
--- a/internal/server/hedge.go
+++ b/internal/server/hedge.go
@@ -16,21 +16,21 @@
 	// done receives the hedge's last step, once.
 	done chan entry.Step
 	// step is the hedge's last step after it has been received from done.
-	step  entry.Step
-	taken bool
+	step     entry.Step
+	received bool
 }
 
 // wait waits for the hedge's last step.
 func (h *hedge) wait() entry.Step {
-	if !h.taken {
-		h.step, h.taken = <-h.done, true
+	if !h.received {
+		h.step, h.received = <-h.done, true
 	}
 	return h.step
 }
 
 // won reports whether the hedge is known to have a response; h may be nil.
 func (h *hedge) won() bool {
-	return h != nil && h.taken && h.step.Outcome == model.OutcomeAnswered
+	return h != nil && h.received && h.step.Outcome == model.OutcomeAnswered
 }
 
 // attemptResult is the result of one attempt.
@@ -70,20 +70,24 @@
 	return c.request.Idempotent && step.To.ID != c.caller.Self && c.hedge == nil
 }
 
-func (c *callRunner) raceHedge(ctx context.Context, step entry.Step, done <-chan attemptResult, cancelAttempt context.CancelFunc) attemptResult {
+// raceHedge waits for the attempt's result, starts a hedge when it is due, and cancels the
+// attempt if the hedge responds first.
+func (c *callRunner) raceHedge(
+	ctx context.Context, step entry.Step, done <-chan attemptResult, cancelAttempt context.CancelFunc,
+) attemptResult {
 	unreachable, end := c.caller.UnreachableSignal.wait(step.To.ID)
 	defer end()
-	var late <-chan time.Time
+	var hedgeDue <-chan time.Time
 	if !step.HedgeAt.IsZero() {
 		timer := time.NewTimer(time.Until(step.HedgeAt))
 		defer timer.Stop()
-		late = timer.C
+		hedgeDue = timer.C
 	}
 	begin := c.call.Hedge
 	select {
 	case a := <-done:
 		return a
-	case <-late:
+	case <-hedgeDue:
 	case <-unreachable:
 		begin = c.call.HedgeUnreachable
 	}
@@ -94,7 +98,7 @@
 	case a := <-done:
 		return a
 	case c.hedge.step = <-c.hedge.done:
-		c.hedge.taken = true
+		c.hedge.received = true
 	}
 	if c.hedge.won() {
 		cancelAttempt()
--- a/internal/server/peer.go
+++ b/internal/server/peer.go
@@ -140,12 +140,12 @@
 
 // writeResponse streams a to w. A response that is cut off ends the connection, so that
 // it is never taken for a complete one.
-func writeResponse(w http.ResponseWriter, a *Response) {
-	defer a.Body.Close()
-	copyInto(w.Header(), a.Header)
-	setLength(w.Header(), a.Status, a.ContentLength)
-	w.WriteHeader(a.Status)
-	if err := copyFlushing(w, a.Body); err != nil {
+func writeResponse(w http.ResponseWriter, resp *Response) {
+	defer resp.Body.Close()
+	copyInto(w.Header(), resp.Header)
+	setLength(w.Header(), resp.Status, resp.ContentLength)
+	w.WriteHeader(resp.Status)
+	if err := copyFlushing(w, resp.Body); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/server/suspects.go
+++ b/internal/server/suspects.go
@@ -11,23 +11,24 @@
 	"gypsumstand/internal/quarantine"
 )
 
-// submission returns what the attempt reports of its submission.
-func (c *fingerprinter) submission() quarantine.Submission {
-	return quarantine.Submission{Crashes: int(c.message.Attempt.Crashes), Granted: c.message.Attempt.Granted}
+// submission returns the crash count and the grant that the attempt carries.
+func (fp *fingerprinter) submission() quarantine.Submission {
+	return quarantine.Submission{Crashes: int(fp.message.Attempt.Crashes), Granted: fp.message.Attempt.Granted}
 }
 
 // evaluate asks the quarantine for a decision on the request.
-func (x *Executor) evaluate(now time.Time, c *fingerprinter) quarantine.Decision {
-	c.decision = x.quarantine.Evaluate(now, c.fingerprint(), c.submission(), c.label())
-	switch v := &c.decision; {
-	case v.Quarantined:
-		logQuarantined(x.requestLog, c.message.Attempt.Request, c.cached, v.RetryAfter)
-	case v.Deferred:
-		event.Log(x.requestLog, event.RequestDeferred).Str("request", string(c.message.Attempt.Request)).
-			Str("fingerprint", c.cached.String()).Int("ends", int64(v.Crashes)).Str("home", string(v.OnlyOwner)).Bool("lent", v.Granted).
-			Int("retry_after_ms", v.RetryAfter.Milliseconds()).Send()
+func (x *Executor) evaluate(now time.Time, fp *fingerprinter) quarantine.Decision {
+	fp.decision = x.quarantine.Evaluate(now, fp.fingerprint(), fp.submission(), fp.label())
+	switch d := &fp.decision; {
+	case d.Quarantined:
+		logQuarantined(x.requestLog, fp.message.Attempt.Request, fp.cached, d.RetryAfter)
+	case d.Deferred:
+		event.Log(x.requestLog, event.RequestDeferred).Str("request", string(fp.message.Attempt.Request)).
+			Str("fingerprint", fp.cached.String()).Int("ends", int64(d.Crashes)).
+			Str("home", string(d.OnlyOwner)).Bool("lent", d.Granted).
+			Int("retry_after_ms", d.RetryAfter.Milliseconds()).Send()
 	}
-	return c.decision
+	return fp.decision
 }
 
 // logQuarantined logs the refusal of a submission of a quarantined request.
@@ -38,52 +39,52 @@
 
 // restrictions returns how the owner must treat an offered attempt. A request that is not
 // complete yet is evaluated by refusalBeforeRun only.
-func (x *Executor) restrictions(now time.Time, c *fingerprinter) owner.Restrictions {
-	r := owner.Restrictions{Crashes: int(c.message.Attempt.Crashes)}
-	if !x.maybeSuspect(c) || !c.complete() {
+func (x *Executor) restrictions(now time.Time, fp *fingerprinter) owner.Restrictions {
+	r := owner.Restrictions{Crashes: int(fp.message.Attempt.Crashes)}
+	if !x.maybeSuspect(fp) || !fp.complete() {
 		return r
 	}
-	v := x.evaluate(now, c)
-	r.Exclusive = v.Exclusive()
-	r.Refusal, r.OnlyOwner, r.RetryAfter = v.Refusal(), v.OnlyOwner, v.RetryAfter
+	d := x.evaluate(now, fp)
+	r.Exclusive = d.Exclusive()
+	r.Refusal, r.OnlyOwner, r.RetryAfter = d.Refusal(), d.OnlyOwner, d.RetryAfter
 	return r
 }
 
 // maybeSuspect reports whether the request may be a suspect one.
-func (x *Executor) maybeSuspect(c *fingerprinter) bool {
-	return !x.quarantine.Empty() || c.message.Attempt.Crashes > 0
+func (x *Executor) maybeSuspect(fp *fingerprinter) bool {
+	return !x.quarantine.Empty() || fp.message.Attempt.Crashes > 0
 }
 
 // refuseWorkerDown refuses an attempt of a suspect request whose worker could not be
 // reached: another owner gets it, or it waits for the worker.
-func (x *Executor) refuseWorkerDown(c *fingerprinter) model.Refusal {
-	v := x.quarantine.EvaluateReroute(time.Now(), c.fingerprint(), c.submission(), c.label())
-	v.Deferred = true
-	refusal := v.Refusal()
-	refusal.Reason = delegatedReason(&c.message.Attempt, refusal.Reason)
+func (x *Executor) refuseWorkerDown(fp *fingerprinter) model.Refusal {
+	d := x.quarantine.EvaluateReroute(time.Now(), fp.fingerprint(), fp.submission(), fp.label())
+	d.Deferred = true
+	refusal := d.Refusal()
+	refusal.Reason = delegatedReason(&fp.message.Attempt, refusal.Reason)
 	return refusal
 }
 
-// exclusiveRetry is the Retry-After of a request that must run exclusively while another
-// one does.
+// exclusiveRetry is the Retry-After of a request that must run exclusively if another
+// exclusive one is running.
 const exclusiveRetry = time.Second
 
 // refusalBeforeRun evaluates an admitted attempt directly before its run: the request is
 // complete by now, and may have been quarantined while it was queued. Nil lets the
 // attempt run.
-func (x *Executor) refusalBeforeRun(c *fingerprinter) *model.Refusal {
-	if !x.maybeSuspect(c) || c.decision.Trial {
+func (x *Executor) refusalBeforeRun(fp *fingerprinter) *model.Refusal {
+	if !x.maybeSuspect(fp) || fp.decision.Trial {
 		return nil
 	}
-	id := c.message.Attempt.ID
-	if c.readPrefix() != nil {
+	id := fp.message.Attempt.ID
+	if fp.readPrefix() != nil {
 		x.finish(id, owner.Completion{NotRun: true, Abandoned: true})
 		return &model.Refusal{Reason: model.ReasonCancelled, NotRun: true}
 	}
-	v := x.evaluate(time.Now(), c)
-	refusal := v.Refusal()
+	d := x.evaluate(time.Now(), fp)
+	refusal := d.Refusal()
 	if refusal.Reason == model.ReasonNone {
-		if !v.Exclusive() || x.owner.MarkExclusive(id) {
+		if !d.Exclusive() || x.owner.MarkExclusive(id) {
 			return nil
 		}
 		refusal = model.Refusal{Reason: model.ReasonDeferred, NotRun: true, RetryAfter: exclusiveRetry}
@@ -99,9 +100,9 @@
 
 // completed records a complete response, which shows that the request does not crash
 // workers.
-func (x *Executor) completed(c *fingerprinter) {
-	if x.quarantine.Empty() && len(c.message.BufferedBody) > maxTrackedBody {
+func (x *Executor) completed(fp *fingerprinter) {
+	if x.quarantine.Empty() && len(fp.message.BufferedBody) > maxTrackedBody {
 		return
 	}
-	x.quarantine.RunCompleted(time.Now(), c.fingerprint())
+	x.quarantine.RunCompleted(time.Now(), fp.fingerprint())
 }
--- a/internal/server/suspects_test.go
+++ b/internal/server/suspects_test.go
@@ -56,26 +56,26 @@
 }
 
 // The ways in which a body arrives.
-func bufferedBody(w *AttemptMessage, body string) {
-	w.BufferedBody, w.Body, w.ContentLength = []byte(body), io.NopCloser(strings.NewReader(body)), int64(len(body))
+func bufferedBody(m *AttemptMessage, body string) {
+	m.BufferedBody, m.Body, m.ContentLength = []byte(body), io.NopCloser(strings.NewReader(body)), int64(len(body))
 }
 
-func fetchedBody(w *AttemptMessage, body string) {
-	w.ContentLength = -1
-	w.FetchBody = func() error {
-		bufferedBody(w, body)
+func fetchedBody(m *AttemptMessage, body string) {
+	m.ContentLength = -1
+	m.FetchBody = func() error {
+		bufferedBody(m, body)
 		return nil
 	}
 }
 
-func streamedBody(w *AttemptMessage, body string) {
-	w.Body, w.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
+func streamedBody(m *AttemptMessage, body string) {
+	m.Body, m.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
 }
 
 // do executes an attempt and reads its response.
-func do(t *testing.T, x *Executor, w *AttemptMessage) Result {
+func do(t *testing.T, x *Executor, m *AttemptMessage) Result {
 	t.Helper()
-	r := x.Do(t.Context(), w)
+	r := x.Do(t.Context(), m)
 	if r.Response != nil {
 		if _, err := io.ReadAll(r.Response.Body); err != nil {
 			t.Error(err)
--- a/internal/server/transports.go
+++ b/internal/server/transports.go
@@ -57,10 +57,10 @@
 		MaxIdleConns: l.slots, MaxConns: l.connections,
 		DialTimeout: workerDialTimeout, IdleTimeout: workerIdle, AckTimeout: workerAckTimeout,
 	}
-	before := []*http.Transport{x.transport.Swap(upstream.NewTransport(o)), nil}
+	replaced := []*http.Transport{x.transport.Swap(upstream.NewTransport(o)), nil}
 	o.IdleTimeout = nonIdempotentIdle
-	before[1] = x.freshTransport.Swap(upstream.NewTransport(o))
-	for _, t := range before {
+	replaced[1] = x.freshTransport.Swap(upstream.NewTransport(o))
+	for _, t := range replaced {
 		if t != nil {
 			t.CloseIdleConnections()
 		}
