--- a/internal/ctl/aside.go
+++ b/internal/ctl/aside.go
@@ -22,18 +22,19 @@
 }
 
 // writeQuarantine prints the suspect and quarantined requests as a table.
-func writeQuarantine(w io.Writer, a *status.Quarantine) error {
-	fmt.Fprintf(w, "This node's own worker crashed %d times with requests in flight.\n", a.Crashes)
-	if len(a.Requests) == 0 {
+func writeQuarantine(w io.Writer, q *status.Quarantine) error {
+	fmt.Fprintf(w, "This node's own worker crashed %d times with requests in flight.\n", q.Crashes)
+	if len(q.Requests) == 0 {
 		fmt.Fprintln(w, "No suspect requests.")
 		return nil
 	}
 	fmt.Fprintln(w)
 	t := newTable(w)
 	writeRow(t, "STATE", "SINCE", "NEXT TRIAL", "CRASHES", "FINGERPRINT", "ASKED")
-	for i := range a.Requests {
-		r := &a.Requests[i]
-		writeRow(t, formatState(r), formatSince(r), formatNextTrial(r), formatCrashes(r.Crashes), orDash(r.Fingerprint), orDash(r.Label))
+	for i := range q.Requests {
+		r := &q.Requests[i]
+		writeRow(t, formatState(r), formatSince(r), formatNextTrial(r), formatCrashes(r.Crashes),
+			orDash(r.Fingerprint), orDash(r.Label))
 	}
 	return t.Flush()
 }
@@ -69,9 +70,9 @@
 // formatCrashes lists the crashed instances and how long ago each crash happened.
 func formatCrashes(crashes []status.WorkerCrash) string {
 	out := make([]string, len(crashes))
-	for i, e := range crashes {
-		age := e.Age
-		out[i] = orDash(e.Instance) + " " + formatAgo(&age)
+	for i, c := range crashes {
+		age := c.Age
+		out[i] = orDash(c.Instance) + " " + formatAgo(&age)
 	}
 	return strings.Join(out, ", ")
 }
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -40,7 +40,9 @@
 			addParam(query, status.ParamTenant, *tenant)
 			addParam(query, status.ParamClass, *class)
 			var explanation status.Explanation
-			return q.show(ctx, s, address, status.ExplainPath, query, &explanation, func() error { return writeExplanation(s.out, &explanation) })
+			return q.show(ctx, s, address, status.ExplainPath, query, &explanation, func() error {
+				return writeExplanation(s.out, &explanation)
+			})
 		}
 	},
 }
@@ -62,7 +64,8 @@
 		fmt.Fprintf(w, ": not routable: %s\n", orDash(e.Reason))
 		return nil
 	}
-	fmt.Fprintf(w, ": service %s, class %s, %s, from %s\n", orDash(e.Service), orDash(e.Class), formatIdempotency(e.Idempotent), formatBundles([]status.Bundle{e.Bundle}))
+	fmt.Fprintf(w, ": service %s, class %s, %s, from %s\n", orDash(e.Service), orDash(e.Class),
+		formatIdempotency(e.Idempotent), formatBundles([]status.Bundle{e.Bundle}))
 	if e.Chosen == "" {
 		fmt.Fprintf(w, "no upstream available: %s\n", orDash(e.Reason))
 	}
--- a/internal/ctl/remote.go
+++ b/internal/ctl/remote.go
@@ -64,7 +64,9 @@
 
 // show queries the node and prints the JSON response as received or, without -json,
 // decodes it into response and calls write.
-func (q remoteQuery) show(ctx context.Context, s *streams, address, path string, query url.Values, response any, write func() error) error {
+func (q remoteQuery) show(
+	ctx context.Context, s *streams, address, path string, query url.Values, response any, write func() error,
+) error {
 	body, err := fetchJSON(ctx, address, path, query, *q.timeout)
 	if err != nil {
 		return err
--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -32,7 +32,8 @@
 type Result struct {
 	Outcome model.Outcome
 	Reason  model.Reason
-	// RetryAfter is when the caller should retry; zero means that it is not sent.
+	// RetryAfter is how long the caller should wait before a retry; zero means that it is
+	// not sent.
 	RetryAfter time.Duration
 	// Upstream is the last instance to which the request was sent, and Bundle the bundle
 	// version that applied to the request. Either may be empty.
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -1,7 +1,7 @@
 // Package keys generates, reads and writes the Ed25519 keys (RFC 8032) with which people
-// sign bundles. A key file is TOML: a private one holds name, public
-// and private, a public one name and public. Keys are base64 (RFC 4648,
-// section 4); a private key is its 32-byte seed.
+// sign bundles. A key file is TOML: a private one holds name, public and private, a public
+// one name and public. Keys are base64 (RFC 4648, section 4); a private key is its 32-byte
+// seed.
 package keys
 
 import (
--- a/internal/node/http_test.go
+++ b/internal/node/http_test.go
@@ -162,14 +162,14 @@
 			t.Errorf("headers (-want +got):\n%s", diff)
 		}
 	})
-	t.Run("a chunked body over the limit is not run", func(t *testing.T) { chunkedOverBound(t, f, worker) })
-	t.Run("a payout resubmitted with its key is not run again", func(t *testing.T) { resubmitted(t, f, worker) })
+	t.Run("a chunked body over the limit is not run", func(t *testing.T) { checkChunkedOverLimit(t, f, worker) })
+	t.Run("a payout resubmitted with its key is not run again", func(t *testing.T) { checkResubmitted(t, f, worker) })
 }
 
 // noLength hides a reader's length, so that the body is sent chunked.
 type noLength struct{ io.Reader }
 
-func chunkedOverBound(t *testing.T, f *local.Fleet, worker *httpWorker) {
+func checkChunkedOverLimit(t *testing.T, f *local.Fleet, worker *httpWorker) {
 	body := noLength{bytes.NewReader(make([]byte, 1<<20+1))}
 	req, err := http.NewRequest(http.MethodPost, "http://"+f.CallerAddresses()[0]+"/length", body)
 	if err != nil {
@@ -186,7 +186,7 @@
 	}
 }
 
-func resubmitted(t *testing.T, f *local.Fleet, worker *httpWorker) {
+func checkResubmitted(t *testing.T, f *local.Fleet, worker *httpWorker) {
 	header := http.Header{"Idempotency-Key": {"payout-7"}}
 	first, _, err := do(t, f, http.MethodPost, "/payouts", "amount=7", header)
 	if err != nil || first.Outcome != "answered" {
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -19,13 +19,13 @@
 )
 
 // logged collects log lines. It is safe for concurrent use.
-type logged struct {
+type logLines struct {
 	mu    sync.Mutex
 	lines [][]byte
 }
 
 // Write implements io.Writer for one line.
-func (l *logged) Write(line []byte) (int, error) {
+func (l *logLines) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lines = append(l.lines, bytes.Clone(line))
@@ -34,16 +34,16 @@
 
 // stepLine is a line of event 108.
 type stepLine struct {
-	Event     event.ID `json:"event"`
-	Step      string   `json:"step"`
-	Began     *int64   `json:"began_ms"`
-	Took      *int64   `json:"milliseconds"`
-	Callers   *int64   `json:"callers_in_hand"`
-	Attempts  *int64   `json:"attempts_in_hand"`
-	StopBound int64    `json:"stop_timeout_ms"`
+	Event       event.ID `json:"event"`
+	Step        string   `json:"step"`
+	Began       *int64   `json:"began_ms"`
+	Took        *int64   `json:"milliseconds"`
+	Callers     *int64   `json:"callers_in_hand"`
+	Attempts    *int64   `json:"attempts_in_hand"`
+	StopTimeout int64    `json:"stop_timeout_ms"`
 }
 
-func (l *logged) of(t *testing.T, id event.ID) []stepLine {
+func (l *logLines) of(t *testing.T, id event.ID) []stepLine {
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +72,7 @@
 			<-open
 		}
 	})
-	lines := &logged{}
+	lines := &logLines{}
 	f, err := local.Start(local.Config{
 		Bundle:      fmt.Appendf(nil, testBundle, 1),
 		Services:    []local.Service{{Name: "ledger", Workers: 1, Handler: worker}},
@@ -106,7 +106,7 @@
 	if err := <-stopped; err != nil {
 		t.Error(err)
 	}
-	if begun := lines.of(t, event.Stopping); len(begun) != 1 || begun[0].StopBound != 10_000 {
+	if begun := lines.of(t, event.Stopping); len(begun) != 1 || begun[0].StopTimeout != 10_000 {
 		t.Errorf("the start of the stop was logged as %+v", begun)
 	}
 	type step struct {
@@ -132,10 +132,10 @@
 
 // Stops ran to their time limit, reported that they had cut off callers, and delayed the
 // restart of their process although nothing was in flight: peers had opened connections
-// to the node that they had not used yet. Event 108 shows it, whose peer drain lasts
-// until then.
+// to the node that they had not used yet. Event 108 showed a peer drain that lasted until
+// the time limit.
 func TestStopDoesNotWaitForUnusedConnections(t *testing.T) {
-	lines := &logged{}
+	lines := &logLines{}
 	f, err := local.Start(local.Config{
 		Bundle:      fmt.Appendf(nil, testBundle, 1),
 		Services:    []local.Service{{Name: "ledger", Workers: 1}},
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -54,7 +54,9 @@
 	addresses []string
 	timeout   time.Duration
 	http      *http.Client
-	current   atomic.Uint64
+	// current counts the changes of address; modulo the number of addresses it is the
+	// index of the current one.
+	current atomic.Uint64
 }
 
 // NewClient returns a client. The error is a finding.List with every invalid field of cfg.
--- a/internal/server/caller.go
+++ b/internal/server/caller.go
@@ -80,11 +80,11 @@
 	DirectoryFreshness func() model.DirectoryFreshness
 	// AttemptUnanswered is called for each owner that did not reply to an attempt. reason
 	// is why the attempt is known not to have run, or ReasonNone. It must not block.
-	AttemptUnanswered func(in model.Instance, reason model.Reason)
+	AttemptUnanswered func(owner model.Instance, reason model.Reason)
 	// UnreachableSignal notifies attempts that their owner has become unreachable.
 	UnreachableSignal *UnreachableSignal
-	// LimitRetryAfter adjusts a Retry-After so that this node can still be reached then
-	// if it is about to stop; nil leaves it unchanged.
+	// LimitRetryAfter shortens a Retry-After while this node is stopping, so that the
+	// retry arrives before the port closes; nil leaves it unchanged.
 	LimitRetryAfter func(after time.Duration) time.Duration
 	// Leaving reports whether callers are asked to close their connections (Connection:
 	// close).
--- a/internal/server/gatedbody_test.go
+++ b/internal/server/gatedbody_test.go
@@ -23,7 +23,7 @@
 
 // gatedMessage returns an attempt at another node that is withdrawn after a timeout.
 func gatedMessage(sequence uint64, method, body string, timeout time.Duration) *AttemptMessage {
-	w := &AttemptMessage{
+	m := &AttemptMessage{
 		Attempt: model.Attempt{
 			ID:      model.AttemptID{Entry: "e", Incarnation: 1, Sequence: sequence},
 			Request: "r", Service: "ledger", Owner: "n0", OwnerIncarnation: 1, Class: "payout",
@@ -32,9 +32,9 @@
 		Method: method, URL: &url.URL{Path: "/x"}, Header: http.Header{}, AcknowledgeBy: time.Now().Add(timeout),
 	}
 	if body != "" {
-		w.Body, w.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
+		m.Body, m.ContentLength = io.NopCloser(strings.NewReader(body)), int64(len(body))
 	}
-	return w
+	return m
 }
 
 // rawOwner serves one connection with serve and returns its address and the bytes read
@@ -169,7 +169,7 @@
 func TestConnectionsAreReusedAfterRefusalsAndResponses(t *testing.T) {
 	const callers, each = 16, 100
 	bodies := make(chan string, callers*each)
-	s := peerOf(t, func(w http.ResponseWriter, r *http.Request) {
+	s := peerOf(t, func(m http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		bodies <- string(body)
 	})
@@ -188,9 +188,9 @@
 				if method == http.MethodPost {
 					body = "amount=7"
 				}
-				w := gatedMessage(uint64(1+i*each+j), method, body, time.Minute)
-				w.Attempt.MayMove = true
-				r, _, err := f.Do(context.Background(), s.Listener.Addr().String(), w)
+				m := gatedMessage(uint64(1+i*each+j), method, body, time.Minute)
+				m.Attempt.MayMove = true
+				r, _, err := f.Do(context.Background(), s.Listener.Addr().String(), m)
 				switch {
 				case err != nil:
 					t.Error(err)
--- a/internal/server/gatedbodyend_test.go
+++ b/internal/server/gatedbodyend_test.go
@@ -14,8 +14,8 @@
 
 // A call that ended before its attempt's body was sent continued until the attempt would
 // have been withdrawn anyway: net/http waits for the writer, which waits for the body. At
-// the end of a planned stop this cut off its caller. The goroutines at such an end showed
-// it: one call in mapRoundTripError for each writer in the body's Read.
+// the end of a planned stop this cut off its caller. A goroutine dump showed one call in
+// mapRoundTripError for each writer in the body's Read.
 func TestAttemptEndsWithItsCallBeforeBodyIsSent(t *testing.T) {
 	sent := make(chan struct{})
 	release := make(chan struct{})
--- a/internal/server/suspects_test.go
+++ b/internal/server/suspects_test.go
@@ -49,10 +49,10 @@
 
 // messageOf returns an attempt with a path and a body that arrives in the given way.
 func messageOf(sequence uint64, path, body string, arrive func(*AttemptMessage, string)) *AttemptMessage {
-	w := testMessage(sequence)
-	w.URL = &url.URL{Path: path}
-	arrive(w, body)
-	return w
+	m := testMessage(sequence)
+	m.URL = &url.URL{Path: path}
+	arrive(m, body)
+	return m
 }
 
 // The ways in which a body arrives.
@@ -135,14 +135,14 @@
 
 func TestCompleteResponseClearsRequest(t *testing.T) {
 	x, q, _ := newSuspectExecutor(t)
-	w := messageOf(1, "/sound", "pay", bufferedBody)
-	fingerprint := x.newFingerprinter(w).fingerprint()
+	m := messageOf(1, "/sound", "pay", bufferedBody)
+	fingerprint := x.newFingerprinter(m).fingerprint()
 	q.RunFailed(time.Now(), quarantine.Run{Content: fingerprint, Started: time.Now()})
 	q.WorkerCrashed(time.Now())
 	if v := q.Evaluate(time.Now(), fingerprint, quarantine.Submission{}, ""); v.Crashes != 1 {
 		t.Fatalf("%+v before", v)
 	}
-	do(t, x, w)
+	do(t, x, m)
 	if v := q.Evaluate(time.Now(), fingerprint, quarantine.Submission{}, ""); v.Crashes != 0 {
 		t.Errorf("%+v after a complete response", v)
 	}
@@ -151,9 +151,9 @@
 // A run that was in flight when the node learned of a crash clears its request too.
 func TestRunStartedBeforeCrashClearsRequest(t *testing.T) {
 	x, q, _ := newSuspectExecutor(t)
-	w := messageOf(1, "/sound", "pay", bufferedBody)
-	fingerprint := x.newFingerprinter(w).fingerprint()
-	r := x.Do(t.Context(), w)
+	m := messageOf(1, "/sound", "pay", bufferedBody)
+	fingerprint := x.newFingerprinter(m).fingerprint()
+	r := x.Do(t.Context(), m)
 	q.RunFailed(time.Now(), quarantine.Run{Content: fingerprint, Started: time.Now()})
 	q.WorkerCrashed(time.Now())
 	if _, err := io.ReadAll(r.Response.Body); err != nil {
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -154,8 +154,9 @@
 	Peer       model.InstanceID `json:"peer"`
 	DataCentre model.DataCentre `json:"data_centre"`
 	// Outgoing reports whether this node opened the link.
-	Outgoing bool         `json:"outgoing"`
-	Age      Milliseconds `json:"age_ms"`
+	Outgoing bool `json:"outgoing"`
+	// Age is the time since the last message from the peer.
+	Age Milliseconds `json:"age_ms"`
 }
 
 // Measuring counts measuring messages (polls and probes) beside their budget.
