--- a/internal/capacity/fleet.go
+++ b/internal/capacity/fleet.go
@@ -63,7 +63,7 @@
 	t.bytes += bytes
 }
 
-// fleet is the cores, the message queue and the platform.
+// fleet holds the cores, the message queue and the platform.
 type fleet struct {
 	now      time.Time
 	rng      *rand.Rand
@@ -285,7 +285,7 @@
 	f.after(f.delay(), func() { f.handle(other, control.LinkDown{Peer: m.self.ID, Failed: true}) })
 }
 
-// read simulates one read of the platform.
+// read simulates one read of the platform. In a separated region the read gets no reply.
 func (f *fleet) read(m *member, reply func() control.Event) {
 	f.platformReads++
 	f.readsBySecond[f.now.Unix()]++
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -171,6 +171,7 @@
 	return b.String()
 }
 
+// rows calculates the values for the target fleet from the measurements.
 func (m *Measurements) rows() []row {
 	changes := changesPerDay / secondsPerDay
 	joins := restartsPerDay / secondsPerDay
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -78,9 +78,9 @@
 // demonstrate waits until the fleet is ready, applies load and events, and reports.
 func (r *run) demonstrate(ctx context.Context) error {
 	r.printf("starting %s: %d nodes and workers on loopback, %d data centres\n", r.dep.Name, len(r.fleet.Members()), deploy.DataCentres)
-	ready, cancel := context.WithTimeout(ctx, readyTimeout)
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := r.fleet.Await(ready, r.fleet.Warm); err != nil {
+	if err := r.fleet.Await(readyCtx, r.fleet.Warm); err != nil {
 		return fmt.Errorf("not ready: %w", err)
 	}
 	// The last worker of the first service is drained, the last one of the last service
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -83,7 +83,7 @@
 	Sent               int64   `json:"sent"`
 	NotRun             int64   `json:"not_run"`
 	Unknown            int64   `json:"unknown"`
-	// GuaranteesHeld reports whether no response was wrong and no guarantee violated.
+	// GuaranteesHeld is load.Result.GuaranteesHeld of the run.
 	GuaranteesHeld bool `json:"kept"`
 	// LateP99Ms is the generator's own lateness at the 99th percentile.
 	LateP99Ms float64 `json:"late_p99_ms"`
@@ -223,7 +223,7 @@
 	go func() {
 		defer close(done)
 		for _, f := range faultsFor(fleet) {
-			setFaults(f.worker, f.fault)
+			setFaults(f.worker, f.faults)
 			pause.For(ctx, d/faultCount)
 			setFaults(f.worker, worker.Faults{})
 		}
@@ -237,7 +237,7 @@
 // fault is one worker's fault for a third of the run.
 type fault struct {
 	worker *worker.Worker
-	fault  worker.Faults
+	faults worker.Faults
 }
 
 // Parameters of the faults.
--- a/internal/fake/delay/delay.go
+++ b/internal/fake/delay/delay.go
@@ -67,9 +67,9 @@
 	changed chan struct{}
 }
 
-func newConn(below net.Conn, oneWay time.Duration) *Conn {
+func newConn(inner net.Conn, oneWay time.Duration) *Conn {
 	c := &Conn{
-		Conn:     below,
+		Conn:     inner,
 		oneWay:   oneWay,
 		outgoing: make(chan packet, maxQueuedWrites),
 		incoming: make(chan packet, maxQueuedWrites),
--- a/internal/fake/worker/call.go
+++ b/internal/fake/worker/call.go
@@ -116,8 +116,8 @@
 	return io.NopCloser(strings.NewReader(text))
 }
 
-// propagateHeaders copies what applies to the whole call chain: the remaining time, the
-// retry budget and the tenant.
+// propagateHeaders sets the headers that apply to the whole call chain: the remaining
+// time, the retry budget and the tenant.
 func propagateHeaders(ctx context.Context, to, from http.Header) {
 	if deadline, ok := ctx.Deadline(); ok {
 		to.Set(wire.HeaderTimeout, strconv.FormatInt(max(time.Until(deadline).Milliseconds(), 1), 10))
--- a/internal/fake/worker/slots.go
+++ b/internal/fake/worker/slots.go
@@ -18,8 +18,8 @@
 	waiting []chan struct{} // a channel is closed to hand its waiter the slot
 }
 
-func newSlots(limit, queueLimit int, changed func()) *slots {
-	return &slots{limit: limit, queueLimit: queueLimit, onChange: changed}
+func newSlots(limit, queueLimit int, onChange func()) *slots {
+	return &slots{limit: limit, queueLimit: queueLimit, onChange: onChange}
 }
 
 // slotResult is the result of waiting for a slot.
--- a/internal/load/arrivals.go
+++ b/internal/load/arrivals.go
@@ -42,7 +42,7 @@
 		return a.rate
 	}
 	every := milliseconds(a.burst.EveryMs)
-	for w := int64(t / every); a.period < w; {
+	for period := int64(t / every); a.period < period; {
 		a.period++
 		length := a.burst.MinMs + a.rng.Int64N(a.burst.MaxMs-a.burst.MinMs+1)
 		a.burstEnd = time.Duration(a.period)*every + milliseconds(length)
--- a/internal/load/classify.go
+++ b/internal/load/classify.go
@@ -86,8 +86,8 @@
 }
 
 // parseOutcome reads the outcome header, or the worker's headers when direct is set. ok
-// is false when the header is missing or unknown, or when the outcome says that there is
-// no answer and the status is a success.
+// is false when the header is missing or unknown, or when the status is a success although
+// the outcome is not answered.
 func parseOutcome(resp *http.Response, direct bool) (o model.Outcome, ok bool) {
 	if direct {
 		return directOutcome(resp), true
--- a/internal/load/oracle.go
+++ b/internal/load/oracle.go
@@ -75,7 +75,9 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.outcomes = append(l.outcomes, reportedOutcome{id: r.id, idempotent: r.stream.idempotent(), copied: copied, kind: kind})
+	l.outcomes = append(l.outcomes, reportedOutcome{
+		id: r.id, idempotent: r.stream.idempotent(), copied: copied, kind: kind,
+	})
 }
 
 // check queries the oracle for every recorded request.
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -140,7 +140,8 @@
 	return r
 }
 
-// dispatch starts a request once the limit on requests in flight allows it.
+// dispatch starts a request once the limit on requests in flight allows it. draw is a
+// random number that selects the target under PickRandom.
 func (g *generator) dispatch(ctx context.Context, index int, r *request, copied bool, draw uint64) {
 	rec := g.recorders[index]
 	select {
--- a/internal/load/send.go
+++ b/internal/load/send.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// bodyReader returns a reader that net/http cannot rewind: with one that it can, it would
-// silently resend a request that has an Idempotency-Key.
+// bodyReader returns a reader that net/http cannot rewind, or nil for an empty body.
+// net/http silently resends a request with an Idempotency-Key if it can rewind the body.
 func bodyReader(body []byte) io.Reader {
 	if len(body) == 0 {
 		return nil
--- a/internal/proof/deadly.go
+++ b/internal/proof/deadly.go
@@ -91,7 +91,8 @@
 	}
 	d.lateRuns++
 	if d.lateRuns > maxLateDeadlyRuns {
-		g.violate(promiseDeadly, "%s reached workers %d times, %d of them after it should have been quarantined", d.name, len(d.runs), d.lateRuns)
+		g.violate(promiseDeadly, "%s reached workers %d times, %d of them after it should have been quarantined",
+			d.name, len(d.runs), d.lateRuns)
 	}
 }
 
@@ -102,8 +103,8 @@
 	})
 }
 
-// crash ends the worker's process and everything that it runs. The worker accepts
-// connections again 1 to 3 s later.
+// crash ends the worker's process and everything that it runs, unless the worker is cold.
+// It accepts connections again 1 to 3 s later.
 func (wk *worker) crash() {
 	if wk.cold {
 		return
@@ -123,10 +124,11 @@
 	}
 }
 
-// evaluate asks the quarantine for its decision about a job (server.Executor).
+// evaluate asks the quarantine for its decision about a job (server.Executor.evaluate).
 func (j *job) evaluate() quarantine.Decision {
 	q := j.proc.core.Quarantine
-	j.decision = q.Evaluate(j.proc.w.now, j.submission().fingerprint(), quarantine.Submission{Crashes: int(j.attempt.Crashes), Granted: j.attempt.Granted}, j.submission().route.path)
+	j.decision = q.Evaluate(j.proc.w.now, j.submission().fingerprint(),
+		quarantine.Submission{Crashes: int(j.attempt.Crashes), Granted: j.attempt.Granted}, j.submission().route.path)
 	return j.decision
 }
 
@@ -134,7 +136,7 @@
 
 // detectCrash reports a failed run to the quarantine. It returns true when the worker has
 // crashed, which a refused connection also shows (package node).
-func (j *job) detectCrash() (ended bool) {
+func (j *job) detectCrash() (crashed bool) {
 	proc := j.proc
 	if proc.core.Owner.Draining() || proc.w.options.ignoreCrashes {
 		return false
--- a/internal/proof/exchange.go
+++ b/internal/proof/exchange.go
@@ -77,7 +77,8 @@
 	x.drive()
 }
 
-// refuseUnrouted answers a request that no route matches (server.CallerHandler).
+// refuseUnrouted answers a request that no route matches
+// (server.CallerHandler.refuseUnrouted).
 func (p *process) refuseUnrouted(s *submission) {
 	ready := p.core.Board.Readiness.Get()
 	switch {
--- a/internal/proof/executor.go
+++ b/internal/proof/executor.go
@@ -79,7 +79,8 @@
 	}
 	decision := j.evaluate()
 	kind, refusal := p.core.Owner.OfferSuspect(p.w.now, &attempt, j.sameNode, owner.Restrictions{
-		Crashes: int(attempt.Crashes), Exclusive: decision.Exclusive(), Refusal: decision.Refusal(), OnlyOwner: decision.OnlyOwner, RetryAfter: decision.RetryAfter,
+		Crashes: int(attempt.Crashes), Exclusive: decision.Exclusive(), Refusal: decision.Refusal(),
+		OnlyOwner: decision.OnlyOwner, RetryAfter: decision.RetryAfter,
 	})
 	if p.w.options.ignoreLeaving && p.leaving() && refusal.Reason == model.ReasonLeaving {
 		j.forced = true
@@ -170,7 +171,10 @@
 		j.finish(owner.Completion{ServiceTime: took, Failed: resp.failed, Status: resp.status()})
 		j.runCompleted()
 		times := wire.AttemptTimes{Queued: j.started.Sub(j.offered), Worker: took}
-		j.end(result{response: &response{request: resp.request, failed: resp.failed, truncated: resp.kind == responseTruncated}, hasReport: true, report: j.proc.report(), times: times})
+		j.end(result{
+			response:  &response{request: resp.request, failed: resp.failed, truncated: resp.kind == responseTruncated},
+			hasReport: true, report: j.proc.report(), times: times,
+		})
 	}
 }
 
@@ -183,8 +187,8 @@
 	return otherwise
 }
 
-// fail ends a job whose exchange with the worker failed (server.Executor). notRun means
-// that the worker never received the request.
+// fail ends a job whose exchange with the worker failed (server.Executor.failed). notRun
+// means that the worker never received the request.
 func (j *job) fail(notRun bool) {
 	if j.run != nil {
 		j.run.cancel()
@@ -210,8 +214,8 @@
 	j.refuse(model.Refusal{Reason: reason, NotRun: notRun})
 }
 
-// cancel tells the owner that the entry no longer waits; expired tells whether the
-// deadline was the cause.
+// cancel cancels the job because the entry no longer waits; expired is set when the
+// attempt's deadline is the cause.
 func (j *job) cancel(expired bool) {
 	j.cancelled, j.expired = !expired, expired
 	switch j.state {
--- a/internal/proof/ledger.go
+++ b/internal/proof/ledger.go
@@ -211,7 +211,7 @@
 	return strings.Join(ids, " ")
 }
 
-// recordOffer records an owner's decision. knewLeaving tells whether the owner knew that
+// recordOffer records an owner's decision. knewLeaving is set when the owner knew that
 // its upstream is leaving.
 func (g *ledger) recordOffer(j *job, knewLeaving bool, kind owner.DecisionKind, r model.Refusal) {
 	if kind == owner.Refuse {
--- a/internal/proof/link.go
+++ b/internal/proof/link.go
@@ -33,7 +33,7 @@
 	return &links{proc: proc, byPeer: map[model.InstanceID][]*linkEnd{}}
 }
 
-// open stands for Manager.Open.
+// open stands for link.Manager.Open. A failure is reported as LinkDown.
 func (s *links) open(peer model.InstanceID, address string) {
 	s.dial(address, false, func(e *linkEnd) {
 		if e == nil {
@@ -133,7 +133,7 @@
 	})
 }
 
-// close stands for Manager.CloseLink.
+// close stands for link.Manager.CloseLink.
 func (s *links) close(peer model.InstanceID) {
 	for _, e := range slices.Clone(s.byPeer[peer]) {
 		if e.outgoing && !e.transient {
@@ -159,7 +159,7 @@
 	}
 }
 
-// send stands for Manager.Send. It returns false when there is no link.
+// send stands for link.Manager.Send. It returns false when there is no link.
 func (s *links) send(to model.InstanceID, m wire.Message) bool {
 	ends := s.byPeer[to]
 	if len(ends) == 0 {
@@ -169,8 +169,8 @@
 	return true
 }
 
-// sendTo stands for Manager.SendTo: it opens a transient link when there is none. onSent
-// learns whether the message was sent.
+// sendTo stands for link.Manager.SendTo: it opens a transient link when there is none.
+// onSent receives whether the message was sent.
 func (s *links) sendTo(to model.Instance, m wire.Message, onSent func(ok bool)) {
 	if s.send(to.ID, m) {
 		onSent(true)
--- a/internal/proof/network.go
+++ b/internal/proof/network.go
@@ -6,8 +6,8 @@
 const (
 	nearDelay = 200 * time.Microsecond
 	farDelay  = time.Millisecond
-	// dialTimeout is package link's timeout, callTimeout package server's for opening a
-	// connection.
+	// dialTimeout is package link's timeout for opening a link. callTimeout is how long an
+	// attempt waits for a connection across a cut; package server waits 400 ms.
 	dialTimeout = 3 * time.Second
 	callTimeout = time.Second
 	// maxRetransmitDelay is how long TCP may hold bytes that were sent into a partition
@@ -101,9 +101,9 @@
 		return
 	}
 	delete(n.cuts, p)
-	held := n.delayed[p]
+	delayed := n.delayed[p]
 	delete(n.delayed, p)
-	for _, h := range held {
+	for _, h := range delayed {
 		if n.w.now.Sub(h.since) < maxRetransmitDelay {
 			n.w.after(n.w.between(0, 200*time.Millisecond), h.deliver)
 		}
--- a/internal/proof/oracle.go
+++ b/internal/proof/oracle.go
@@ -145,7 +145,8 @@
 	}
 }
 
-// recordMeasurement records a measuring message at a worker and checks the budget.
+// recordMeasurement records a measuring message at a node's upstream, a poll that reaches
+// the worker or a probe that its owner answers, and checks the budget.
 func (g *ledger) recordMeasurement(n *node) {
 	g.count("measuring messages")
 	kept := g.measurements[n][:0]
@@ -256,7 +257,7 @@
 	return true
 }
 
-// missing returns what the process lacks to be ready, by its own report.
+// missing returns what the process reports as missing for its readiness.
 func (p *process) missing() []string {
 	if r := p.core.Board.Readiness.Get(); r != nil {
 		return r.Missing
--- a/internal/proof/platform.go
+++ b/internal/proof/platform.go
@@ -58,7 +58,9 @@
 			all = append(all, in)
 		}
 	}
-	p.revisions = append(p.revisions, listRevision{publishedAt: p.w.now, revision: uint64(len(p.revisions) + 1), instances: all})
+	p.revisions = append(p.revisions, listRevision{
+		publishedAt: p.w.now, revision: uint64(len(p.revisions) + 1), instances: all,
+	})
 }
 
 // visibleList returns the list that readers see now.
--- a/internal/proof/process.go
+++ b/internal/proof/process.go
@@ -34,13 +34,13 @@
 	starts  int
 }
 
-func newNode(w *world, index int, p instanceSpec) *node {
+func newNode(w *world, index int, spec instanceSpec) *node {
 	n := &node{
 		w:          w,
 		index:      index,
 		id:         model.InstanceID(fmt.Sprintf("n%d", index)),
-		service:    p.service,
-		dataCentre: p.dataCentre,
+		service:    spec.service,
+		dataCentre: spec.dataCentre,
 		address:    fmt.Sprintf("10.0.0.%d:7400", index+1),
 	}
 	n.worker = newWorker(n)
--- a/internal/proof/recover.go
+++ b/internal/proof/recover.go
@@ -94,7 +94,8 @@
 func (w *world) checkProbes(probes []*submission) {
 	for _, s := range probes {
 		if !s.hasOutcome || s.outcome != model.OutcomeAnswered {
-			w.ledger.violate(promiseRecovery, "probe, submission %d (%s): outcome %s, want answered", s.number, s.route.path, s.describeOutcome())
+			w.ledger.violate(promiseRecovery, "probe, submission %d (%s): outcome %s, want answered",
+				s.number, s.route.path, s.describeOutcome())
 		}
 	}
 	for _, s := range w.ledger.submissions {
--- a/internal/proof/warming.go
+++ b/internal/proof/warming.go
@@ -27,7 +27,8 @@
 // warmingLeft returns how much longer the worker warms up.
 func (wk *worker) warmingLeft() time.Duration { return max(wk.warmingUntil.Sub(wk.node.w.now), 0) }
 
-// recordArrival checks a request at a warming worker against the limit of one second.
+// recordArrival records a request at a warming worker and checks the number of requests
+// within a second against maxWarmingPerSecond.
 func (wk *worker) recordArrival() {
 	if !wk.node.w.options.warming || wk.warmingLeft() == 0 {
 		return
@@ -39,7 +40,8 @@
 		wk.warmingArrivals = wk.warmingArrivals[1:]
 	}
 	if n := len(wk.warmingArrivals); n > maxWarmingPerSecond {
-		wk.node.w.ledger.violate(promiseWarming, "the worker of %s received %d requests within a second while it was warming", wk.node.id, n)
+		wk.node.w.ledger.violate(promiseWarming,
+			"the worker of %s received %d requests within a second while it was warming", wk.node.id, n)
 	}
 }
 
--- a/internal/proof/worker.go
+++ b/internal/proof/worker.go
@@ -21,13 +21,13 @@
 	// cold: connections are refused. draining: new requests are shed and the health
 	// endpoint reports leaving, until the worker is replaced.
 	cold, draining bool
-	// Faults; fail, shed, truncate, crossed and hangup are shares of the requests.
+	// Faults; fail, shed, truncate, cross and hangup are shares of the requests.
 	slowdown                            float64
 	fail, shed, truncate, cross, hangup float64
 	paused                              bool
 	pending                             []func()
 	running                             int
-	// inFlight are the unfinished runs.
+	// inFlight are the unfinished runs; finished ones are removed when the next run begins.
 	inFlight []*run
 	// reported is what the health endpoint reports; it lags by reportLag.
 	reported  health.Poll
--- a/internal/proof/world.go
+++ b/internal/proof/world.go
@@ -37,15 +37,15 @@
 }
 
 // newWorld returns a fleet whose processes have just started.
-func newWorld(seed uint64, s options) *world {
-	w := &world{now: epoch, rng: rand.New(rand.NewPCG(seed, 0)), options: s}
-	w.trace = trace{hash: xxhash.New(), out: s.trace}
+func newWorld(seed uint64, opts options) *world {
+	w := &world{now: epoch, rng: rand.New(rand.NewPCG(seed, 0)), options: opts}
+	w.trace = trace{hash: xxhash.New(), out: opts.trace}
 	w.ledger = newLedger(w)
 	w.net = newNetwork(w)
 	w.platform = newPlatform(w)
 	w.platform.publish()
-	for i, p := range layout {
-		w.nodes = append(w.nodes, newNode(w, i, p))
+	for i, spec := range layout {
+		w.nodes = append(w.nodes, newNode(w, i, spec))
 	}
 	for _, n := range w.nodes {
 		n.boot()
--- a/internal/simulation/calls/call.go
+++ b/internal/simulation/calls/call.go
@@ -33,7 +33,9 @@
 }
 
 func (f *fleet) begin(e *fleetEntry) {
-	x := &fleetCall{fleet: f, entry: e, started: f.now, counted: f.now.Sub(epoch) > fleetWarmUp, retriesLeft: f.callerRetries}
+	x := &fleetCall{
+		fleet: f, entry: e, started: f.now, counted: f.now.Sub(epoch) > fleetWarmUp, retriesLeft: f.callerRetries,
+	}
 	x.submit()
 }
 
@@ -129,8 +131,8 @@
 // offer offers an attempt to its owner and runs it when the owner starts it.
 func (f *fleet) offer(l *leg, a *model.Attempt) {
 	o := f.ownerOf(a.Owner)
-	decided := func(v owner.DecisionKind, r model.Refusal) {
-		if v == owner.Refuse {
+	decided := func(kind owner.DecisionKind, r model.Refusal) {
+		if kind == owner.Refuse {
 			l.count(&f.stats.refusals)
 			f.deliverReport(l, o, a.ID, func() { l.call.Refused(f.now, r) })
 			return
@@ -138,12 +140,12 @@
 		l.count(&f.stats.runs)
 		f.runAttempt(l, o, a.ID)
 	}
-	v, r := o.owner.Offer(f.now, a, false)
-	if v == owner.Queue {
+	kind, r := o.owner.Offer(f.now, a, false)
+	if kind == owner.Queue {
 		o.waiting[a.ID] = decided
 		return
 	}
-	decided(v, r)
+	decided(kind, r)
 }
 
 // runAttempt simulates the run of a started attempt and reports its completion.
--- a/internal/simulation/entry.go
+++ b/internal/simulation/entry.go
@@ -16,7 +16,7 @@
 
 func (e *entryNode) linkDelay(u *upstream) time.Duration {
 	if u.fault == SlowLink && u.faultActive() {
-		return remoteDelay + starvedDelay
+		return remoteDelay + slowLinkDelay
 	}
 	if e.dc == u.dc {
 		return localDelay
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -14,7 +14,8 @@
 	Cold
 	// Paused stops the process for 200 ms in every 500 ms.
 	Paused
-	// SlowLink adds 15 ms to the upstream's link.
+	// SlowLink makes the upstream's link to every entry node 15 ms slower than a link
+	// between data centres.
 	SlowLink
 )
 
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -17,17 +17,17 @@
 
 // Parameters of the model.
 const (
-	entryCount   = 11
-	slotCount    = 20
-	queueLimit   = 80
-	meanService  = 10 * time.Millisecond
-	timeout      = 100 * time.Millisecond
-	warmUp       = 500 * time.Millisecond
-	runLength    = 2500 * time.Millisecond
-	starvedDelay = 15 * time.Millisecond
-	localDelay   = 100 * time.Microsecond
-	remoteDelay  = time.Millisecond
-	maxAttempts  = 4
+	entryCount    = 11
+	slotCount     = 20
+	queueLimit    = 80
+	meanService   = 10 * time.Millisecond
+	timeout       = 100 * time.Millisecond
+	warmUp        = 500 * time.Millisecond
+	runLength     = 2500 * time.Millisecond
+	slowLinkDelay = 15 * time.Millisecond
+	localDelay    = 100 * time.Microsecond
+	remoteDelay   = time.Millisecond
+	maxAttempts   = 4
 	// tailMeans is the part of the remaining time that the owner reserves for the run
 	// itself, in mean service times.
 	tailMeans = 3
--- a/internal/simulation/upstream.go
+++ b/internal/simulation/upstream.go
@@ -127,11 +127,11 @@
 		return
 	}
 	const gain = 1.0 / 16
-	share := 0.0
+	failure := 0.0
 	if failed {
-		share = 1
+		failure = 1
 	}
-	u.failureRate += gain * (share - u.failureRate)
+	u.failureRate += gain * (failure - u.failureRate)
 	u.meanServiceTime += gain * (float64(d) - u.meanServiceTime)
 	u.inFlight--
 	u.startQueued()
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -181,7 +181,8 @@
 	if err != nil {
 		return err
 	}
-	m.worker = standin.NewWorker(standin.WorkerConfig{Service: m.service, OnRun: m.onRun, Fault: m.nextResponseFault}, m.workerID(), l)
+	m.worker = standin.NewWorker(
+		standin.WorkerConfig{Service: m.service, OnRun: m.onRun, Fault: m.nextResponseFault}, m.workerID(), l)
 	var errs [5]error
 	m.peerProxy, errs[0] = newProxy(net.JoinHostPort(ip(networkPeer, i), f.peerPort), net.JoinHostPort(ip(networkNode, i), f.peerPort))
 	m.storeProxy, errs[1] = newProxy(ip(networkStore, i)+":0", f.storeListener.Addr().String())
@@ -397,7 +398,7 @@
 	return f.version
 }
 
-// close stops everything that the fleet started, by the processes it started.
+// close kills the fleet's nodes and closes its workers, proxies and listeners.
 func (f *fleet) close() error {
 	for _, l := range f.unresponsive {
 		l.Close()
@@ -407,8 +408,8 @@
 			<-p.exited
 		}
 		m.worker.Close()
-		for _, w := range []*proxy{m.peerProxy, m.storeProxy, m.workerProxy} {
-			w.close()
+		for _, p := range []*proxy{m.peerProxy, m.storeProxy, m.workerProxy} {
+			p.close()
 		}
 	}
 	return f.storeListener.Close()
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -60,17 +60,17 @@
 	machineFaults map[int][]span
 	plannedFaults map[int][]span
 	storeFaults   []span
-	// drained is when a worker was listed as draining, or its entry was replaced, by
-	// worker id.
-	drained map[string]time.Time
-	// versions is when each configuration was written.
-	versions     map[int]time.Time
+	// drainedAt holds, by worker id, the time at which a worker was listed as draining or
+	// its entry was replaced.
+	drainedAt map[string]time.Time
+	// writtenAt holds the time at which each configuration version was written.
+	writtenAt    map[int]time.Time
 	violations   []string
 	lastFaultEnd time.Time
 	// processSpans are the spans in which nodes' processes ran, by machine.
 	processSpans map[int][]span
-	// activations is when machines had versions active; observations is which versions
-	// processes showed to be active.
+	// activations holds the times at which machines had versions active; observations holds
+	// the versions that processes showed to be active.
 	activations  []activation
 	observations map[nodeProcess][]observation
 	// stalls are the spans in which machines made no progress because the host was
@@ -79,12 +79,12 @@
 	// applyDelays are the delays with which undisturbed machines activated versions,
 	// sorted.
 	applyDelays []time.Duration
-	// evacuations is when the current evacuations were acknowledged, by zone.
-	evacuations map[string]time.Time
+	// evacuatedAt holds the time at which each current evacuation was acknowledged, by zone.
+	evacuatedAt map[string]time.Time
 	// burstSpans are the spans in which workers may receive requests in bursts, by
 	// machine.
 	burstSpans map[int][]span
-	// watchEnd is when the watches ended, zero before.
+	// watchEnd is the end of the watches, zero before that.
 	watchEnd time.Time
 }
 
@@ -94,8 +94,9 @@
 func newLedger() *ledger {
 	return &ledger{
 		requests: map[string]*request{}, machineFaults: map[int][]span{}, plannedFaults: map[int][]span{},
-		drained: map[string]time.Time{}, versions: map[int]time.Time{}, processSpans: map[int][]span{}, observations: map[nodeProcess][]observation{}, stalls: map[int][]span{},
-		evacuations: map[string]time.Time{}, burstSpans: map[int][]span{},
+		drainedAt: map[string]time.Time{}, writtenAt: map[int]time.Time{}, processSpans: map[int][]span{},
+		observations: map[nodeProcess][]observation{}, stalls: map[int][]span{},
+		evacuatedAt: map[string]time.Time{}, burstSpans: map[int][]span{},
 	}
 }
 
@@ -136,7 +137,8 @@
 		l.addViolation("route", "%s (%s) was run by service %s", r.id, r.class, run.Service)
 	}
 	l.checkEvacuation(r, run)
-	if at, ok := l.drained[run.Worker]; ok && run.StartedAt.Sub(at) > maxDrainTime && l.undisturbed(workerMachine(run.Worker), at, run.StartedAt) {
+	if at, ok := l.drainedAt[run.Worker]; ok && run.StartedAt.Sub(at) > maxDrainTime &&
+		l.undisturbed(workerMachine(run.Worker), at, run.StartedAt) {
 		l.addViolation("drain", "%s reached %s %s after it was listed as draining", r.id, run.Worker, run.StartedAt.Sub(at))
 	}
 }
@@ -165,27 +167,28 @@
 	}
 	matchesRun := slices.ContainsFunc(r.runs, func(run standin.Run) bool { return string(body) == wantBody(run.Service) })
 	if !matchesRun || resp.Header.Get(names.Signature) != standin.Signature {
-		l.addViolation("mixed", "%s got status %d with body %.60q, not the response of a worker that ran it", r.id, r.status, body)
+		l.addViolation("mixed", "%s got status %d with body %.60q, not the response of a worker that ran it",
+			r.id, r.status, body)
 	}
 }
 
 func (l *ledger) recordConfig(version int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.versions[version] = time.Now()
+	l.writtenAt[version] = time.Now()
 }
 
 func (l *ledger) recordDraining(worker string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.drained[worker] = time.Now()
+	l.drainedAt[worker] = time.Now()
 }
 
 // recordListed records that a worker listed as unusable is listed as usable again.
 func (l *ledger) recordListed(worker string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.drained, worker)
+	delete(l.drainedAt, worker)
 }
 
 // beginFault opens a span of faults and returns the function that closes it. machine is
@@ -271,7 +274,8 @@
 		// A request that a planned stop closes before it is forwarded has no run and does
 		// not count.
 		if len(r.runs) > 0 && faultFree(l.machineFaults[r.machine], r.sent.Add(-undisturbedTime), r.completed) {
-			l.addViolation("lost", "%s at machine %d ran and got no response within %s", r.id, r.machine, r.completed.Sub(r.sent))
+			l.addViolation("lost", "%s at machine %d ran and got no response within %s",
+				r.id, r.machine, r.completed.Sub(r.sent))
 		}
 	}
 	if took := r.completed.Sub(r.sent); took > routeTimeout+time.Second && l.undisturbed(r.machine, r.sent, r.completed) {
@@ -334,6 +338,7 @@
 		}
 	}
 	if requests == 0 || float64(served) < minServedShare*float64(requests) {
-		l.addViolation("recover", "%d of %d requests were served once %s had passed without faults", served, requests, maxRecoveryTime)
+		l.addViolation("recover", "%d of %d requests were served once %s had passed without faults",
+			served, requests, maxRecoveryTime)
 	}
 }
--- a/internal/soak/ledger_test.go
+++ b/internal/soak/ledger_test.go
@@ -28,7 +28,7 @@
 // fault.
 func faultFreeLedger() *ledger {
 	l := newLedger()
-	l.versions[1] = testStart
+	l.writtenAt[1] = testStart
 	for d := time.Duration(0); d < 20*time.Second; d += 50 * time.Millisecond {
 		l.add(servedRequest("r"+d.String(), "browse", serviceCatalogue, d))
 	}
@@ -70,7 +70,7 @@
 			l.add(r)
 		},
 		"config: x": func(l *ledger) {
-			l.versions[2] = testStart
+			l.writtenAt[2] = testStart
 			r := servedRequest("x", generationClass(2), serviceCatalogue, 9*time.Second)
 			r.status, r.runs = http.StatusNotFound, nil
 			l.add(r)
@@ -95,7 +95,7 @@
 			l.recordRun(standin.Run{ID: "x", Service: serviceCatalogue, Worker: "w1-0"})
 		},
 		"drain": func(l *ledger) {
-			l.drained["w1-0"] = testStart
+			l.drainedAt["w1-0"] = testStart
 			l.add(&request{id: "x", class: "order", service: serviceOrders})
 			l.recordRun(standin.Run{ID: "x", Service: serviceOrders, Worker: "w1-0", StartedAt: timeAt(maxDrainTime + time.Second)})
 		},
@@ -104,31 +104,31 @@
 			l.recordActivation(activation{machine: 1, version: 1, at: timeAt(maxApplyTime + time.Millisecond)})
 		},
 		"config: old": func(l *ledger) {
-			l.versions[2] = timeAt(time.Second)
+			l.writtenAt[2] = timeAt(time.Second)
 			r := servedRequest("old", classMoved, "", 5*time.Second)
 			r.runs[0].Service = serviceCatalogue
 			l.add(r)
 		},
 		"config: zero": func(l *ledger) {
-			l.versions[2] = timeAt(time.Second)
+			l.writtenAt[2] = timeAt(time.Second)
 			r := servedRequest("zero", classSplit, "", 5*time.Second)
 			r.runs[0].Service = serviceCatalogue
 			l.add(r)
 		},
 		"config: dropped": func(l *ledger) {
-			l.versions[1+generationVersions] = timeAt(time.Second)
+			l.writtenAt[1+generationVersions] = timeAt(time.Second)
 			l.add(servedRequest("dropped", generationClass(1), serviceCatalogue, 5*time.Second))
 		},
 		"config: back": func(l *ledger) {
 			l.processSpans[0] = []span{{from: testStart.Add(-time.Minute)}}
-			l.versions[2] = timeAt(3 * time.Second)
+			l.writtenAt[2] = timeAt(3 * time.Second)
 			l.add(servedRequest("new", generationClass(2), serviceCatalogue, 4*time.Second))
 			r := servedRequest("back", generationClass(2), serviceCatalogue, 4*time.Second+2*regressSlack)
 			r.status, r.runs = http.StatusNotFound, nil
 			l.add(r)
 		},
 		"config: of 30 requests on added": func(l *ledger) {
-			l.versions[2] = testStart
+			l.writtenAt[2] = testStart
 			for i := range 30 {
 				r := servedRequest(fmt.Sprint("added", i), generationClass(2), serviceCatalogue, 5*time.Second)
 				r.status, r.runs = http.StatusServiceUnavailable, nil
@@ -155,7 +155,7 @@
 
 func TestFaultsSuspendTimeLimits(t *testing.T) {
 	l := faultFreeLedger()
-	l.versions[2] = timeAt(6 * time.Second)
+	l.writtenAt[2] = timeAt(6 * time.Second)
 	l.recordActivation(activation{machine: 0, version: 2, at: timeAt(9 * time.Second)})
 	l.machineFaults[0] = []span{{from: timeAt(5 * time.Second), to: timeAt(8 * time.Second)}}
 	r := servedRequest("x", generationClass(2), serviceCatalogue, 9*time.Second)
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -56,7 +56,8 @@
 }
 
 // secondKinds are the kinds that plans of PlanSecond are drawn from.
-var secondKinds = append(slices.Clone(firstKinds), kindWorkerRestart, kindForeignWriter, kindForeignWriter, kindPartitionConfig, kindPartitionConfig)
+var secondKinds = append(slices.Clone(firstKinds),
+	kindWorkerRestart, kindForeignWriter, kindForeignWriter, kindPartitionConfig, kindPartitionConfig)
 
 // thirdKinds are the kinds that plans of PlanThird are drawn from.
 var thirdKinds = append(slices.Clone(secondKinds), kindDeadly, kindDeadly)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -93,7 +93,10 @@
 	stopClients()
 	clients.Wait()
 	f.watchers.Wait()
-	report := Report{Plan: p.String(), Violations: l.check(), Requests: len(l.order), ApplyDelays: l.applyDelays, StoreCalls: f.store.Calls(), Elapsed: time.Since(start)}
+	report := Report{
+		Plan: p.String(), Violations: l.check(), Requests: len(l.order), ApplyDelays: l.applyDelays,
+		StoreCalls: f.store.Calls(), Elapsed: time.Since(start),
+	}
 	for _, r := range l.order {
 		if r.status == http.StatusOK {
 			report.Served++
@@ -267,7 +270,8 @@
 // adds an entry of an unknown service.
 func (m *machine) replaceEntry(ctx context.Context, flt fault) {
 	id := m.worker.ID()
-	m.fleet.store.Put(names.WorkerKeyPrefix+id, standin.InvalidWorkerValues[int(flt.duration)%len(standin.InvalidWorkerValues)])
+	m.fleet.store.Put(names.WorkerKeyPrefix+id,
+		standin.InvalidWorkerValues[int(flt.duration)%len(standin.InvalidWorkerValues)])
 	m.fleet.ledger.recordDraining(id)
 	extra := m.workerEntry(names.StateReady)
 	extra.ID, extra.Service = "beside-"+id, "nobody"
--- a/internal/soak/versions.go
+++ b/internal/soak/versions.go
@@ -34,7 +34,7 @@
 	stallCheckInterval, minStall = 10 * time.Millisecond, 100 * time.Millisecond
 )
 
-// activation is when a machine had a version, or a later one, active.
+// activation records when a machine had a version, or a later one, active.
 type activation struct {
 	machine, version int
 	// at is zero if the version was not active within watchTimeout.
@@ -143,7 +143,7 @@
 func (l *ledger) checkActivations() []time.Duration {
 	var delays []time.Duration
 	for _, a := range l.activations {
-		written := l.versions[a.version]
+		written := l.writtenAt[a.version]
 		until := a.at
 		if until.IsZero() {
 			until = written.Add(watchTimeout)
@@ -218,7 +218,7 @@
 // newestAt returns the newest version written by a moment.
 func (l *ledger) newestAt(at time.Time) int {
 	newest := 0
-	for v, written := range l.versions {
+	for v, written := range l.writtenAt {
 		if !written.After(at) {
 			newest = max(newest, v)
 		}
@@ -229,7 +229,7 @@
 // requiredVersion returns the version that had to be active when a request was sent.
 func (l *ledger) requiredVersion(r *request) int {
 	required := 1
-	for v, written := range l.versions {
+	for v, written := range l.writtenAt {
 		bound := maxApplyTime + l.stalledFor(r.machine, written, r.completed)
 		if r.sent.Sub(written) > bound && l.undisturbed(r.machine, written, r.completed) {
 			required = max(required, v)
@@ -256,14 +256,14 @@
 	return nodeProcess{r.machine, 0}
 }
 
-// observation is that a process had at least a version active at a moment.
+// observation records that a process had a version, or a later one, active at a moment.
 type observation struct {
 	at      time.Time
 	version int
 }
 
-// recordObservation records that a worker saw a process handle a request under at least a
-// version.
+// recordObservation records that a process had a version, or a later one, active when a
+// worker started to run its request.
 func (l *ledger) recordObservation(process nodeProcess, r *request, version int) {
 	if len(r.runs) == 0 || version == 0 || process.number == 0 {
 		return
@@ -302,7 +302,8 @@
 			added.add(r)
 		}
 	}
-	if added.requests >= minAddedRequests && other.requests >= minAddedRequests && added.share() < minAddedShare*other.share() {
+	if added.requests >= minAddedRequests && other.requests >= minAddedRequests &&
+		added.share() < minAddedShare*other.share() {
 		l.addViolation("config", "of %d requests on added routes %d were served, of %d on other routes %d", added.requests, added.served, other.requests, other.served)
 	}
 }
--- a/internal/soak/zones.go
+++ b/internal/soak/zones.go
@@ -64,16 +64,16 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if on {
-		l.evacuations[zone] = time.Now()
+		l.evacuatedAt[zone] = time.Now()
 		return
 	}
-	delete(l.evacuations, zone)
+	delete(l.evacuatedAt, zone)
 }
 
 // checkEvacuation checks a run against an evacuation of its worker's zone; l.mu is held.
 func (l *ledger) checkEvacuation(r *request, run standin.Run) {
 	machine := workerMachine(run.Worker)
-	at, on := l.evacuations[zoneOf(machine)]
+	at, on := l.evacuatedAt[zoneOf(machine)]
 	if !on || run.StartedAt.Sub(at) <= maxEvacuationTime {
 		return
 	}
