--- a/cmd/gypsumfake/flags.go
+++ b/cmd/gypsumfake/flags.go
@@ -17,9 +17,9 @@
 	control string
 }
 
-func (p *addressFlags) define(fs *flag.FlagSet, listen, control string) {
-	fs.StringVar(&p.listen, "listen", listen, "ip:port to serve on")
-	fs.StringVar(&p.control, "control", control, "ip:port of the control server, which sets faults")
+func (f *addressFlags) define(fs *flag.FlagSet, listen, control string) {
+	fs.StringVar(&f.listen, "listen", listen, "ip:port to serve on")
+	fs.StringVar(&f.control, "control", control, "ip:port of the control server, which sets faults")
 }
 
 // parse parses the flags. If ok is false, the command exits with the code.
--- a/cmd/gypsumfake/serve.go
+++ b/cmd/gypsumfake/serve.go
@@ -28,18 +28,18 @@
 
 // attach configures the listener from the flags and creates the server of a worker. It does
 // nothing for other stand-ins.
-func (p *standIn) attach(l *listen.Listener) error {
-	if p.worker == nil {
+func (s *standIn) attach(l *listen.Listener) error {
+	if s.worker == nil {
 		return nil
 	}
-	l.SetLimit(p.flags.connections)
-	l.SetDelay(p.flags.connectDelay)
-	p.server = p.worker.NewServer(l)
-	return p.worker.ChangeFaults(func(f *worker.Faults) { f.Cold = p.flags.cold })
+	l.SetLimit(s.flags.connections)
+	l.SetDelay(s.flags.connectDelay)
+	s.server = s.worker.NewServer(l)
+	return s.worker.ChangeFaults(func(f *worker.Faults) { f.Cold = s.flags.cold })
 }
 
 // serve serves the work and control ports until ctx ends and returns the exit code.
-func serve(ctx context.Context, stderr io.Writer, name string, addresses addressFlags, p standIn, control http.Handler) int {
+func serve(ctx context.Context, stderr io.Writer, name string, addresses addressFlags, s standIn, control http.Handler) int {
 	log := zerolog.New(stderr).With().Timestamp().Str("stand_in", name).Logger()
 	listener, err := listen.TCP(addresses.listen)
 	if err != nil {
@@ -50,7 +50,7 @@
 	controlListener, err := net.Listen("tcp", addresses.control)
 	if err == nil {
 		defer controlListener.Close()
-		err = p.attach(listener)
+		err = s.attach(listener)
 	}
 	if err != nil {
 		event.Log(&log, event.StandInFailed).Err(err).Send()
@@ -58,18 +58,18 @@
 	}
 	controlServer := &http.Server{Handler: control, ReadHeaderTimeout: stopTimeout}
 	failed := make(chan error, 2)
-	go func() { failed <- p.server.Serve(listener) }()
+	go func() { failed <- s.server.Serve(listener) }()
 	go func() { failed <- controlServer.Serve(controlListener) }()
 	event.Log(&log, event.StandInStarted).Str("listen", listener.Addr().String()).Str("control", controlListener.Addr().String()).Send()
 	select {
 	case err := <-failed:
-		_ = p.server.Close()
+		_ = s.server.Close()
 		_ = controlServer.Close()
 		event.Log(&log, event.StandInFailed).Err(err).Send()
 		return exitFailed
 	case <-ctx.Done():
 	}
-	stop(&log, p.server, controlServer)
+	stop(&log, s.server, controlServer)
 	return exitOK
 }
 
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -18,8 +18,8 @@
 		r.printf("\nall guarantees checked by this run were kept\n")
 		return nil
 	}
-	for _, b := range r.violations {
-		r.printf("VIOLATION: %s\n", b)
+	for _, v := range r.violations {
+		r.printf("VIOLATION: %s\n", v)
 	}
 	return fmt.Errorf("%w: %d violations", ErrViolation, len(r.violations))
 }
--- a/internal/failure/callers_test.go
+++ b/internal/failure/callers_test.go
@@ -44,7 +44,7 @@
 	closesConnection bool
 }
 
-func (a result) answered() bool { return a.err == nil && a.outcome == answered }
+func (r result) answered() bool { return r.err == nil && r.outcome == answered }
 
 // Outcomes, as they are written in the outcome header.
 var (
--- a/internal/proof/actions.go
+++ b/internal/proof/actions.go
@@ -130,7 +130,7 @@
 // worldChooser draws from the world's random source, which keeps drawn plans short.
 type worldChooser struct{ w *world }
 
-func (b worldChooser) pick(_ string, n int) int { return b.w.rng.IntN(n) }
+func (c worldChooser) pick(_ string, n int) int { return c.w.rng.IntN(n) }
 
 // resubmit repeats a submission that carries a caller's own request id, whatever its
 // outcome was.
--- a/internal/proof/mutation_test.go
+++ b/internal/proof/mutation_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// runPlainPlan runs a plan drawn from seed until the oracle finds a violation.
-func runPlainPlan(seed uint64, s options, prepare func(*world)) *world {
+// runPlainPlan runs a plan of 40 steps drawn from seed, or its steps up to the oracle's
+// first violation.
+func runPlainPlan(seed uint64, opts options, prepare func(*world)) *world {
 	c := seededChooser{rand.New(rand.NewPCG(seed, 1))}
-	w := newWorld(seed, s)
+	w := newWorld(seed, opts)
 	w.start(c)
 	if prepare != nil {
 		prepare(w)
--- a/internal/proof/options.go
+++ b/internal/proof/options.go
@@ -40,7 +40,7 @@
 	// warming limits the request rate of workers while they warm up; ignoreWarming makes
 	// workers report that they are warm at all times.
 	warming, ignoreWarming bool
-	// trace, when not nil, receives one line for each thing that happens.
+	// trace, when not nil, receives one line for each event of the run.
 	trace io.Writer
 }
 
--- a/internal/proof/promises_test.go
+++ b/internal/proof/promises_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// logCounts logs how often each kind of thing happened in the plans.
+// logCounts logs the number of events of each kind in the plans.
 func logCounts(t *testing.T, counts map[string]int) {
 	names := make([]string, 0, len(counts))
 	for name := range counts {
--- a/internal/proof/run.go
+++ b/internal/proof/run.go
@@ -23,7 +23,7 @@
 	Deadly bool
 	// Warming lets workers warm up at random moments, with a limited request rate.
 	Warming bool
-	// Trace receives one line for each thing that happens; nil disables it.
+	// Trace receives one line for each event of the run; nil disables it.
 	Trace io.Writer
 }
 
@@ -33,7 +33,7 @@
 	// Violations holds one line for each violation that the oracle found. It is empty
 	// when all promises held and service recovered after the faults.
 	Violations []string
-	// Counts holds how often each kind of thing happened, by its name.
+	// Counts holds the number of events of each kind, by the kind's name.
 	Counts map[string]int
 	// Hash is a hash of the trace: it differs when two runs of a plan differ.
 	Hash uint64
