--- a/internal/failure/stoppaused_test.go
+++ b/internal/failure/stoppaused_test.go
@@ -36,13 +36,13 @@
 		calling.Go(func() { c.send(t.Context(), stopping.Caller, payout("/payouts/slow")) })
 	}
 	await(t, "all requests forwarded", func() bool {
-		passedOn := len(c.submissions()) - before
+		forwarded := len(c.submissions()) - before
 		for _, p := range d.nodes {
 			if s, ok := p.status(); ok {
-				passedOn += s.Owner.InFlight + s.Owner.Queued
+				forwarded += s.Owner.InFlight + s.Owner.Queued
 			}
 		}
-		return passedOn >= heldRequests
+		return forwarded >= heldRequests
 	})
 	stopping.stdin.Close()
 	await(t, "the port closed", func() bool {
