--- a/internal/blackboard/blackboard.go
+++ b/internal/blackboard/blackboard.go
@@ -91,8 +91,8 @@
 // that reads succeed again.
 const ReadFailureMemory = 10 * time.Second
 
-// Failing reports whether this node's own reads fail.
-func (d *Directory) Failing(now time.Time) bool {
+// ReadsFailing reports whether this node's own reads fail.
+func (d *Directory) ReadsFailing(now time.Time) bool {
 	return !d.FailedAt.IsZero() && now.Sub(d.FailedAt) < ReadFailureMemory
 }
 
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -114,8 +114,8 @@
 	ReadDuration time.Duration
 }
 
-// DirectoryFailed reports that the directory could not be read.
-type DirectoryFailed struct{ Err error }
+// DirectoryReadFailed reports that the directory could not be read.
+type DirectoryReadFailed struct{ Err error }
 
 // PeerFreshnessReceived is a peer's directory freshness: from a report its age is an upper
 // bound; from an attempt it is only a revision, with AgeUnknown.
@@ -195,7 +195,7 @@
 func (VersionSeen) isEvent()     {}
 
 func (DirectoryRead) isEvent()             {}
-func (DirectoryFailed) isEvent()           {}
+func (DirectoryReadFailed) isEvent()       {}
 func (PeerFreshnessReceived) isEvent()     {}
 func (PeerDirectoryReceived) isEvent()     {}
 func (PeerDirectoryFailed) isEvent()       {}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -129,7 +129,7 @@
 	switch e := ev.(type) {
 	case control.DirectoryRead:
 		c.handleRead(now, e)
-	case control.DirectoryFailed:
+	case control.DirectoryReadFailed:
 		c.handleReadFailure(now, e.Err)
 	case control.PeerFreshnessReceived:
 		c.handleFreshness(now, e)
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -79,7 +79,7 @@
 func TestExpiredWorkerMayRelistAfterOutage(t *testing.T) {
 	r := newRig()
 	r.handle(twoWorkers())
-	r.handle(control.DirectoryFailed{Err: errors.New("down")})
+	r.handle(control.DirectoryReadFailed{Err: errors.New("down")})
 	r.advance(outageThreshold + time.Second)
 	// The directory has recovered and lists neither worker.
 	r.handle(control.DirectoryRead{Full: true, Revision: 50})
@@ -98,7 +98,7 @@
 func TestFailedReadDelaysNoRemovalWhilePeersRead(t *testing.T) {
 	r := newRig()
 	r.handle(twoWorkers())
-	r.handle(control.DirectoryFailed{Err: errors.New("turned away")})
+	r.handle(control.DirectoryReadFailed{Err: errors.New("turned away")})
 	for range 9 {
 		r.advance(time.Second)
 		r.handle(control.PeerFreshnessReceived{From: "10.0.0.2", Freshness: model.DirectoryFreshness{Revision: 2, AgeMs: 10}})
@@ -111,7 +111,7 @@
 func TestMissingWorkerIsUnlistedWithPeerReadsOnly(t *testing.T) {
 	r := newRig()
 	r.handle(twoWorkers())
-	r.handle(control.DirectoryFailed{Err: errors.New("cut off")})
+	r.handle(control.DirectoryReadFailed{Err: errors.New("cut off")})
 	r.advance(outageThreshold + time.Second)
 	r.handle(control.PeerDirectoryReceived{From: "10.0.0.2", DirectoryRead: control.DirectoryRead{Revision: 100, Unlisted: removalOf("w2")}})
 	r.want(t, map[model.WorkerID]model.UpstreamState{"w1": model.StateLive, "w2": model.StateLive})
@@ -128,7 +128,7 @@
 	r.handle(twoWorkers())
 	r.handle(control.DirectoryRead{Listed: []model.Listing{listing("w2", "10.0.0.2", 2, model.StateLeaving)}})
 	r.want(t, map[model.WorkerID]model.UpstreamState{"w1": model.StateLive, "w2": model.StateLeaving})
-	r.handle(control.DirectoryFailed{Err: errors.New("down")})
+	r.handle(control.DirectoryReadFailed{Err: errors.New("down")})
 	r.handle(control.DirectoryRead{Full: true, Revision: 50, Listed: twoWorkers().Listed[:1]})
 	r.want(t, map[model.WorkerID]model.UpstreamState{"w1": model.StateLive})
 }
@@ -137,7 +137,7 @@
 	r := newRig()
 	r.handle(twoWorkers())
 	for range 100 {
-		r.handle(control.DirectoryFailed{Err: errors.New("down")})
+		r.handle(control.DirectoryReadFailed{Err: errors.New("down")})
 		r.advance(time.Second)
 	}
 	r.want(t, map[model.WorkerID]model.UpstreamState{"w1": model.StateLive, "w2": model.StateLive})
@@ -199,7 +199,7 @@
 func TestReplacedEntryIsRemovedAtOnceAfterOutage(t *testing.T) {
 	r := newRig()
 	r.handle(twoWorkers())
-	r.handle(control.DirectoryFailed{Err: errors.New("down")})
+	r.handle(control.DirectoryReadFailed{Err: errors.New("down")})
 	r.advance(outageThreshold + time.Second)
 	r.handle(control.DirectoryRead{Revision: 50, Unlisted: []model.Unlisted{{Worker: "w2", Revision: 50, Replaced: true}}})
 	r.want(t, map[model.WorkerID]model.UpstreamState{"w1": model.StateLive})
@@ -223,7 +223,7 @@
 	r := newRig()
 	r.handle(twoWorkers())
 	// The worker's lease expired during an outage, and it returns as a new incarnation.
-	r.handle(control.DirectoryFailed{Err: errors.New("down")})
+	r.handle(control.DirectoryReadFailed{Err: errors.New("down")})
 	r.advance(outageThreshold + time.Second)
 	r.handle(control.DirectoryRead{Revision: 50, Unlisted: []model.Unlisted{{Worker: "w2", Revision: 50}}})
 	restarted := listing("w2", "10.0.0.2", 60, model.StateLive)
--- a/internal/directory/simulation_test.go
+++ b/internal/directory/simulation_test.go
@@ -181,13 +181,13 @@
 	faulty := n.faulty && f.faultActive()
 	switch {
 	case f.fault.failAfter > 0 && f.faultActive():
-		f.in(f.fault.failAfter, func() { f.handle(n, control.DirectoryFailed{Err: errors.New("down")}) })
+		f.in(f.fault.failAfter, func() { f.handle(n, control.DirectoryReadFailed{Err: errors.New("down")}) })
 		return
 	case f.isIsolated(n):
-		f.in(time.Second, func() { f.handle(n, control.DirectoryFailed{Err: errors.New("no path")}) })
+		f.in(time.Second, func() { f.handle(n, control.DirectoryReadFailed{Err: errors.New("no path")}) })
 		return
 	case faulty && f.fault.rejected:
-		f.in(duration, func() { f.handle(n, control.DirectoryFailed{Err: errors.New("turned away")}) })
+		f.in(duration, func() { f.handle(n, control.DirectoryReadFailed{Err: errors.New("turned away")}) })
 		return
 	case faulty && f.fault.slow:
 		duration = slowReadTime
@@ -248,7 +248,7 @@
 			f.handle(n, control.PeerDirectoryFailed{From: peer.id})
 			return
 		}
-		reply := control.PeerDirectoryReceived{From: peer.id, DirectoryRead: Changes(known, after), ReadsFailing: known.Failing(f.now)}
+		reply := control.PeerDirectoryReceived{From: peer.id, DirectoryRead: Changes(known, after), ReadsFailing: known.ReadsFailing(f.now)}
 		reply.Age = time.Duration(known.Freshness(f.now).AgeMs)*time.Millisecond + delay
 		if reply.Config != nil {
 			reply.Bundle = newBundle(reply.Config.Revision)
--- a/internal/directory/view_test.go
+++ b/internal/directory/view_test.go
@@ -40,7 +40,7 @@
 		{ViewReadsFail, func(r *rig) {
 			r.handle(twoWorkers())
 			r.now = r.now.Add(StalenessBound + time.Millisecond)
-			r.handle(control.DirectoryFailed{Err: errors.New("turned away")})
+			r.handle(control.DirectoryReadFailed{Err: errors.New("turned away")})
 		}},
 	} {
 		r := newRig()
@@ -204,7 +204,7 @@
 	r.handle(control.Tick{})
 	r.handle(twoWorkers())
 	for range 6 {
-		r.handle(control.DirectoryFailed{Err: errors.New("turned away")})
+		r.handle(control.DirectoryReadFailed{Err: errors.New("turned away")})
 	}
 	fresh := control.PeerFreshnessReceived{From: "10.0.0.2", Freshness: model.DirectoryFreshness{Revision: 2, AgeMs: 10}}
 	for range 2 * int(blackboard.ReadFailureMemory/control.TickInterval) {
--- a/internal/event/member.go
+++ b/internal/event/member.go
@@ -36,7 +36,7 @@
 	ListIncomplete = define(311, zerolog.ErrorLevel, "platform's list is missing too many instances",
 		"A complete list is missing more than a third of the instances that earlier ones contained; none is removed because of it.",
 		"Check the platform's service.")
-	ListSaysLeaving = define(312, zerolog.WarnLevel, "platform's list marks this instance as leaving",
+	ListMarksLeaving = define(312, zerolog.WarnLevel, "platform's list marks this instance as leaving",
 		"The platform's list marks this instance as leaving although the node was not asked to stop; peers send it no new work.",
 		"Stop the node, or correct the platform's list.")
 	SnapshotLoaded = define(313, zerolog.InfoLevel, "fleet loaded from a peer",
--- a/internal/event/request.go
+++ b/internal/event/request.go
@@ -12,7 +12,7 @@
 		"Compare the configuration's version with the newest one published.")
 	AttemptPlaced = define(412, zerolog.DebugLevel, "attempt placed",
 		"An entry node chose an upstream for an attempt: the expected time, the estimated load there, and the age in milliseconds of the report that the estimate is based on (-1: no report).", "none")
-	AttemptBroken = define(413, zerolog.WarnLevel, "attempt interrupted",
+	AttemptInterrupted = define(413, zerolog.WarnLevel, "attempt interrupted",
 		"The connection to an owner broke, or its response was cut off. The owner is asked whether the attempt ran; otherwise this stays unknown.",
 		"Look for event 520 of the same request at that owner, and whether its process ended.")
 	OwnerUnreachable = define(414, zerolog.WarnLevel, "owner unreachable",
--- a/internal/member/list_test.go
+++ b/internal/member/list_test.go
@@ -33,7 +33,7 @@
 	x := f.nodes[2]
 	f.setListed(instance(2, 2, model.StateLeaving))
 	f.run(6 * time.Second)
-	if k := f.count(x.inst.ID, model.StateLeaving); k != 6 || x.events[event.ListSaysLeaving] == 0 {
+	if k := f.count(x.inst.ID, model.StateLeaving); k != 6 || x.events[event.ListMarksLeaving] == 0 {
 		t.Errorf("leaving for %d of 6, events %v", k, x.events)
 	}
 	f.setListed(instance(2, 2, model.StateLive))
--- a/internal/member/self.go
+++ b/internal/member/self.go
@@ -172,6 +172,6 @@
 	case after.ListStatus == wire.ListLive:
 		c.adoptIncarnation(now, after, after.Incarnation+1, c.ownState)
 	case serving(before.State):
-		c.record(event.ListSaysLeaving, string(after.ID), "")
+		c.record(event.ListMarksLeaving, string(after.ID), "")
 	}
 }
--- a/internal/node/crash.go
+++ b/internal/node/crash.go
@@ -54,7 +54,7 @@
 			return true
 		}
 		age := time.Since(since)
-		if age > crashTimeout || age > concurrentTimeout && n.core.Owner.Running() > 0 {
+		if age > crashTimeout || age > concurrentTimeout && n.core.Owner.InFlight() > 0 {
 			return false
 		}
 		select {
--- a/internal/node/directory.go
+++ b/internal/node/directory.go
@@ -31,7 +31,7 @@
 	began := n.clock()
 	read, err := n.cfg.Directory.Read(n.ctx, after)
 	if err != nil {
-		n.sink(control.DirectoryFailed{Err: err})
+		n.sink(control.DirectoryReadFailed{Err: err})
 		return
 	}
 	read.ReadDuration = n.elapsed(began)
@@ -118,7 +118,7 @@
 	changes := directory.Changes(view, after)
 	now := time.Now()
 	data, err := wire.EncodeDirectory(&wire.DirectoryChanges{
-		Revision: changes.Revision, AgeMs: view.Freshness(now).AgeMs, ReadsFailing: view.Failing(now),
+		Revision: changes.Revision, AgeMs: view.Freshness(now).AgeMs, ReadsFailing: view.ReadsFailing(now),
 		Full: changes.Full, Listed: changes.Listed, Unlisted: changes.Unlisted, Evacuations: changes.Evacuations, Config: changes.Config, Refused: changes.Refused,
 	})
 	if err != nil {
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -329,8 +329,8 @@
 	return len(o.pending)
 }
 
-// Running returns the number of attempts at the worker.
-func (o *Owner) Running() int {
+// InFlight returns the number of attempts at the worker.
+func (o *Owner) InFlight() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.inFlight
--- a/internal/server/callrunner.go
+++ b/internal/server/callrunner.go
@@ -167,7 +167,7 @@
 }
 
 func (c *callRunner) logInterrupted(step entry.Step, err error) {
-	event.Log(c.caller.RequestLog, event.AttemptBroken).
+	event.Log(c.caller.RequestLog, event.AttemptInterrupted).
 		Str("request", string(step.Attempt.Request)).Str("attempt", step.Attempt.ID.String()).
 		Str("upstream", string(step.To.ID)).Err(err).Send()
 }
