--- a/internal/local/fleet.go
+++ b/internal/local/fleet.go
@@ -29,8 +29,8 @@
 	"gypsumstand/internal/server"
 )
 
-// Signer is the name under which a fleet's bundles are signed.
-const Signer = "Local Signer"
+// SignerName is the name under which a fleet's bundles are signed.
+const SignerName = "Local Signer"
 
 // anyPort lets the system pick a free port on loopback.
 const anyPort = "127.0.0.1:0"
@@ -131,7 +131,7 @@
 		Ledger:       worker.NewLedger(ledgerSize),
 		cfg:          cfg,
 		signingKey:   private,
-		signer:       bundle.Signer{Name: Signer, Key: public},
+		signer:       bundle.Signer{Name: SignerName, Key: public},
 		centreByPeer: map[string]model.DataCentre{},
 	}
 	if err := f.start(); err != nil {
@@ -163,7 +163,7 @@
 
 // Publish signs and publishes a bundle.
 func (f *Fleet) Publish(data []byte) error {
-	if _, err := f.Platform.PublishSigned(bundle.Sign(Signer, f.signingKey, data)); err != nil {
+	if _, err := f.Platform.PublishSigned(bundle.Sign(SignerName, f.signingKey, data)); err != nil {
 		return fmt.Errorf("publish bundle: %w", err)
 	}
 	return nil
