--- a/internal/wire/handover.go
+++ b/internal/wire/handover.go
@@ -19,7 +19,7 @@
 
 // KeyRecord is what a home node remembers of one request id.
 type KeyRecord struct {
-	// Request is the scoped id; see model.ScopedRequest.
+	// Request is the scoped id; see model.ScopedRequestID.
 	Request model.RequestID `cbor:"1,keyasint"`
 	// Done reports that the request has run. Otherwise it is running, or was delegated to
 	// another owner.
--- a/internal/wire/resolve.go
+++ b/internal/wire/resolve.go
@@ -35,7 +35,7 @@
 // KeyResult reports to the home owner of a request id how the request that it delegated
 // ended.
 type KeyResult struct {
-	// Request is the scoped id; see model.ScopedRequest.
+	// Request is the scoped id; see model.ScopedRequestID.
 	Request model.RequestID `cbor:"1,keyasint"`
 	Attempt model.AttemptID `cbor:"2,keyasint"`
 	Outcome model.Outcome   `cbor:"3,keyasint"`
